--- a/pkg/control/ages_test.go
+++ b/pkg/control/ages_test.go
@@ -175,8 +175,8 @@
 	now = now.Add(5 * time.Second)
 	nameAt(t, s, 3)
 	now = now.Add(time.Second)
-	anew := feed.NewVersions()
-	anew.Hear(s.Weights(), now)
+	anew := feed.NewVersionTable()
+	anew.Add(s.Weights(), now)
 	if next := anew.Next("menu", 1); next.Version() != 2 || now.Sub(next.Since()) != 6*time.Second {
 		t.Fatalf("version %d, named %s ago, is the next above 1", next.Version(), now.Sub(next.Since()))
 	}
@@ -193,7 +193,7 @@
 func TestAgeToldBeforeTheLogBringsTheVersion(t *testing.T) {
 	now := time.Unix(1000, 0)
 	s := stateOn(&now)
-	s.Learn([]feed.Weights{feed.NewWeights("menu", 2, 7*time.Second), feed.NewWeights("menu", 3, 4*time.Second)}, "gateway", "front-1")
+	s.Learn([]feed.NamedVersion{feed.NewNamedVersion("menu", 2, 7*time.Second), feed.NewNamedVersion("menu", 3, 4*time.Second)}, "gateway", "front-1")
 	mustTell(t, s, nil)
 	now = now.Add(time.Second)
 	nameAt(t, s, 2)
@@ -216,7 +216,7 @@
 		age  time.Duration
 		told int
 	}{{10 * time.Millisecond, 1}, {40 * time.Millisecond, 1}, {20 * time.Millisecond, 1}, {5 * time.Second, 2}, {5 * time.Second, 2}, {4 * time.Second, 2}} {
-		s.Learn([]feed.Weights{feed.NewWeights("menu", 2, step.age)}, "node", "control-2")
+		s.Learn([]feed.NamedVersion{feed.NewNamedVersion("menu", 2, step.age)}, "node", "control-2")
 		if told != step.told || agesOf(s)[2] < step.age {
 			t.Fatalf("after an age of %s: told %d times, age %s", step.age, told, agesOf(s)[2])
 		}
@@ -235,7 +235,7 @@
 		n.disk.Crash(0)
 		n.bootstrap = false
 	}
-	c.follow([]feed.Weights{feed.NewWeights("menu", 2, longAgo), feed.NewWeights("menu", 9, longAgo)})
+	c.follow([]feed.NamedVersion{feed.NewNamedVersion("menu", 2, longAgo), feed.NewNamedVersion("menu", 9, longAgo)})
 	for _, n := range c.nodes {
 		c.start(n)
 	}
@@ -248,8 +248,8 @@
 }
 
 // follow starts a gateway's follower that knows of versions.
-func (c *cluster) follow(known []feed.Weights) {
-	c.followAs("front-1", func(f *feed.Follower) { f.Weights = func() []feed.Weights { return known } })
+func (c *cluster) follow(known []feed.NamedVersion) {
+	c.followAs("front-1", func(f *feed.Follower) { f.Versions = func() []feed.NamedVersion { return known } })
 }
 
 // followAs starts a gateway's follower of a name, after a change to it.
@@ -260,7 +260,7 @@
 	})
 	f := &feed.Follower{
 		Endpoint: e, Hello: feed.NewHello(feed.RoleGateway, identity, "", "", nil, false), Seeds: c.seeds,
-		Held: func() uint64 { return math.MaxUint64 }, Take: func(string, feed.Update) {}, Logger: log.NewNopLogger(),
+		DocumentNumber: func() uint64 { return math.MaxUint64 }, OnUpdate: func(string, feed.Update) {}, Logger: log.NewNopLogger(),
 	}
 	change(f)
 	ctx, cancel := context.WithCancel(context.Background())
--- a/pkg/control/late_age_test.go
+++ b/pkg/control/late_age_test.go
@@ -21,7 +21,7 @@
 // Proved by days with such documents, where gateways that followed two late nodes served old
 // weights by as much longer, and none did once nodes learn ages from each other.
 func TestNodeThatAppliesLateLearnsTheAgeFromAnother(t *testing.T) {
-	told := feed.NewUpdate(0, nil, []feed.Weights{feed.NewWeights("menu", 2, longAgo)}, nil, true, nil, 0, false, nil, nil, nil, nil, nil, nil)
+	told := feed.NewUpdate(0, nil, []feed.NamedVersion{feed.NewNamedVersion("menu", 2, longAgo)}, nil, true, nil, 0, false, nil, nil, nil, nil, nil, nil)
 	hear := func(n *testNode) { n.node.takeOther("10.0.0.9:7700", told) }
 	name := func(c *cluster) {
 		c.eventually("name", func() error { return c.nodes[0].node.service.NameVersion(context.Background(), "menu", 2) })
--- a/pkg/control/node.go
+++ b/pkg/control/node.go
@@ -94,21 +94,21 @@
 		metrics: newMetrics(process.Registry),
 	}
 	n.service.state = NewState(n.changed)
-	n.service.state.noted = func(moves []feed.Move, source, from string) {
-		feed.LogMoves(process.Logger, moves, source, from)
+	n.service.state.noted = func(moves []feed.VersionChange, source, from string) {
+		feed.LogVersionChanges(process.Logger, moves, source, from)
 	}
 	n.service.publisher = feed.NewPublisher(feed.Source{
-		Self:          process.Identity,
-		Number:        n.service.state.Number,
-		Document:      n.service.state.Document,
-		Weights:       n.service.state.Weights,
-		Known:         n.learnFrom,
-		Registrations: n.service.registry.All,
-		Records:       n.service.quarantine.Records,
-		Learn:         n.service.learnRecords,
-		Trial:         n.service.askTrial,
-		Nodes:         func() []string { return n.member.nodes() },
-		Confirmed:     func() bool { return n.member.confirmed() },
+		Self:            process.Identity,
+		DocumentNumber:  n.service.state.Number,
+		Document:        n.service.state.Document,
+		Versions:        n.service.state.Weights,
+		OnHello:         n.learnFrom,
+		Registrations:   n.service.registry.All,
+		Records:         n.service.quarantine.Records,
+		OnRecords:       n.service.learnRecords,
+		OnTrialRequest:  n.service.askTrial,
+		Nodes:           func() []string { return n.member.nodes() },
+		QuorumConfirmed: func() bool { return n.member.confirmed() },
 	})
 	n.calls = n.newCalls()
 	n.keeper = &keeper{table: n.service.quarantine, learn: n.service.learnRecords, logger: process.Logger}
@@ -165,7 +165,7 @@
 // changed has a new document or version told.
 func (n *Node) changed() {
 	n.service.metrics.number.Set(float64(n.service.state.Number()))
-	n.service.publisher.Changed()
+	n.service.publisher.NotifyChange()
 }
 
 // Run runs the node until a signal.
--- a/pkg/control/others.go
+++ b/pkg/control/others.go
@@ -37,39 +37,39 @@
 		Hello:    feed.NewHello(feed.RoleNode, n.process.Identity, "", "", nil, false),
 		Seeds:    func() []string { return append(n.seedLinks(), n.member.nodes()...) },
 		// Documents come by the control log.
-		Held:    func() uint64 { return math.MaxUint64 },
-		Take:    n.takeOther,
-		Weights: n.service.state.Weights,
-		Records: n.service.quarantine.Records,
-		Logger:  n.process.Logger,
+		DocumentNumber: func() uint64 { return math.MaxUint64 },
+		OnUpdate:       n.takeOther,
+		Versions:       n.service.state.Weights,
+		Records:        n.service.quarantine.Records,
+		Logger:         n.process.Logger,
 	}
 }
 
 // learnFrom takes the ages of versions that a new follower knows of.
 func (n *Node) learnFrom(f feed.Hello) {
-	n.service.state.Learn(f.Weights(), string(f.Role()), f.Self().Address())
+	n.service.state.Learn(f.Versions(), string(f.Role()), f.Self().Address())
 }
 
 // takeOther takes what another control node tells.
 func (n *Node) takeOther(address string, u feed.Update) {
 	for _, r := range u.Registrations() {
-		if word, tell := n.service.registry.HearRelayed(r); tell {
-			n.service.publisher.Registered(word)
+		if word, tell := n.service.registry.ReceiveRelayed(r); tell {
+			n.service.publisher.QueueRegistrations(word)
 			n.service.logRegistration(word)
 		}
 	}
-	n.service.state.Learn(u.Weights(), string(feed.RoleNode), address)
+	n.service.state.Learn(u.Versions(), string(feed.RoleNode), address)
 	n.service.learnRecords(u.Records())
-	n.service.publisher.Relayed(address, u)
+	n.service.publisher.ReceiveNodeUpdate(address, u)
 }
 
 // sweep tells of backend servers that have gone silent, and forgets what nodes
 // told that have.
 func (n *Node) sweep(ctx context.Context) error {
-	patience := registry.Patience{Direct: silentBeats * n.settings.Heartbeat(), Relayed: relayedSilence, Forget: forgetAfter}
+	patience := registry.Timeouts{Direct: silentBeats * n.settings.Heartbeat(), Relayed: relayedSilence, Forget: forgetAfter}
 	return daemon.Every(ctx, sweepEvery, func() {
 		changed := n.service.registry.Sweep(patience)
-		n.service.publisher.Registered(changed...)
+		n.service.publisher.QueueRegistrations(changed...)
 		for _, r := range changed {
 			n.service.logRegistration(r)
 		}
@@ -80,5 +80,5 @@
 
 // retell tells the other nodes which backend servers are heard here.
 func (n *Node) retell(ctx context.Context) error {
-	return daemon.Every(ctx, retellEvery, func() { n.service.publisher.Retell(n.service.registry.Direct()) })
+	return daemon.Every(ctx, retellEvery, func() { n.service.publisher.ResendToNodes(n.service.registry.Direct()) })
 }
--- a/pkg/control/own.go
+++ b/pkg/control/own.go
@@ -95,7 +95,7 @@
 		holdings = append(holdings, registry.NewHolding(h.Model, h.Version, h.From, h.To))
 	}
 	r := registry.NewRegistration(incarnation, w.Service, w.Address, w.FailureDomain, w.Software, w.Slots, state, 0, holdings, w.Sequence, w.Born)
-	return r, r.Check()
+	return r, r.Validate()
 }
 
 // Handle serves one call: it reads at most maxBody bytes and writes the result
--- a/pkg/control/quarantine.go
+++ b/pkg/control/quarantine.go
@@ -17,7 +17,7 @@
 // ended, and has what is new told to all others.
 func (s *Service) learnRecords(records []quarantine.Record) {
 	changed, _ := s.quarantine.Merge(records)
-	s.publisher.Recorded(changed)
+	s.publisher.QueueRecords(changed)
 	s.barredChanged(changed)
 	quarantine.LogBarred(s.logger, changed)
 }
@@ -38,7 +38,7 @@
 	if !granted {
 		return
 	}
-	s.publisher.Recorded([]quarantine.Record{r})
+	s.publisher.QueueRecords([]quarantine.Record{r})
 	s.barredChanged([]quarantine.Record{r})
 	_ = level.Info(s.logger).Log("msg", "trial of a request", "fingerprint", f, "tester", tester, "trials", r.Trials())
 }
--- a/pkg/control/quarantine_test.go
+++ b/pkg/control/quarantine_test.go
@@ -35,7 +35,7 @@
 	table := quarantine.NewTable(nil)
 	f := c.followAs(name, func(f *feed.Follower) {
 		f.Records = table.Records
-		f.Take = func(_ string, u feed.Update) { table.Merge(u.Records()) }
+		f.OnUpdate = func(_ string, u feed.Update) { table.Merge(u.Records()) }
 	})
 	return gatewayTable{table, f}
 }
@@ -43,7 +43,7 @@
 // learn has a gateway learn of ends and tell of them.
 func (g gatewayTable) learn(r quarantine.Record) {
 	changed, _ := g.Merge([]quarantine.Record{r})
-	g.follower.TellRecords(changed)
+	g.follower.ReportRecords(changed)
 }
 
 // awaitBarred waits until a table keeps the request away.
@@ -94,7 +94,7 @@
 	if !tell {
 		t.Fatal("a whole run of a barred request is not told")
 	}
-	b.follower.TellRecords([]quarantine.Record{r})
+	b.follower.ReportRecords([]quarantine.Record{r})
 	for name, table := range map[string]*quarantine.Table{"a": a.Table, "control-2": c.nodes[2].node.service.quarantine} {
 		c.eventually("cleared at "+name, func() error {
 			if v, _ := table.Begin(endingRequest); v != quarantine.Clear {
@@ -122,7 +122,7 @@
 		for name, g := range testers {
 			switch g.BeginTrial(endingRequest, quarantine.Tester(g.follower.Hello.Self())) {
 			case quarantine.MayAsk:
-				g.follower.AskTrial(endingRequest)
+				g.follower.RequestTrial(endingRequest)
 			case quarantine.Granted:
 				granted[name] = true
 			}
--- a/pkg/control/service.go
+++ b/pkg/control/service.go
@@ -126,9 +126,9 @@
 	if err := s.checkService(r); err != nil {
 		return err
 	}
-	changed := s.registry.Hear(r)
+	changed := s.registry.Receive(r)
 	if changed {
-		s.publisher.Registered(r)
+		s.publisher.QueueRegistrations(r)
 		s.logRegistration(r)
 	}
 	s.metrics.heartbeats.Inc()
@@ -154,7 +154,7 @@
 func (s *Service) Leave(incarnation string) error {
 	r, changed := s.registry.Leave(incarnation)
 	if changed {
-		s.publisher.Registered(r)
+		s.publisher.QueueRegistrations(r)
 		s.logRegistration(r)
 	}
 	return s.needQuorum()
--- a/pkg/control/state.go
+++ b/pkg/control/state.go
@@ -67,7 +67,7 @@
 	configuration *Configuration
 	// versions are the named versions with their ages, by model and oldest first.
 	// Earlier releases wrote the newest of each model, without an age.
-	versions []feed.Weights
+	versions []feed.NamedVersion
 }
 
 // State is the agreed state at one node. It is safe for concurrent use.
@@ -75,10 +75,10 @@
 	changed func()
 	now     func() time.Time
 	// noted gets what was learnt of versions and their ages, and where from.
-	noted func(moves []feed.Move, source, from string)
+	noted func(moves []feed.VersionChange, source, from string)
 
-	named *feed.Versions // as the log says
-	told  *feed.Versions // as others told, for versions that the log may still bring
+	named *feed.VersionTable // as the log says
+	told  *feed.VersionTable // as others told, for versions that the log may still bring
 
 	mu            sync.RWMutex
 	configuration *Configuration
@@ -96,8 +96,8 @@
 // the goroutine that made it.
 func NewState(changed func()) *State {
 	return &State{
-		changed: changed, now: time.Now, noted: func([]feed.Move, string, string) {},
-		named: feed.NewVersions(), told: feed.NewVersions(),
+		changed: changed, now: time.Now, noted: func([]feed.VersionChange, string, string) {},
+		named: feed.NewVersionTable(), told: feed.NewVersionTable(),
 	}
 }
 
@@ -115,7 +115,7 @@
 	}
 	changed := s.takeConfiguration(c.configuration)
 	if v := c.version; v != nil && v.version > s.Version(v.model) {
-		changed = s.name([]feed.Weights{feed.NewWeights(v.model, v.version, 0)}, sourceLog) || changed
+		changed = s.name([]feed.NamedVersion{feed.NewNamedVersion(v.model, v.version, 0)}, sourceLog) || changed
 	}
 	if changed {
 		s.changed()
@@ -136,20 +136,20 @@
 
 // name takes versions that the log names, with what others told of their ages
 // before, and tells whether that changed anything.
-func (s *State) name(all []feed.Weights, source string) bool {
+func (s *State) name(all []feed.NamedVersion, source string) bool {
 	now := s.now()
-	named := s.named.Take(all, now)
+	named := s.named.Merge(all, now)
 	s.noted(named, source, "")
-	raised := s.named.Raise(s.toldOf(all, now), now)
+	raised := s.named.MergeAges(s.toldOf(all, now), now)
 	s.noted(raised, sourceTold, "")
 	return count(named) || count(raised)
 }
 
 // toldOf returns the ages that others told of some versions.
-func (s *State) toldOf(all []feed.Weights, now time.Time) (told []feed.Weights) {
+func (s *State) toldOf(all []feed.NamedVersion, now time.Time) (told []feed.NamedVersion) {
 	for _, w := range all {
 		if n := s.told.Next(w.Model(), w.Version()-1); n.Version() == w.Version() {
-			told = append(told, feed.NewWeights(w.Model(), w.Version(), now.Sub(n.Since())))
+			told = append(told, feed.NewNamedVersion(w.Model(), w.Version(), now.Sub(n.Since())))
 		}
 	}
 	return told
@@ -157,10 +157,10 @@
 
 // Learn takes the ages of versions that another node or a follower knows of. It
 // names none: one that the log has not brought here yet waits for it.
-func (s *State) Learn(all []feed.Weights, source, from string) {
+func (s *State) Learn(all []feed.NamedVersion, source, from string) {
 	now := s.now()
-	s.told.Take(all, now)
-	raised := s.named.Raise(all, now)
+	s.told.Merge(all, now)
+	raised := s.named.MergeAges(all, now)
 	s.noted(raised, source, from)
 	if count(raised) {
 		s.changed()
@@ -168,7 +168,9 @@
 }
 
 // count tells whether one of some changes is worth being told at once.
-func count(moves []feed.Move) bool { return slices.ContainsFunc(moves, feed.Move.Counts) }
+func count(moves []feed.VersionChange) bool {
+	return slices.ContainsFunc(moves, feed.VersionChange.IsSignificant)
+}
 
 func (s *State) snapshot() ([]byte, error) {
 	return msgpack.Marshal(image{configuration: s.Configuration(), versions: s.Weights()})
@@ -190,8 +192,8 @@
 
 // suspended makes the ages of versions count how long the VM was suspended.
 func (s *State) suspended(by time.Duration) {
-	s.named.Suspended(by)
-	s.told.Suspended(by)
+	s.named.AddSuspension(by)
+	s.told.AddSuspension(by)
 }
 
 // Configuration returns the newest one; nil when there is none.
@@ -221,4 +223,4 @@
 func (s *State) Version(model string) uint64 { return s.named.Newest(model).Version() }
 
 // Weights returns the named versions that somebody may still wait for.
-func (s *State) Weights() []feed.Weights { return s.named.Weights(s.now()) }
+func (s *State) Weights() []feed.NamedVersion { return s.named.Current(s.now()) }
--- a/pkg/control/suspended_test.go
+++ b/pkg/control/suspended_test.go
@@ -21,7 +21,7 @@
 		t.Error("a leader that was heard of before the suspension counts")
 	}
 	s := NewState(func() {})
-	s.name([]feed.Weights{feed.NewWeights("menu", 2, 0)}, sourceLog)
+	s.name([]feed.NamedVersion{feed.NewNamedVersion("menu", 2, 0)}, sourceLog)
 	s.suspended(suspended)
 	if age := s.Weights()[0].Age(); age < suspended {
 		t.Errorf("the version is %s old", age)
--- a/pkg/control/wire_generated.go
+++ b/pkg/control/wire_generated.go
@@ -123,7 +123,7 @@
 }
 
 // newImage returns a image with the given fields.
-func newImage(configuration *Configuration, versions []feed.Weights) image {
+func newImage(configuration *Configuration, versions []feed.NamedVersion) image {
 	return image{configuration: configuration, versions: versions}
 }
 
--- a/pkg/feed/census.go
+++ b/pkg/feed/census.go
@@ -16,40 +16,40 @@
 	"time"
 )
 
-// here stands for this node among the nodes.
-const here = ""
+// localNode stands for this node among the nodes.
+const localNode = ""
 
-// countLife is how long another node may be silent before what it told is
+// inventoryTTL is how long another node may be silent before what it told is
 // forgotten. Its followers have gone to their backups by then.
-const countLife = 5 * time.Second
-
-// nodeCount is what one node counts among its primary followers.
-type nodeCount struct {
-	gateways int
-	demands  map[string]float64 // requests for engines a second, by failure domain
-	peers    map[string]Peer    // by link address
-	heard    time.Time
+const inventoryTTL = 5 * time.Second
+
+// nodeInventory is what one node counts among its primary followers.
+type nodeInventory struct {
+	gateways   int
+	demands    map[string]float64 // requests for engines a second, by failure domain
+	peers      map[string]Peer    // by link address
+	lastUpdate time.Time
 }
 
-// census counts the followers of all control nodes. It is not safe for
+// inventory counts the followers of all control nodes. It is not safe for
 // concurrent use.
-type census struct {
-	nodes map[string]*nodeCount // by the node's link address
+type inventory struct {
+	nodes map[string]*nodeInventory // by the node's link address
 }
 
-func newCensus() *census { return &census{nodes: map[string]*nodeCount{}} }
+func newInventory() *inventory { return &inventory{nodes: map[string]*nodeInventory{}} }
 
-func (c *census) of(node string) *nodeCount {
+func (c *inventory) forNode(node string) *nodeInventory {
 	s := c.nodes[node]
 	if s == nil {
-		s = &nodeCount{demands: map[string]float64{}, peers: map[string]Peer{}}
+		s = &nodeInventory{demands: map[string]float64{}, peers: map[string]Peer{}}
 		c.nodes[node] = s
 	}
 	return s
 }
 
 // gateways counts the gateways of all nodes.
-func (c *census) gateways() int {
+func (c *inventory) gateways() int {
 	all := 0
 	for _, s := range c.nodes {
 		all += s.gateways
@@ -58,7 +58,7 @@
 }
 
 // demands adds up what comes to the gateways of all nodes, by failure domain.
-func (c *census) demands() []Demand {
+func (c *inventory) demands() []Demand {
 	sum := map[string]float64{}
 	for _, s := range c.nodes {
 		for domain, perSecond := range s.demands {
@@ -68,28 +68,30 @@
 	return toDemands(sum)
 }
 
-// demandsHere is what comes to this node's own gateways.
-func (c *census) demandsHere() []Demand { return toDemands(c.of(here).demands) }
+// localDemands is what comes to this node's own gateways.
+func (c *inventory) localDemands() []Demand { return toDemands(c.forNode(localNode).demands) }
 
 func toDemands(byDomain map[string]float64) []Demand {
 	var all []Demand
 	for _, domain := range slices.Sorted(maps.Keys(byDomain)) {
-		if perSecond := byDomain[domain]; perSecond > leastDemand {
+		if perSecond := byDomain[domain]; perSecond > minDemand {
 			all = append(all, Demand{domain, perSecond})
 		}
 	}
 	return all
 }
 
-// leastDemand is what the sum of a failure domain without requests may be off
+// minDemand is what the sum of a failure domain without requests may be off
 // by, since it is kept by adding and taking away.
-const leastDemand = 1e-6
+const minDemand = 1e-6
 
-// changeDemand changes what comes to this node's own gateways.
-func (c *census) changeDemand(domain string, by float64) { c.of(here).demands[domain] += by }
+// addLocalDemand changes what comes to this node's own gateways.
+func (c *inventory) addLocalDemand(domain string, by float64) {
+	c.forNode(localNode).demands[domain] += by
+}
 
 // peers returns the gateways, stagers and caches of all nodes.
-func (c *census) peers() []Peer {
+func (c *inventory) peers() []Peer {
 	all := map[string]Peer{}
 	for _, s := range c.nodes {
 		maps.Copy(all, s.peers)
@@ -97,26 +99,28 @@
 	return slices.Collect(maps.Values(all))
 }
 
-// peersHere returns those that follow this node.
-func (c *census) peersHere() []Peer { return slices.Collect(maps.Values(c.of(here).peers)) }
+// localPeers returns those that follow this node.
+func (c *inventory) localPeers() []Peer {
+	return slices.Collect(maps.Values(c.forNode(localNode).peers))
+}
 
-// join notes a stager or cache of a node, and tells whether it is news.
-func (c *census) join(node string, p Peer) bool {
-	news := !c.knows(p)
-	c.of(node).peers[p.address] = p
+// addPeer notes a stager or cache of a node, and tells whether it is news.
+func (c *inventory) addPeer(node string, p Peer) bool {
+	news := !c.hasPeer(p)
+	c.forNode(node).peers[p.address] = p
 	return news
 }
 
-// leave takes one off a node, and tells whether no other node has it.
-func (c *census) leave(node, address string) bool {
-	if _, there := c.of(node).peers[address]; !there {
+// removePeer takes one off a node, and tells whether no other node has it.
+func (c *inventory) removePeer(node, address string) bool {
+	if _, there := c.forNode(node).peers[address]; !there {
 		return false
 	}
-	delete(c.of(node).peers, address)
-	return !c.knowsAddress(address)
+	delete(c.forNode(node).peers, address)
+	return !c.hasAddress(address)
 }
 
-func (c *census) knows(p Peer) bool {
+func (c *inventory) hasPeer(p Peer) bool {
 	for _, s := range c.nodes {
 		if s.peers[p.address] == p {
 			return true
@@ -125,7 +129,7 @@
 	return false
 }
 
-func (c *census) knowsAddress(address string) bool {
+func (c *inventory) hasAddress(address string) bool {
 	for _, s := range c.nodes {
 		if _, there := s.peers[address]; there {
 			return true
@@ -134,35 +138,35 @@
 	return false
 }
 
-// relay takes what another node told of its followers, and returns the stagers
+// applyUpdate takes what another node told of its followers, and returns the stagers
 // and caches that are news and those that no node has any more.
-func (c *census) relay(node string, u Update, now time.Time) (joined []Peer, gone []string) {
-	s := c.of(node)
-	s.heard = now
+func (c *inventory) applyUpdate(node string, u Update, now time.Time) (joined []Peer, gone []string) {
+	s := c.forNode(node)
+	s.lastUpdate = now
 	s.gateways = u.gateways
 	s.demands = map[string]float64{}
 	for _, d := range u.demands {
 		s.demands[d.domain] = d.perSecond
 	}
 	for _, p := range u.peers {
-		if c.join(node, p) {
+		if c.addPeer(node, p) {
 			joined = append(joined, p)
 		}
 	}
-	left := u.gone
-	if u.whole {
-		left = append(left, s.absentFrom(u.peers)...)
+	left := u.removedPeers
+	if u.allPeers {
+		left = append(left, s.missingFrom(u.peers)...)
 	}
 	for _, address := range left {
-		if c.leave(node, address) {
+		if c.removePeer(node, address) {
 			gone = append(gone, address)
 		}
 	}
 	return joined, gone
 }
 
-// absentFrom returns the peers of a node that are not among those told.
-func (s *nodeCount) absentFrom(told []Peer) []string {
+// missingFrom returns the peers of a node that are not among those told.
+func (s *nodeInventory) missingFrom(told []Peer) []string {
 	there := map[string]bool{}
 	for _, p := range told {
 		there[p.address] = true
@@ -176,15 +180,15 @@
 	return absent
 }
 
-// forgetSilent forgets what nodes told that are silent, and returns the stagers
+// expireNodes forgets what nodes told that are silent, and returns the stagers
 // and caches that no other node has.
-func (c *census) forgetSilent(now time.Time) (gone []string) {
+func (c *inventory) expireNodes(now time.Time) (gone []string) {
 	for node, s := range c.nodes {
-		if node == here || now.Sub(s.heard) < countLife {
+		if node == localNode || now.Sub(s.lastUpdate) < inventoryTTL {
 			continue
 		}
 		for address := range maps.Clone(s.peers) {
-			if c.leave(node, address) {
+			if c.removePeer(node, address) {
 				gone = append(gone, address)
 			}
 		}
--- a/pkg/feed/choice.go
+++ b/pkg/feed/choice.go
@@ -20,35 +20,35 @@
 	"github.com/tidepost/tidepost/pkg/vm"
 )
 
-// standing is what a follower knows of a control node, the best first.
-type standing int
+// candidateRank is what a follower knows of a control node, the best first.
+type candidateRank int
 
 const (
-	// standingSound is heard, and hears of a quorum's leader.
-	standingSound standing = iota
-	// standingSpare is heard as a spare. It takes no place of one that is sound: that may
+	// rankHealthy is heard, and hears of a quorum's leader.
+	rankHealthy candidateRank = iota
+	// rankFallback is heard as a spare. It takes no place of one that is sound: that may
 	// only be slow.
-	standingSpare
-	// standingUntried was not dialed of late.
-	standingUntried
-	// standingAlone is heard, but has not heard of a quorum's leader for a while.
-	standingAlone
-	// standingFailed did not answer of late.
-	standingFailed
+	rankFallback
+	// rankUntried was not dialed of late.
+	rankUntried
+	// rankNoQuorum is heard, but has not heard of a quorum's leader for a while.
+	rankNoQuorum
+	// rankFailed did not answer of late.
+	rankFailed
 )
 
 // candidate is a control node as a follower sees it.
 type candidate struct {
-	address  string
-	domain   string // empty where it is not known
-	standing standing
+	address string
+	domain  string // empty where it is not known
+	rank    candidateRank
 }
 
 // choosePair returns the addresses of the primary and of the backup; fewer where
 // there are not as many nodes.
 func choosePair(self vm.Identity, all []candidate) []string {
-	order := inOrder(self, all)
-	isNear := func(c candidate) bool { return c.domain == self.Domain() && c.standing != standingFailed }
+	order := sortCandidates(self, all)
+	isNear := func(c candidate) bool { return c.domain == self.Domain() && c.rank != rankFailed }
 	first := max(slices.IndexFunc(order, isNear), 0)
 	if len(order) == 0 {
 		return nil
@@ -58,24 +58,24 @@
 	if len(order) == 0 {
 		return []string{primary.address}
 	}
-	return []string{primary.address, backupOf(primary, order).address}
+	return []string{primary.address, chooseBackup(primary, order).address}
 }
 
-// inOrder returns the candidates of a follower, the best first.
-func inOrder(self vm.Identity, all []candidate) []candidate {
+// sortCandidates returns the candidates of a follower, the best first.
+func sortCandidates(self vm.Identity, all []candidate) []candidate {
 	order := slices.Clone(all)
 	slices.SortFunc(order, func(a, b candidate) int {
-		return cmp.Or(cmp.Compare(a.standing, b.standing), cmp.Compare(claim(self, a.address), claim(self, b.address)))
+		return cmp.Or(cmp.Compare(a.rank, b.rank), cmp.Compare(rendezvousHash(self, a.address), rendezvousHash(self, b.address)))
 	})
 	return order
 }
 
-// backupOf returns the best backup, in order: the best of another failure domain,
+// chooseBackup returns the best backup, in order: the best of another failure domain,
 // unless that one stands worse than one of the same.
-func backupOf(primary candidate, order []candidate) candidate {
+func chooseBackup(primary candidate, order []candidate) candidate {
 	best := order[0]
 	for _, c := range order {
-		if c.standing > best.standing {
+		if c.rank > best.rank {
 			break
 		}
 		if c.domain != primary.domain {
@@ -85,7 +85,7 @@
 	return best
 }
 
-// claim is the place of a node in the order of a follower.
-func claim(self vm.Identity, address string) uint64 {
+// rendezvousHash is the place of a node in the order of a follower.
+func rendezvousHash(self vm.Identity, address string) uint64 {
 	return xxhash.Sum64String(self.Address() + "/" + address)
 }
--- a/pkg/feed/choice_test.go
+++ b/pkg/feed/choice_test.go
@@ -10,11 +10,11 @@
 	"github.com/tidepost/tidepost/pkg/vm"
 )
 
-func self(name string) vm.Identity { return vm.NewIdentity("", 0, "", "hall-a", name) }
+func identityOf(name string) vm.Identity { return vm.NewIdentity("", 0, "", "hall-a", name) }
 
-func TestPairIsChosen(t *testing.T) {
-	near := candidate{"near", "hall-a", standingUntried}
-	far := candidate{"far", "hall-b", standingSound}
+func TestChoosePair(t *testing.T) {
+	near := candidate{"near", "hall-a", rankUntried}
+	far := candidate{"far", "hall-b", rankHealthy}
 	cases := []struct {
 		name string
 		all  []candidate
@@ -23,15 +23,15 @@
 		{"none", nil, nil},
 		{"one", []candidate{far}, []string{"far"}},
 		{"the own failure domain first", []candidate{far, near}, []string{"near", "far"}},
-		{"one that failed is no primary", []candidate{far, {"near", "hall-a", standingFailed}}, []string{"far", "near"}},
-		{"one that is alone stays the primary", []candidate{far, {"near", "hall-a", standingAlone}}, []string{"near", "far"}},
-		{"the backup hears of a leader", []candidate{near, {"alone", "hall-c", standingAlone}, far}, []string{"near", "far"}},
-		{"one that is heard stays the backup", []candidate{near, {"untried", "hall-c", standingUntried}, far}, []string{"near", "far"}},
-		{"one that is untried before one that is alone", []candidate{near, {"untried", "hall-c", standingUntried}, {"alone", "hall-b", standingAlone}}, []string{"near", "untried"}},
-		{"the backup is of another failure domain", []candidate{near, {"near-2", "hall-a", standingSound}, far}, []string{"near-2", "far"}},
+		{"one that failed is no primary", []candidate{far, {"near", "hall-a", rankFailed}}, []string{"far", "near"}},
+		{"one that is alone stays the primary", []candidate{far, {"near", "hall-a", rankNoQuorum}}, []string{"near", "far"}},
+		{"the backup hears of a leader", []candidate{near, {"alone", "hall-c", rankNoQuorum}, far}, []string{"near", "far"}},
+		{"one that is heard stays the backup", []candidate{near, {"untried", "hall-c", rankUntried}, far}, []string{"near", "far"}},
+		{"one that is untried before one that is alone", []candidate{near, {"untried", "hall-c", rankUntried}, {"alone", "hall-b", rankNoQuorum}}, []string{"near", "untried"}},
+		{"the backup is of another failure domain", []candidate{near, {"near-2", "hall-a", rankHealthy}, far}, []string{"near-2", "far"}},
 	}
 	for _, c := range cases {
-		if got := choosePair(self("follower"), c.all); !slices.Equal(got, c.want) {
+		if got := choosePair(identityOf("follower"), c.all); !slices.Equal(got, c.want) {
 			t.Errorf("%s: %v, want %v", c.name, got, c.want)
 		}
 	}
@@ -39,13 +39,13 @@
 
 // The followers of a failure domain share out the other nodes as backups.
 func TestBackupsAreSpread(t *testing.T) {
-	all := []candidate{{"node-a", "hall-a", standingUntried}}
+	all := []candidate{{"node-a", "hall-a", rankUntried}}
 	for i := range 4 {
-		all = append(all, candidate{fmt.Sprintf("node-%d", i), fmt.Sprintf("hall-%d", i), standingUntried})
+		all = append(all, candidate{fmt.Sprintf("node-%d", i), fmt.Sprintf("hall-%d", i), rankUntried})
 	}
 	count := map[string]int{}
 	for i := range 400 {
-		pair := choosePair(self(fmt.Sprintf("10.0.0.%d:7700", i)), all)
+		pair := choosePair(identityOf(fmt.Sprintf("10.0.0.%d:7700", i)), all)
 		if pair[0] != "node-a" {
 			t.Fatalf("primary %s", pair[0])
 		}
@@ -60,23 +60,23 @@
 
 // A control node that has just come back counts few of the others: it takes the
 // place of a primary that works only after a while, and of none at once.
-func TestNodeThatCameBackSettlesFirst(t *testing.T) {
+func TestReconnectedNodeWaitsToBecomePrimary(t *testing.T) {
 	now := time.Unix(100, 0)
-	near := &followed{stream: &link.Stream{}, since: now}
-	far := &followed{stream: &link.Stream{}, since: now.Add(-time.Minute)}
-	f := &Follower{streams: map[string]*followed{"near": near, "far": far}, primary: far.stream}
+	near := &followedNode{stream: &link.Stream{}, connectedAt: now}
+	far := &followedNode{stream: &link.Stream{}, connectedAt: now.Add(-time.Minute)}
+	f := &Follower{streams: map[string]*followedNode{"near": near, "far": far}, primary: far.stream}
 	wanted := []string{"near", "far"}
-	if words := f.electPrimary(wanted, now.Add(settleFor/2)); len(words) != 0 || f.primary != far.stream {
+	if words := f.choosePrimary(wanted, now.Add(primaryWarmup/2)); len(words) != 0 || f.primary != far.stream {
 		t.Fatal("a node took the place of a primary that works before it had settled")
 	}
-	words := f.electPrimary(wanted, now.Add(settleFor))
+	words := f.choosePrimary(wanted, now.Add(primaryWarmup))
 	if f.primary != near.stream || words[near.stream].subscription != Primary || words[far.stream].subscription != Backup {
 		t.Fatalf("words %v", words)
 	}
 	f.primary = nil
 	far.stream = nil
-	near.since = now
-	if f.electPrimary(wanted, now); f.primary != near.stream {
+	near.connectedAt = now
+	if f.choosePrimary(wanted, now); f.primary != near.stream {
 		t.Fatal("there is no primary although a node is heard")
 	}
 }
--- a/pkg/feed/follower.go
+++ b/pkg/feed/follower.go
@@ -25,28 +25,28 @@
 )
 
 const (
-	// silence is how long a node may say nothing: two beats and a half.
-	silence = 2500 * time.Millisecond
-	// lateBeat is when the link to a node that says nothing is looked at: a beat, and
+	// nodeTimeout is how long a node may say nothing: two beats and a half.
+	nodeTimeout = 2500 * time.Millisecond
+	// linkCheckDelay is when the link to a node that says nothing is looked at: a beat, and
 	// time to come behind chunks. A silent link is replaced, and the node not lost.
-	lateBeat = 1200 * time.Millisecond
-	// leastPause and mostPause lie between two dials of a node.
-	leastPause = 100 * time.Millisecond
-	mostPause  = 800 * time.Millisecond
-	// lookEvery is the time between looks at the seeds.
-	lookEvery = 500 * time.Millisecond
-	// restAfterLoss is how long a node that was lost stands behind others.
-	restAfterLoss = 2 * time.Second
-	// aloneAfter is how long a node may be without word of a quorum's leader
+	linkCheckDelay = 1200 * time.Millisecond
+	// minRedialDelay and mostPause lie between two dials of a node.
+	minRedialDelay = 100 * time.Millisecond
+	maxRedialDelay = 800 * time.Millisecond
+	// adjustInterval is the time between looks at the seeds.
+	adjustInterval = 500 * time.Millisecond
+	// failedRankDuration is how long a node that was lost stands behind others.
+	failedRankDuration = 2 * time.Second
+	// quorumTimeout is how long a node may be without word of a quorum's leader
 	// before another one is followed beside it: an election takes a second.
-	aloneAfter = 2 * time.Second
-	// maxKnownRecords bounds what a node is told at first of requests under which servers
+	quorumTimeout = 2 * time.Second
+	// maxInitialRecords bounds what a node is told at first of requests under which servers
 	// ended, those with the most ends first: some 10 KB.
-	maxKnownRecords = 64
-	// settleFor is how long a node is heard before it takes the place of a primary
+	maxInitialRecords = 64
+	// primaryWarmup is how long a node is heard before it takes the place of a primary
 	// that works. One that has just started counts few of the others, and gateways
 	// that take its count for all send engines more than they have places for.
-	settleFor = 2 * time.Second
+	primaryWarmup = 2 * time.Second
 )
 
 // Follower keeps streams to control nodes.
@@ -57,14 +57,14 @@
 	Hello Hello
 	// Seeds returns the link addresses from the settings.
 	Seeds func() []string
-	// Held returns the number of the document in force here.
-	Held func() uint64
-	// Take takes an Update of the node at an address. It is called from one
+	// DocumentNumber returns the number of the document in force here.
+	DocumentNumber func() uint64
+	// OnUpdate takes an Update of the node at an address. It is called from one
 	// goroutine a node, at the same time for several nodes.
-	Take func(address string, u Update)
-	// Weights returns the named versions that are known here, for nodes that have
+	OnUpdate func(address string, u Update)
+	// Versions returns the named versions that are known here, for nodes that have
 	// started anew; nil where none are kept.
-	Weights func() []Weights
+	Versions func() []NamedVersion
 	// Records returns what is known here of requests under which servers ended, for nodes
 	// that have started anew; nil where nothing is.
 	Records func() []quarantine.Record
@@ -73,38 +73,38 @@
 
 	wake chan struct{}
 
-	mu      sync.Mutex
-	streams map[string]*followed // by node, those that are wanted
-	told    map[string][]Node    // by node: the nodes that it told
-	lostAt  map[string]time.Time // by node: when it was last lost
-	primary *link.Stream         // the stream whose node was told so last
-	census  heardCensus
-	asked   uint64
-	askedAt time.Time
-	heardAt time.Time   // the last word of a node that is no spare
-	sureAt  time.Time   // the last of one that heard of a quorum's leader
-	quiet   *time.Timer // has spares looked for when no word has come for a while; nil before Run
+	mu              sync.Mutex
+	streams         map[string]*followedNode // by node, those that are wanted
+	nodeLists       map[string][]Node        // by node: the nodes that it told
+	lostAt          map[string]time.Time     // by node: when it was last lost
+	primary         *link.Stream             // the stream whose node was told so last
+	inventory       receivedInventory
+	requestedNumber uint64
+	requestedAt     time.Time
+	lastUpdateAt    time.Time   // the last word of a node that is no spare
+	lastQuorumAt    time.Time   // the last of one that heard of a quorum's leader
+	quietTimer      *time.Timer // has spares looked for when no word has come for a while; nil before Run
 }
 
-// followed is a node that a stream is kept to.
-type followed struct {
-	cancel context.CancelFunc
-	stream *link.Stream // nil while it is not heard
-	domain string
-	since  time.Time // when it was first heard
-	sure   time.Time // when it was last sure that a quorum's leader is there
-	spare  bool      // it tells of documents and weights only
+// followedNode is a node that a stream is kept to.
+type followedNode struct {
+	cancel      context.CancelFunc
+	stream      *link.Stream // nil while it is not heard
+	domain      string
+	connectedAt time.Time // when it was first heard
+	quorumAt    time.Time // when it was last sure that a quorum's leader is there
+	fallback    bool      // it tells of documents and weights only
 }
 
 // Run follows until the context ends.
 func (f *Follower) Run(ctx context.Context) error {
 	f.mu.Lock()
 	f.wake = make(chan struct{}, 1)
-	f.streams, f.told, f.lostAt = map[string]*followed{}, map[string][]Node{}, map[string]time.Time{}
-	f.quiet = time.AfterFunc(time.Hour, func() { daemon.Wake(f.wake) })
+	f.streams, f.nodeLists, f.lostAt = map[string]*followedNode{}, map[string][]Node{}, map[string]time.Time{}
+	f.quietTimer = time.AfterFunc(time.Hour, func() { daemon.Wake(f.wake) })
 	f.mu.Unlock()
-	defer f.quiet.Stop()
-	ticker := time.NewTicker(lookEvery)
+	defer f.quietTimer.Stop()
+	ticker := time.NewTicker(adjustInterval)
 	defer ticker.Stop()
 	for {
 		f.adjust(ctx)
@@ -125,13 +125,13 @@
 func (f *Follower) adjust(ctx context.Context) {
 	f.mu.Lock()
 	now := time.Now()
-	wanted := f.wanted(now)
-	spares := f.spares(wanted, now)
+	wanted := f.wantedNodes(now)
+	spares := f.fallbackNodes(wanted, now)
 	for i, address := range append(slices.Clone(wanted), spares...) {
 		if f.streams[address] == nil {
 			c, cancel := context.WithCancel(ctx)
-			f.streams[address] = &followed{cancel: cancel, spare: i >= len(wanted)}
-			go f.keep(c, address)
+			f.streams[address] = &followedNode{cancel: cancel, fallback: i >= len(wanted)}
+			go f.followWithRetries(c, address)
 		}
 	}
 	for address, s := range f.streams {
@@ -144,8 +144,8 @@
 			f.primary = nil
 		}
 	}
-	words := f.promote(wanted)
-	maps.Copy(words, f.electPrimary(wanted, now))
+	words := f.promoteFallbacks(wanted)
+	maps.Copy(words, f.choosePrimary(wanted, now))
 	f.mu.Unlock()
 	for stream, w := range words {
 		// A failure shows in the reading, which then forgets the stream.
@@ -153,39 +153,39 @@
 	}
 }
 
-// electPrimary makes the first wanted node that may be it the primary, and returns
+// choosePrimary makes the first wanted node that may be it the primary, and returns
 // what is to be told of that.
-func (f *Follower) electPrimary(wanted []string, now time.Time) map[*link.Stream]Word {
+func (f *Follower) choosePrimary(wanted []string, now time.Time) map[*link.Stream]FollowerMessage {
 	if f.Hello.role == RoleNode {
 		// Every node is told what this one's followers tell.
 		return nil
 	}
-	words := map[*link.Stream]Word{}
-	first := slices.IndexFunc(wanted, func(address string) bool { return f.mayBePrimary(f.streams[address], now) })
+	words := map[*link.Stream]FollowerMessage{}
+	first := slices.IndexFunc(wanted, func(address string) bool { return f.canBePrimary(f.streams[address], now) })
 	if first < 0 || f.streams[wanted[first]].stream == f.primary {
 		return words
 	}
 	if f.primary != nil {
-		words[f.primary] = Word{subscription: Backup}
+		words[f.primary] = FollowerMessage{subscription: Backup}
 	}
 	f.primary = f.streams[wanted[first]].stream
-	words[f.primary] = Word{subscription: Primary}
+	words[f.primary] = FollowerMessage{subscription: Primary}
 	return words
 }
 
-// mayBePrimary tells whether a node may be the primary, or go on to be it.
-func (f *Follower) mayBePrimary(s *followed, now time.Time) bool {
+// canBePrimary tells whether a node may be the primary, or go on to be it.
+func (f *Follower) canBePrimary(s *followedNode, now time.Time) bool {
 	switch {
 	case s.stream == nil:
 		return false
 	case f.primary == nil, s.stream == f.primary:
 		return true
 	}
-	return now.Sub(s.since) >= settleFor
+	return now.Sub(s.connectedAt) >= primaryWarmup
 }
 
-// wanted returns the nodes to follow, the primary first.
-func (f *Follower) wanted(now time.Time) []string {
+// wantedNodes returns the nodes to follow, the primary first.
+func (f *Follower) wantedNodes(now time.Time) []string {
 	if f.Hello.role == RoleNode {
 		known := f.knownNodes()
 		delete(known, f.Hello.self.Address())
@@ -197,7 +197,7 @@
 // candidates are the nodes that may be followed, as they are seen now.
 func (f *Follower) candidates(now time.Time) (all []candidate) {
 	for address, domain := range f.knownNodes() {
-		all = append(all, candidate{address, domain, f.standing(address, now)})
+		all = append(all, candidate{address, domain, f.rankOf(address, now)})
 	}
 	return all
 }
@@ -210,8 +210,8 @@
 	for _, address := range f.Seeds() {
 		known[address] = ""
 	}
-	heard := f.heardNodes()
-	for address, nodes := range f.told {
+	heard := f.connectedNodes()
+	for address, nodes := range f.nodeLists {
 		if !heard[address] && len(heard) > 0 {
 			continue
 		}
@@ -229,46 +229,46 @@
 	return known
 }
 
-func (f *Follower) heardNodes() map[string]bool {
+func (f *Follower) connectedNodes() map[string]bool {
 	heard := map[string]bool{}
 	for address, s := range f.streams {
-		if s.stream != nil && len(f.told[address]) > 0 {
+		if s.stream != nil && len(f.nodeLists[address]) > 0 {
 			heard[address] = true
 		}
 	}
 	return heard
 }
 
-func (f *Follower) standing(address string, now time.Time) standing {
+func (f *Follower) rankOf(address string, now time.Time) candidateRank {
 	s := f.streams[address]
 	switch {
-	case s != nil && s.stream != nil && now.Sub(s.sure) < aloneAfter && s.spare:
-		return standingSpare
-	case s != nil && s.stream != nil && now.Sub(s.sure) < aloneAfter:
-		return standingSound
+	case s != nil && s.stream != nil && now.Sub(s.quorumAt) < quorumTimeout && s.fallback:
+		return rankFallback
+	case s != nil && s.stream != nil && now.Sub(s.quorumAt) < quorumTimeout:
+		return rankHealthy
 	case s != nil && s.stream != nil:
-		return standingAlone
-	case now.Sub(f.lostAt[address]) < restAfterLoss:
-		return standingFailed
+		return rankNoQuorum
+	case now.Sub(f.lostAt[address]) < failedRankDuration:
+		return rankFailed
 	}
-	return standingUntried
+	return rankUntried
 }
 
 // ----------------------------------------------------------------
 // One node
 
-// keep follows one node until the context ends.
-func (f *Follower) keep(ctx context.Context, address string) {
-	pause := leastPause
+// followWithRetries follows one node until the context ends.
+func (f *Follower) followWithRetries(ctx context.Context, address string) {
+	pause := minRedialDelay
 	for ctx.Err() == nil {
 		started := time.Now()
-		err := f.follow(ctx, address)
-		if err == errMoved {
+		err := f.followOnce(ctx, address)
+		if err == errLinkReplaced {
 			continue
 		}
-		f.lost(ctx, address)
-		if time.Since(started) > silence {
-			pause = leastPause
+		f.markLost(ctx, address)
+		if time.Since(started) > nodeTimeout {
+			pause = minRedialDelay
 			_ = level.Info(f.Logger).Log("msg", "control node lost", "node", address, "err", err)
 		}
 		select {
@@ -276,32 +276,32 @@
 			return
 		case <-time.After(pause):
 		}
-		pause = min(2*pause, mostPause)
+		pause = min(2*pause, maxRedialDelay)
 	}
 }
 
-// errMoved says that the link was silent and another one took its place: the node was
+// errLinkReplaced says that the link was silent and another one took its place: the node was
 // not lost, and is followed over the new one.
-var errMoved = errors.New("the link was replaced")
+var errLinkReplaced = errors.New("the link was replaced")
 
-func (f *Follower) follow(ctx context.Context, address string) error {
+func (f *Follower) followOnce(ctx context.Context, address string) error {
 	stream, err := f.Endpoint.Open(ctx, address, link.KindFeed, "")
 	if err != nil {
 		return err
 	}
 	defer stream.Close()
 	defer stream.OnReplaced(stream.Close)()
-	if f.isOtherLife(address, stream) {
-		f.lost(ctx, address)
+	if f.isRestarted(address, stream) {
+		f.markLost(ctx, address)
 	}
-	late := time.AfterFunc(lateBeat, func() { f.Endpoint.Doubt(address, time.Now()) })
+	late := time.AfterFunc(linkCheckDelay, func() { f.Endpoint.Doubt(address, time.Now()) })
 	defer late.Stop()
-	stream.SetDeadline(time.Now().Add(silence))
+	stream.SetDeadline(time.Now().Add(nodeTimeout))
 	hello := f.Hello
-	if f.Weights != nil {
-		hello.weights = f.Weights()
+	if f.Versions != nil {
+		hello.versions = f.Versions()
 	}
-	hello.spare = f.isSpare(address)
+	hello.fallback = f.isFallback(address)
 	if err := stream.Send(hello); err != nil {
 		return err
 	}
@@ -310,38 +310,38 @@
 		var u Update
 		if err := stream.Receive(&u); err != nil {
 			if ctx.Err() == nil && stream.IsReplaced() {
-				return errMoved
+				return errLinkReplaced
 			}
 			if ctx.Err() == nil {
 				f.Endpoint.Drop(stream)
 			}
 			return err
 		}
-		late.Reset(lateBeat)
-		stream.SetDeadline(time.Now().Add(silence))
-		if f.note(address, stream, u) {
+		late.Reset(linkCheckDelay)
+		stream.SetDeadline(time.Now().Add(nodeTimeout))
+		if f.recordUpdate(address, stream, u) {
 			// From now on it is told what is learnt, so that nothing comes between.
-			f.tellKnownRecords(stream)
+			f.sendKnownRecords(stream)
 		}
-		f.Take(address, u)
-		if u.number > f.Held() {
-			f.askSoon(stream, u.number)
+		f.OnUpdate(address, u)
+		if u.number > f.DocumentNumber() {
+			f.requestDocument(stream, u.number)
 		}
 	}
 }
 
-// isOtherLife tells whether a node that was heard until now is another one behind the
+// isRestarted tells whether a node that was heard until now is another one behind the
 // new link: it was started anew, and is lost as it was.
-func (f *Follower) isOtherLife(address string, stream *link.Stream) bool {
+func (f *Follower) isRestarted(address string, stream *link.Stream) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s := f.streams[address]
 	return s != nil && s.stream != nil && s.stream.Peer() != stream.Peer()
 }
 
-// note notes what a node told of itself and of the other followers, and tells whether it is
+// recordUpdate notes what a node told of itself and of the other followers, and tells whether it is
 // heard over this stream for the first time.
-func (f *Follower) note(address string, stream *link.Stream, u Update) (first bool) {
+func (f *Follower) recordUpdate(address string, stream *link.Stream, u Update) (first bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s := f.streams[address]
@@ -352,32 +352,32 @@
 	first = s.stream != stream
 	if first {
 		if s.stream == nil {
-			s.since = now
+			s.connectedAt = now
 		} else if s.stream == f.primary {
 			// It moved to another link, and is told so there.
 			f.primary = nil
 		}
-		s.stream, s.domain, s.sure = stream, stream.Peer().Domain(), now
+		s.stream, s.domain, s.quorumAt = stream, stream.Peer().Domain(), now
 		daemon.Wake(f.wake)
 	}
-	if u.confirmed {
-		s.sure = now
+	if u.quorumConfirmed {
+		s.quorumAt = now
 	}
-	f.noteWord(s, u.confirmed, now)
+	f.recordActivity(s, u.quorumConfirmed, now)
 	if len(u.nodes) > 0 {
-		f.told[address] = u.nodes
+		f.nodeLists[address] = u.nodes
 		daemon.Wake(f.wake)
 	}
 	if stream == f.primary {
 		// A node that was the primary just now may still tell its census.
-		f.census.take(address, u)
+		f.inventory.apply(address, u)
 	}
 	return first
 }
 
-// lost forgets the stream to a node. Its list of nodes stays: it is the way to
+// markLost forgets the stream to a node. Its list of nodes stays: it is the way to
 // the others should the seeds be gone.
-func (f *Follower) lost(ctx context.Context, address string) {
+func (f *Follower) markLost(ctx context.Context, address string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if ctx.Err() != nil {
--- a/pkg/feed/follower_ask.go
+++ b/pkg/feed/follower_ask.go
@@ -12,57 +12,57 @@
 )
 
 const (
-	// askAgain is when a document is asked of another node.
-	askAgain = 400 * time.Millisecond
-	// nearFirst is how long nodes of other failure domains wait for one of the own to have
+	// documentRetryDelay is when a document is asked of another node.
+	documentRetryDelay = 400 * time.Millisecond
+	// remoteRequestDelay is how long nodes of other failure domains wait for one of the own to have
 	// the document too.
-	nearFirst = 150 * time.Millisecond
+	remoteRequestDelay = 150 * time.Millisecond
 )
 
-// askSoon asks a node for its document: at once where it is near or no near
+// requestDocument asks a node for its document: at once where it is near or no near
 // node is heard, else when no near one had it in time. A failure to send shows
 // in the reading.
-func (f *Follower) askSoon(stream *link.Stream, number uint64) {
+func (f *Follower) requestDocument(stream *link.Stream, number uint64) {
 	ask := func() {
-		if f.claimAsk(number) {
-			_ = stream.Send(Word{ask: true})
+		if f.claimDocumentRequest(number) {
+			_ = stream.Send(FollowerMessage{requestDocument: true})
 		}
 	}
-	if f.isNear(stream) || !f.hearsNear() {
+	if f.isLocalDomain(stream) || !f.hasLocalNode() {
 		ask()
 		return
 	}
-	time.AfterFunc(nearFirst, ask)
+	time.AfterFunc(remoteRequestDelay, ask)
 }
 
-// claimAsk tells whether a node may be asked for a document: it is newer than
+// claimDocumentRequest tells whether a node may be asked for a document: it is newer than
 // the one held, and no other node was asked for it just now.
-func (f *Follower) claimAsk(number uint64) bool {
-	if number <= f.Held() {
+func (f *Follower) claimDocumentRequest(number uint64) bool {
+	if number <= f.DocumentNumber() {
 		return false
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := time.Now()
-	if number <= f.asked && now.Sub(f.askedAt) < askAgain {
+	if number <= f.requestedNumber && now.Sub(f.requestedAt) < documentRetryDelay {
 		return false
 	}
-	f.asked, f.askedAt = number, now
+	f.requestedNumber, f.requestedAt = number, now
 	return true
 }
 
-func (f *Follower) isNear(stream *link.Stream) bool {
+func (f *Follower) isLocalDomain(stream *link.Stream) bool {
 	return stream.Peer().Domain() == f.Hello.Self().Domain()
 }
 
-// hearsNear tells whether a node of the own failure domain is heard that would have a new
+// hasLocalNode tells whether a node of the own failure domain is heard that would have a new
 // document by now.
-func (f *Follower) hearsNear() bool {
+func (f *Follower) hasLocalNode() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := time.Now()
 	for _, s := range f.streams {
-		if s.stream != nil && f.isNear(s.stream) && now.Sub(s.sure) < quietAfter {
+		if s.stream != nil && f.isLocalDomain(s.stream) && now.Sub(s.quorumAt) < quietTimeout {
 			return true
 		}
 	}
--- a/pkg/feed/follower_tell.go
+++ b/pkg/feed/follower_tell.go
@@ -12,39 +12,45 @@
 	"github.com/tidepost/tidepost/pkg/quarantine"
 )
 
-// Tell tells the primary the load of the engine here. It hands it on.
-func (f *Follower) Tell(l Load) { f.tellPrimary(Word{load: &l}) }
+// ReportLoad tells the primary the load of the engine here. It hands it on.
+func (f *Follower) ReportLoad(l Load) { f.sendToPrimary(FollowerMessage{load: &l}) }
 
-// TellDemand tells the primary how many requests for engines come to the gateway
+// ReportDemand tells the primary how many requests for engines come to the gateway
 // here, a second.
-func (f *Follower) TellDemand(perSecond float64) { f.tellPrimary(Word{demand: perSecond}) }
+func (f *Follower) ReportDemand(perSecond float64) {
+	f.sendToPrimary(FollowerMessage{demand: perSecond})
+}
 
-// AskTrial asks the primary to let the gateway here try a barred request once more. Where
+// RequestTrial asks the primary to let the gateway here try a barred request once more. Where
 // it may, a record says so.
-func (f *Follower) AskTrial(request quarantine.Fingerprint) { f.tellPrimary(Word{trial: request}) }
+func (f *Follower) RequestTrial(request quarantine.Fingerprint) {
+	f.sendToPrimary(FollowerMessage{trialRequest: request})
+}
 
-// tellKnownRecords tells a node that is heard for the first time what is known of requests
+// sendKnownRecords tells a node that is heard for the first time what is known of requests
 // under which servers ended.
-func (f *Follower) tellKnownRecords(stream *link.Stream) {
+func (f *Follower) sendKnownRecords(stream *link.Stream) {
 	if f.Records == nil {
 		return
 	}
-	if known := firstOf(quarantine.Sorted(f.Records()), maxKnownRecords); len(known) > 0 {
+	if known := truncateRecords(quarantine.Sorted(f.Records()), maxInitialRecords); len(known) > 0 {
 		// A failure shows in the reading.
-		_ = stream.Send(Word{records: known})
+		_ = stream.Send(FollowerMessage{records: known})
 	}
 }
 
-// TellRecords tells all nodes that are heard what was learnt of requests under which
+// ReportRecords tells all nodes that are heard what was learnt of requests under which
 // servers ended: with one of them lost, the others still hear of it.
-func (f *Follower) TellRecords(records []quarantine.Record) { f.tellAll(Word{records: records}) }
+func (f *Follower) ReportRecords(records []quarantine.Record) {
+	f.sendToAll(FollowerMessage{records: records})
+}
 
-// TellSpent tells all nodes that are heard what the gateway here had spent; nothing may be
+// ReportRetryUsage tells all nodes that are heard what the gateway here had spent; nothing may be
 // sent from here afterwards.
-func (f *Follower) TellSpent(s Spent) { f.tellAll(Word{spent: &s}) }
+func (f *Follower) ReportRetryUsage(s RetryUsage) { f.sendToAll(FollowerMessage{retryUsage: &s}) }
 
-// tellAll tells all nodes that are heard.
-func (f *Follower) tellAll(w Word) {
+// sendToAll tells all nodes that are heard.
+func (f *Follower) sendToAll(w FollowerMessage) {
 	f.mu.Lock()
 	var heard []*link.Stream
 	for _, s := range f.streams {
@@ -59,7 +65,7 @@
 	}
 }
 
-func (f *Follower) tellPrimary(w Word) {
+func (f *Follower) sendToPrimary(w FollowerMessage) {
 	f.mu.Lock()
 	stream := f.primary
 	f.mu.Unlock()
@@ -74,14 +80,14 @@
 func (f *Follower) Demands() map[string]float64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.census.byDomain()
+	return f.inventory.demandsByDomain()
 }
 
 // Gateways returns how many gateways there are; 0 while that is not known.
 func (f *Follower) Gateways() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.census.gateways
+	return f.inventory.gateways
 }
 
 // Peers returns the followers that this one is to know, by link address: the gateways of a
@@ -89,5 +95,5 @@
 func (f *Follower) Peers() map[string]Peer {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return maps.Clone(f.census.peers)
+	return maps.Clone(f.inventory.peers)
 }
--- a/pkg/feed/heard.go
+++ b/pkg/feed/heard.go
@@ -5,37 +5,37 @@
 
 package feed
 
-// heardCensus is the census as a follower was told it last. It is not safe for
+// receivedInventory is the census as a follower was told it last. It is not safe for
 // concurrent use.
-type heardCensus struct {
+type receivedInventory struct {
 	gateways int
 	demands  []Demand
 	peers    map[string]Peer // by link address
-	teller   string          // the node that told all peers last
+	sender   string          // the node that told all peers last
 }
 
-// take takes what a node told. Changes of the peers count only where the same
+// apply takes what a node told. Changes of the peers count only where the same
 // node told all of them before.
-func (c *heardCensus) take(node string, u Update) {
+func (c *receivedInventory) apply(node string, u Update) {
 	if u.gateways > 0 {
 		c.gateways, c.demands = u.gateways, u.demands
 	}
-	if u.whole {
-		c.peers, c.teller = map[string]Peer{}, node
+	if u.allPeers {
+		c.peers, c.sender = map[string]Peer{}, node
 	}
-	if node != c.teller {
+	if node != c.sender {
 		return
 	}
 	for _, p := range u.peers {
 		c.peers[p.address] = p
 	}
-	for _, address := range u.gone {
+	for _, address := range u.removedPeers {
 		delete(c.peers, address)
 	}
 }
 
-// byDomain returns the demands by failure domain.
-func (c *heardCensus) byDomain() map[string]float64 {
+// demandsByDomain returns the demands by failure domain.
+func (c *receivedInventory) demandsByDomain() map[string]float64 {
 	all := map[string]float64{}
 	for _, d := range c.demands {
 		all[d.domain] = d.perSecond
--- a/pkg/feed/messages.go
+++ b/pkg/feed/messages.go
@@ -71,20 +71,20 @@
 	service string
 	// engine is the engine's address, of a stager.
 	engine string
-	// weights are the named versions that the follower knows of. A node that has
+	// versions are the named versions that the follower knows of. A node that has
 	// started anew takes their ages from it; what is named the log alone decides.
-	weights []Weights
-	// spare says that the follower only wants to hear of new documents and weights: those
+	versions []NamedVersion
+	// fallback says that the follower only wants to hear of new documents and weights: those
 	// that it follows say nothing. A Word with a subscription ends that.
-	spare bool
+	fallback bool
 }
 
-// Word is what a follower tells a node after its Hello.
+// FollowerMessage is what a follower tells a node after its Hello.
 //
 //wire:generate
-type Word struct {
-	// ask asks for the document that the node holds.
-	ask bool
+type FollowerMessage struct {
+	// requestDocument asks for the document that the node holds.
+	requestDocument bool
 	// load is the load of the engine beside a stager; nil otherwise.
 	load *Load
 	// demand is how many requests for engines come to a gateway, a second; 0 in
@@ -95,10 +95,10 @@
 	// records are what the follower has learnt of requests under which servers ended, and
 	// in its first Word all that it knows: a node that has started anew learns them so.
 	records []quarantine.Record
-	// trial is a barred request that a gateway asks to try once more; else empty.
-	trial quarantine.Fingerprint
-	// spent is the last word of a gateway that ends in order; nil in all others.
-	spent *Spent
+	// trialRequest is a barred request that a gateway asks to try once more; else empty.
+	trialRequest quarantine.Fingerprint
+	// retryUsage is the last word of a gateway that ends in order; nil in all others.
+	retryUsage *RetryUsage
 }
 
 // Load is the state of an engine, read on its own VM.
@@ -115,24 +115,24 @@
 	// running and queued count its requests.
 	running int
 	queued  int
-	// pace is its time for a step over the usual one; 0 when not known.
-	pace float64
+	// stepTimeRatio is its time for a step over the usual one; 0 when not known.
+	stepTimeRatio float64
 	// busy says that an order is under way: it takes nothing new.
 	busy bool
-	// exchanging says that chunks are on their way over the VM's link: a question to
+	// transferring says that chunks are on their way over the VM's link: a question to
 	// the stager would wait behind them.
-	exchanging bool
+	transferring bool
 }
 
 // Urgent tells whether followers should hear of l at once after old.
 func (l Load) Urgent(old Load) bool {
-	return l.version != old.version || l.busy != old.busy || l.exchanging != old.exchanging
+	return l.version != old.version || l.busy != old.busy || l.transferring != old.transferring
 }
 
-// Weights is a named version of a model.
+// NamedVersion is a named version of a model.
 //
 //wire:generate
-type Weights struct {
+type NamedVersion struct {
 	// model is the model's name.
 	model string
 	// version is a named version.
@@ -179,24 +179,24 @@
 	number uint64
 	// document is the one asked for; nil otherwise.
 	document *serviceconfig.Document
-	// weights are the named versions that somebody may still wait for, by model
+	// versions are the named versions that somebody may still wait for, by model
 	// and oldest first: some 30 bytes each.
-	weights []Weights
+	versions []NamedVersion
 	// registrations are words that the follower has not heard from this node.
 	registrations []registry.Registration
-	// confirmed says that the node heard of a quorum's leader lately.
-	confirmed bool
+	// quorumConfirmed says that the node heard of a quorum's leader lately.
+	quorumConfirmed bool
 	// nodes are all control nodes.
 	nodes []Node
 	// gateways is how many gateways there are: in all, or those of the node
 	// where another node is told.
 	gateways int
-	// whole says that peers are all that there are; else they have come since.
-	whole bool
+	// allPeers says that peers are all that there are; else they have come since.
+	allPeers bool
 	// peers are the followers that this one is to know, and gone the link addresses of
 	// those that have left.
-	peers []Peer
-	gone  []string
+	peers        []Peer
+	removedPeers []string
 	// loads are those of engines that changed.
 	loads []Load
 	// demands are the requests for engines that come to gateways, by failure
@@ -205,16 +205,16 @@
 	// records are what the follower has not heard from this node of requests under which
 	// servers ended: for gateways and nodes.
 	records []quarantine.Record
-	// spent is what the gateway had spent that ended in order at the follower's address; nil
+	// retryUsage is what the gateway had spent that ended in order at the follower's address; nil
 	// where none did of late, or another has taken its place since.
-	spent *Spent
+	retryUsage *RetryUsage
 }
 
-// Spent is what a gateway had spent of its budget of repeats when it ended in order. It sends
+// RetryUsage is what a gateway had spent of its budget of repeats when it ended in order. It sends
 // nothing afterwards, so the one that starts at its address knows exactly what counts yet.
 //
 //wire:generate
-type Spent struct {
+type RetryUsage struct {
 	// gateways is how many gateways shared the reserve.
 	gateways int
 	// slot is the time that each count is of.
@@ -222,19 +222,19 @@
 	// age is how long ago it ended, as far as the teller knows.
 	age time.Duration
 	// services are the counts by service.
-	services []ServiceSpent
+	services []ServiceRetryUsage
 }
 
-// ServiceSpent is what one service got from a gateway, by slot of time and the last slot
+// ServiceRetryUsage is what one service got from a gateway, by slot of time and the last slot
 // first.
 //
 //wire:generate
-type ServiceSpent struct {
+type ServiceRetryUsage struct {
 	// service is its name.
 	service string
 	// requests and repeats are what it got in each slot.
 	requests []int
-	repeats  []int
+	retries  []int
 }
 
 // Demand is how many requests for engines come to gateways, a second.
--- a/pkg/feed/moves.go
+++ b/pkg/feed/moves.go
@@ -15,37 +15,39 @@
 	"github.com/go-kit/log/level"
 )
 
-// leastMove is by how much a version must have become older to be told at once and
+// minAgeIncrease is by how much a version must have become older to be told at once and
 // to stand in the log: ages differ by the milliseconds that each Update was on its
 // way, and nodes would wake each other for these. Gateways leave the old weights
 // six times as early before the end of the agreed time.
-const leastMove = 50 * time.Millisecond
-
-// Move is one change.
-type Move struct {
-	model   string
-	version uint64
-	age     time.Duration // as known now
-	by      time.Duration // how much older it became
-	isNew   bool          // it was not known
+const minAgeIncrease = 50 * time.Millisecond
+
+// VersionChange is one change.
+type VersionChange struct {
+	model       string
+	version     uint64
+	age         time.Duration // as known now
+	ageIncrease time.Duration // how much older it became
+	isNew       bool          // it was not known
 }
 
 // IsNew tells whether the version was not known before.
-func (m Move) IsNew() bool { return m.isNew }
+func (m VersionChange) IsNew() bool { return m.isNew }
 
-// Counts tells whether the change is more than the way of an Update makes.
-func (m Move) Counts() bool { return m.isNew || m.by >= leastMove }
+// IsSignificant tells whether the change is more than the way of an Update makes.
+func (m VersionChange) IsSignificant() bool { return m.isNew || m.ageIncrease >= minAgeIncrease }
 
-// HasNew tells whether a version was not known before.
-func HasNew(moves []Move) bool { return slices.ContainsFunc(moves, Move.IsNew) }
+// HasNewVersion tells whether a version was not known before.
+func HasNewVersion(moves []VersionChange) bool {
+	return slices.ContainsFunc(moves, VersionChange.IsNew)
+}
 
-// LogMoves logs the changes that count. source says what kind of teller they came
+// LogVersionChanges logs the changes that count. source says what kind of teller they came
 // from, and from which one.
-func LogMoves(logger log.Logger, moves []Move, source, from string) {
+func LogVersionChanges(logger log.Logger, moves []VersionChange, source, from string) {
 	for _, m := range moves {
-		if m.Counts() {
+		if m.IsSignificant() {
 			_ = level.Info(logger).Log("msg", "age of a named version", "model", m.model, "version", m.version,
-				"age_ms", m.age.Milliseconds(), "new", m.isNew, "moved_ms", m.by.Milliseconds(), "source", source, "from", from)
+				"age_ms", m.age.Milliseconds(), "new", m.isNew, "moved_ms", m.ageIncrease.Milliseconds(), "source", source, "from", from)
 		}
 	}
 }
--- a/pkg/feed/publisher.go
+++ b/pkg/feed/publisher.go
@@ -25,18 +25,18 @@
 )
 
 const (
-	// beat is the time between Updates when nothing changes, and quickBeat the same for
+	// updateInterval is the time between Updates when nothing changes, and quickBeat the same for
 	// gateways that have the node for their primary: what they miss counts soonest.
-	beat      = time.Second
-	quickBeat = beat / 2
-	// loadPause is how long loads wait for others to be told with them, and
+	updateInterval        = time.Second
+	gatewayUpdateInterval = updateInterval / 2
+	// loadBatchDelay is how long loads wait for others to be told with them, and
 	// relayPause the same towards another node: at 24 engines a node and 5 nodes
 	// 0.1 s would send four times the bytes between regions.
-	loadPause  = 80 * time.Millisecond
-	relayPause = 400 * time.Millisecond
-	// leastUpdatePause lies between two Updates of one follower, whatever happens: a
+	loadBatchDelay  = 80 * time.Millisecond
+	relayBatchDelay = 400 * time.Millisecond
+	// minUpdateInterval lies between two Updates of one follower, whatever happens: a
 	// roll of 120 engines has several urgent words each.
-	leastUpdatePause = 40 * time.Millisecond
+	minUpdateInterval = 40 * time.Millisecond
 	// sendTimeout bounds one Update; a follower that takes longer is cut off.
 	sendTimeout = 3 * time.Second
 	// maxFollowers bounds the streams that a node serves.
@@ -48,28 +48,28 @@
 type Source struct {
 	// Self is the node.
 	Self vm.Identity
-	// Number returns the newest applied document's number.
-	Number func() uint64
+	// DocumentNumber returns the newest applied document's number.
+	DocumentNumber func() uint64
 	// Document returns that document; nil when there is none.
 	Document func() *serviceconfig.Document
-	// Weights returns the named versions.
-	Weights func() []Weights
-	// Known takes the named versions that a follower knows of, before it is told
+	// Versions returns the named versions.
+	Versions func() []NamedVersion
+	// OnHello takes the named versions that a follower knows of, before it is told
 	// anything; nil where nobody asks.
-	Known func(f Hello)
+	OnHello func(f Hello)
 	// Registrations returns all words that the node holds.
 	Registrations func() []registry.Registration
 	// Records returns what the node knows of requests under which servers ended, and
 	// Learn takes what a follower knows of them; nil where nobody asks.
-	Records func() []quarantine.Record
-	Learn   func(records []quarantine.Record)
-	// Trial takes that a follower asks to try a barred request once more; nil where nobody
+	Records   func() []quarantine.Record
+	OnRecords func(records []quarantine.Record)
+	// OnTrialRequest takes that a follower asks to try a barred request once more; nil where nobody
 	// may.
-	Trial func(f quarantine.Fingerprint, tester string)
+	OnTrialRequest func(f quarantine.Fingerprint, tester string)
 	// Nodes returns the link addresses of the control nodes.
 	Nodes func() []string
-	// Confirmed tells whether a quorum's leader was heard of lately.
-	Confirmed func() bool
+	// QuorumConfirmed tells whether a quorum's leader was heard of lately.
+	QuorumConfirmed func() bool
 }
 
 // Publisher serves the feed to followers.
@@ -78,84 +78,84 @@
 
 	mu          sync.Mutex
 	subscribers map[*subscriber]bool
-	loads       map[string]toldLoad  // the newest told here, by engine
-	spent       map[string]toldSpent // by link address of a gateway that ended in order
-	census      *census
+	loads       map[string]receivedLoad     // the newest told here, by engine
+	retryUsage  map[string]storedRetryUsage // by link address of a gateway that ended in order
+	inventory   *inventory
 }
 
-// toldLoad is a load and when it was told.
-type toldLoad struct {
-	load Load
-	at   time.Time
+// receivedLoad is a load and when it was told.
+type receivedLoad struct {
+	load       Load
+	receivedAt time.Time
 }
 
-// loadLife is for how long a load is told to a new follower: stagers tell theirs
+// loadTTL is for how long a load is told to a new follower: stagers tell theirs
 // anew each second.
-const loadLife = 2 * time.Second
+const loadTTL = 2 * time.Second
 
 // NewPublisher returns a publisher without followers.
 func NewPublisher(s Source) *Publisher {
-	return &Publisher{source: s, subscribers: map[*subscriber]bool{}, loads: map[string]toldLoad{}, spent: map[string]toldSpent{}, census: newCensus()}
+	return &Publisher{source: s, subscribers: map[*subscriber]bool{}, loads: map[string]receivedLoad{}, retryUsage: map[string]storedRetryUsage{}, inventory: newInventory()}
 }
 
-// Registered queues a word for every follower.
-func (p *Publisher) Registered(words ...registry.Registration) {
+// QueueRegistrations queues a word for every follower.
+func (p *Publisher) QueueRegistrations(words ...registry.Registration) {
 	if len(words) == 0 {
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for s := range p.subscribers {
-		if !s.isSpare() {
-			s.change(func(s *subscriber) { s.queueWords(words) })
+		if !s.isFallback() {
+			s.changeAndWake(func(s *subscriber) { s.queueRegistrations(words) })
 		}
 	}
 }
 
-// Retell queues words for the other control nodes, which forget what is not told
+// ResendToNodes queues words for the other control nodes, which forget what is not told
 // again.
-func (p *Publisher) Retell(words []registry.Registration) {
+func (p *Publisher) ResendToNodes(words []registry.Registration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for s := range p.subscribers {
 		if s.hello.role == RoleNode {
-			s.change(func(s *subscriber) { s.queueWords(words) })
+			s.changeAndWake(func(s *subscriber) { s.queueRegistrations(words) })
 		}
 	}
 }
 
-// Changed wakes every follower: the document or the weights changed.
-func (p *Publisher) Changed() { p.each(func(*subscriber) {}) }
+// NotifyChange wakes every follower: the document or the weights changed.
+func (p *Publisher) NotifyChange() { p.changeAll(func(*subscriber) {}) }
 
 // NodesChanged has the control nodes told anew.
-func (p *Publisher) NodesChanged() { p.each(func(s *subscriber) { s.nodes = true }) }
+func (p *Publisher) NodesChanged() { p.changeAll(func(s *subscriber) { s.sendNodes = true }) }
 
-func (p *Publisher) each(change func(*subscriber)) {
+func (p *Publisher) changeAll(change func(*subscriber)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for s := range p.subscribers {
-		s.change(change)
+		s.changeAndWake(change)
 	}
 }
 
-// loaded takes a load that the stager beside the engine told here.
-func (p *Publisher) loaded(l Load) {
+// receiveLoad takes a load that the stager beside the engine told here.
+func (p *Publisher) receiveLoad(l Load) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	urgent := l.Urgent(p.loads[l.engine].load)
-	p.loads[l.engine] = toldLoad{l, time.Now()}
+	p.loads[l.engine] = receivedLoad{l, time.Now()}
 	for s := range p.subscribers {
 		s.queueLoads([]Load{l}, urgent)
 	}
 }
 
-// Relayed takes what another control node told of its own followers.
-func (p *Publisher) Relayed(node string, u Update) {
+// ReceiveNodeUpdate takes what another control node told of its own followers.
+func (p *Publisher) ReceiveNodeUpdate(node string, u Update) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	joined, gone := p.census.relay(node, u, time.Now())
-	p.forgetSpent(u.peers)
-	p.tellFollowers(u.loads, joined, gone)
+	joined, gone := p.inventory.applyUpdate(node, u, time.Now())
+	p.dropRetryUsage(u.peers)
+	p.queueForFollowers(u.loads, joined, gone)
 }
 
 // Sweep forgets old loads, and what silent control nodes told.
@@ -164,17 +164,17 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for engine, told := range p.loads {
-		if now.Sub(told.at) > loadLife {
+		if now.Sub(told.receivedAt) > loadTTL {
 			delete(p.loads, engine)
 		}
 	}
-	p.forgetOldSpent(now)
-	p.tellFollowers(nil, nil, p.census.forgetSilent(now))
+	p.expireRetryUsage(now)
+	p.queueForFollowers(nil, nil, p.inventory.expireNodes(now))
 }
 
-// tellFollowers queues what other nodes told for the followers here, other nodes
+// queueForFollowers queues what other nodes told for the followers here, other nodes
 // excepted.
-func (p *Publisher) tellFollowers(loads []Load, joined []Peer, gone []string) {
+func (p *Publisher) queueForFollowers(loads []Load, joined []Peer, gone []string) {
 	for s := range p.subscribers {
 		if s.hello.role == RoleNode {
 			continue
@@ -198,25 +198,25 @@
 	if err := stream.Receive(&hello); err != nil {
 		return err
 	}
-	if p.source.Known != nil {
-		p.source.Known(hello)
+	if p.source.OnHello != nil {
+		p.source.OnHello(hello)
 	}
 	s := newSubscriber(hello)
-	if !hello.spare {
-		s.queueWords(p.source.Registrations())
+	if !hello.fallback {
+		s.queueRegistrations(p.source.Registrations())
 	}
-	p.handOnSpent(s)
+	p.handOverRetryUsage(s)
 	if !p.add(s) {
 		return failure.New(failure.Overloaded, "%d followers are served already", maxFollowers)
 	}
 	defer p.remove(s)
-	if !hello.spare {
+	if !hello.fallback {
 		p.queueKnownRecords(s)
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	go p.takeWords(stream, s, cancel)
-	return p.send(ctx, stream, s)
+	go p.receiveMessages(stream, s, cancel)
+	return p.sendUpdates(ctx, stream, s)
 }
 
 // queueKnownRecords queues all records, once the follower is told of new ones, so that none
@@ -244,77 +244,77 @@
 func (p *Publisher) remove(s *subscriber) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.makePrimary(s, false)
+	p.setPrimary(s, false)
 	delete(p.subscribers, s)
 }
 
-// takeWords reads what the follower tells; the end of the stream ends it.
-func (p *Publisher) takeWords(stream *link.Stream, s *subscriber, cancel func()) {
+// receiveMessages reads what the follower tells; the end of the stream ends it.
+func (p *Publisher) receiveMessages(stream *link.Stream, s *subscriber, cancel func()) {
 	defer cancel()
 	for {
-		var w Word
+		var w FollowerMessage
 		if err := stream.Receive(&w); err != nil {
 			return
 		}
 		if w.subscription != Unchanged {
-			p.subscribe(s, w.subscription)
+			p.setSubscription(s, w.subscription)
 		}
 		if w.load != nil {
-			p.loaded(*w.load)
+			p.receiveLoad(*w.load)
 		}
-		p.learn(w.records)
-		if w.trial != "" && p.source.Trial != nil {
-			go p.source.Trial(w.trial, quarantine.Tester(s.hello.self))
+		p.receiveRecords(w.records)
+		if w.trialRequest != "" && p.source.OnTrialRequest != nil {
+			go p.source.OnTrialRequest(w.trialRequest, quarantine.Tester(s.hello.self))
 		}
 		if w.demand > 0 {
-			p.demanded(s, w.demand)
+			p.receiveDemand(s, w.demand)
 		}
-		if w.spent != nil {
-			p.keepSpent(s, *w.spent)
+		if w.retryUsage != nil {
+			p.storeRetryUsage(s, *w.retryUsage)
 		}
-		if w.ask {
-			s.change(func(s *subscriber) { s.asked = true })
+		if w.requestDocument {
+			s.changeAndWake(func(s *subscriber) { s.sendDocument = true })
 		}
 	}
 }
 
-// learn takes what a follower tells of requests under which servers ended.
-func (p *Publisher) learn(records []quarantine.Record) {
-	if len(records) > 0 && p.source.Learn != nil {
-		p.source.Learn(records)
+// receiveRecords takes what a follower tells of requests under which servers ended.
+func (p *Publisher) receiveRecords(records []quarantine.Record) {
+	if len(records) > 0 && p.source.OnRecords != nil {
+		p.source.OnRecords(records)
 	}
 }
 
 // ----------------------------------------------------------------
 // Updates
 
-func (p *Publisher) send(ctx context.Context, stream *link.Stream, s *subscriber) error {
-	next := time.NewTimer(beat)
+func (p *Publisher) sendUpdates(ctx context.Context, stream *link.Stream, s *subscriber) error {
+	next := time.NewTimer(updateInterval)
 	defer next.Stop()
 	for {
-		next.Reset(s.beat())
+		next.Reset(s.updateInterval())
 		stream.SetDeadline(time.Now().Add(sendTimeout))
-		if err := stream.Send(p.update(s)); err != nil {
+		if err := stream.Send(p.nextUpdate(s)); err != nil {
 			return err
 		}
-		if !wait(ctx, leastUpdatePause, nil) {
+		if !waitOrWake(ctx, minUpdateInterval, nil) {
 			return nil
 		}
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-s.wake:
+		case <-s.wakeNow:
 		case <-next.C:
-		case <-s.soon:
-			if !wait(ctx, s.gather()-leastUpdatePause, s.wake) {
+		case <-s.wakeBatched:
+			if !waitOrWake(ctx, s.batchDelay()-minUpdateInterval, s.wakeNow) {
 				return nil
 			}
 		}
 	}
 }
 
-// wait waits for a time or a wake-up, and returns false when the context ended.
-func wait(ctx context.Context, pause time.Duration, wake <-chan struct{}) bool {
+// waitOrWake waits for a time or a wake-up, and returns false when the context ended.
+func waitOrWake(ctx context.Context, pause time.Duration, wake <-chan struct{}) bool {
 	select {
 	case <-ctx.Done():
 		return false
--- a/pkg/feed/quiet_test.go
+++ b/pkg/feed/quiet_test.go
@@ -37,44 +37,44 @@
 )
 
 const (
-	// inForceWithin is the users' bound for a change.
-	inForceWithin = 2500 * time.Millisecond
-	// settled is when all streams are up and all primaries told.
-	settled = 5 * time.Second
+	// changeDeadline is the users' bound for a change.
+	changeDeadline = 2500 * time.Millisecond
+	// startupTime is when all streams are up and all primaries told.
+	startupTime = 5 * time.Second
 )
 
 // memNode is a control node over a network in memory.
 type memNode struct {
-	address   string
-	publisher *Publisher
-	number    atomic.Uint64
-	cutOff    atomic.Bool // from the others: it hears of no leader
+	address        string
+	publisher      *Publisher
+	documentNumber atomic.Uint64
+	isolated       atomic.Bool // from the others: it hears of no leader
 }
 
 // memGateway is a gateway that follows.
 type memGateway struct {
-	address  string
-	follower *Follower
-	held     atomic.Uint64
-	inForce  sync.Map // by number: when it was
+	address        string
+	follower       *Follower
+	documentNumber atomic.Uint64
+	appliedAt      sync.Map // by number: when it was
 }
 
-// quietWorld is control nodes and gateways over a network in memory.
-type quietWorld struct {
+// memCluster is control nodes and gateways over a network in memory.
+type memCluster struct {
 	t        *testing.T
 	ctx      context.Context
 	network  *memnet.Network
-	way      time.Duration // a link's, one way
+	latency  time.Duration // a link's, one way
 	nodes    []*memNode
 	gateways []*memGateway
-	ends     []func()
+	cleanups []func()
 }
 
-// newQuietWorld starts nodes of three failure domains, and gateways; run within a bubble.
-func newQuietWorld(t *testing.T, nodes, gateways int, way time.Duration) *quietWorld {
+// newMemCluster starts nodes of three failure domains, and gateways; run within a bubble.
+func newMemCluster(t *testing.T, nodes, gateways int, way time.Duration) *memCluster {
 	ctx, cancel := context.WithCancel(context.Background())
-	w := &quietWorld{t: t, ctx: ctx, network: memnet.New(way), way: way}
-	w.ends = append(w.ends, cancel)
+	w := &memCluster{t: t, ctx: ctx, network: memnet.New(way), latency: way}
+	w.cleanups = append(w.cleanups, cancel)
 	for i := range nodes {
 		w.nodes = append(w.nodes, &memNode{address: fmt.Sprintf("node-%d:7700", i)})
 	}
@@ -84,11 +84,11 @@
 	for i := range gateways {
 		w.startGateway(i)
 	}
-	time.Sleep(settled)
+	time.Sleep(startupTime)
 	return w
 }
 
-func (w *quietWorld) addresses() (all []string) {
+func (w *memCluster) nodeAddresses() (all []string) {
 	for _, n := range w.nodes {
 		all = append(all, n.address)
 	}
@@ -96,75 +96,75 @@
 }
 
 // endpoint returns one that dials as TCP does: a way there and back before it is connected.
-func (w *quietWorld) endpoint(identity vm.Identity) *link.Endpoint {
+func (w *memCluster) endpoint(identity vm.Identity) *link.Endpoint {
 	dial := w.network.Dial(identity.Address())
 	e := link.NewEndpoint(link.Config{
 		Own: identity, Clock: event.NewClock(time.Now), Logger: log.NewNopLogger(),
 		Dial: func(ctx context.Context, address string) (net.Conn, error) {
 			conn, err := dial(ctx, address)
-			time.Sleep(2 * w.way)
+			time.Sleep(2 * w.latency)
 			return conn, err
 		},
 	})
-	w.ends = append(w.ends, e.Close)
+	w.cleanups = append(w.cleanups, e.Close)
 	return e
 }
 
-func (w *quietWorld) follow(f *Follower) { go func() { _ = f.Run(w.ctx) }() }
+func (w *memCluster) runFollower(f *Follower) { go func() { _ = f.Run(w.ctx) }() }
 
-func (w *quietWorld) startNode(n *memNode, domain string) {
+func (w *memCluster) startNode(n *memNode, domain string) {
 	identity := vm.NewIdentity(vm.ID(n.address), 1, domain, domain, n.address)
 	e := w.endpoint(identity)
 	table := registry.NewTable(nil)
 	n.publisher = NewPublisher(Source{
-		Self: identity, Number: n.number.Load, Weights: func() []Weights { return nil }, Registrations: table.All,
+		Self: identity, DocumentNumber: n.documentNumber.Load, Versions: func() []NamedVersion { return nil }, Registrations: table.All,
 		Document: func() *serviceconfig.Document {
-			d := serviceconfig.NewDocument(n.number.Load(), nil, nil, nil, serviceconfig.Limits{})
+			d := serviceconfig.NewDocument(n.documentNumber.Load(), nil, nil, nil, serviceconfig.Limits{})
 			return &d
 		},
-		Nodes: w.addresses, Confirmed: func() bool { return !n.cutOff.Load() },
+		Nodes: w.nodeAddresses, QuorumConfirmed: func() bool { return !n.isolated.Load() },
 	})
 	e.Handle(link.KindFeed, n.publisher.Serve)
 	l, err := w.network.Listen(n.address)(n.address)
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	w.ends = append(w.ends, func() { _ = l.Close() })
+	w.cleanups = append(w.cleanups, func() { _ = l.Close() })
 	go func() { _ = e.Serve(w.ctx, l) }()
-	n.change(1)
-	w.follow(&Follower{
-		Endpoint: e, Hello: NewHello(RoleNode, identity, "", "", nil, false), Seeds: w.addresses,
-		Held: n.number.Load, Take: n.publisher.Relayed, Logger: log.NewNopLogger(),
+	n.applyDocument(1)
+	w.runFollower(&Follower{
+		Endpoint: e, Hello: NewHello(RoleNode, identity, "", "", nil, false), Seeds: w.nodeAddresses,
+		DocumentNumber: n.documentNumber.Load, OnUpdate: n.publisher.ReceiveNodeUpdate, Logger: log.NewNopLogger(),
 	})
 }
 
-// change has a node apply a document.
-func (n *memNode) change(number uint64) {
-	n.number.Store(number)
-	n.publisher.Changed()
+// applyDocument has a node apply a document.
+func (n *memNode) applyDocument(number uint64) {
+	n.documentNumber.Store(number)
+	n.publisher.NotifyChange()
 }
 
-func (w *quietWorld) startGateway(i int) {
+func (w *memCluster) startGateway(i int) {
 	g := &memGateway{address: fmt.Sprintf("gateway-%d:7700", i)}
 	identity := vm.NewIdentity(vm.ID(g.address), 1, "", fmt.Sprintf("hall-%d", i%3), g.address)
 	g.follower = &Follower{
 		Endpoint: w.endpoint(identity), Hello: NewHello(RoleGateway, identity, "", "", nil, false),
-		Seeds: func() []string { return w.addresses()[:min(3, len(w.nodes))] },
-		Held:  g.held.Load, Take: g.take, Logger: log.NewNopLogger(),
+		Seeds:          func() []string { return w.nodeAddresses()[:min(3, len(w.nodes))] },
+		DocumentNumber: g.documentNumber.Load, OnUpdate: g.applyUpdate, Logger: log.NewNopLogger(),
 	}
 	w.gateways = append(w.gateways, g)
-	w.follow(g.follower)
+	w.runFollower(g.follower)
 }
 
-func (g *memGateway) take(_ string, u Update) {
-	if d := u.Document(); d != nil && d.Number() > g.held.Load() {
-		g.held.Store(d.Number())
-		g.inForce.Store(d.Number(), time.Now())
+func (g *memGateway) applyUpdate(_ string, u Update) {
+	if d := u.Document(); d != nil && d.Number() > g.documentNumber.Load() {
+		g.documentNumber.Store(d.Number())
+		g.appliedAt.Store(d.Number(), time.Now())
 	}
 }
 
-// followed are the nodes that a gateway follows.
-func (g *memGateway) followed() map[string]bool {
+// followedNodes are the nodes that a gateway follows.
+func (g *memGateway) followedNodes() map[string]bool {
 	g.follower.mu.Lock()
 	defer g.follower.mu.Unlock()
 	all := map[string]bool{}
@@ -174,8 +174,8 @@
 	return all
 }
 
-// silence has nodes fall silent to everybody.
-func (w *quietWorld) silence(silent map[string]bool) {
+// silenceNodes has nodes fall silent to everybody.
+func (w *memCluster) silenceNodes(silent map[string]bool) {
 	for address := range silent {
 		for _, n := range w.nodes {
 			w.network.SetCut(address, n.address, true)
@@ -187,17 +187,17 @@
 }
 
 // stop ends all, and lets virtual time pass until their goroutines are gone.
-func (w *quietWorld) stop() {
-	for _, end := range w.ends {
+func (w *memCluster) stop() {
+	for _, end := range w.cleanups {
 		end()
 	}
 	time.Sleep(time.Minute)
 }
 
-// cutOff has nodes hear nothing of the others any more, while gateways still hear them.
-func (w *quietWorld) cutOff(nodes map[string]bool) {
+// isolateNodes has nodes hear nothing of the others any more, while gateways still hear them.
+func (w *memCluster) isolateNodes(nodes map[string]bool) {
 	for _, n := range w.nodes {
-		n.cutOff.Store(nodes[n.address])
+		n.isolated.Store(nodes[n.address])
 		for _, other := range w.nodes {
 			if nodes[n.address] != nodes[other.address] {
 				w.network.SetCut(n.address, other.address, true)
@@ -206,12 +206,12 @@
 	}
 }
 
-// afterSilence has the nodes that the first gateway follows fall silent, and more of them, when
+// changeAfterLoss has the nodes that the first gateway follows fall silent, and more of them, when
 // so much of a beat is over; the others make a change. It returns how long after it each gateway
 // had it in force that follows only nodes which are silent.
-func (w *quietWorld) afterSilence(more int, moment time.Duration, lose func(nodes map[string]bool)) (took []time.Duration) {
+func (w *memCluster) changeAfterLoss(more int, moment time.Duration, lose func(nodes map[string]bool)) (took []time.Duration) {
 	time.Sleep(moment)
-	silent := w.gateways[0].followed()
+	silent := w.gateways[0].followedNodes()
 	for _, n := range w.nodes {
 		if more > 0 && !silent[n.address] {
 			silent[n.address] = true
@@ -221,7 +221,7 @@
 	var deaf []*memGateway
 	for _, g := range w.gateways {
 		if isDeaf := func() bool {
-			for address := range g.followed() {
+			for address := range g.followedNodes() {
 				if !silent[address] {
 					return false
 				}
@@ -235,14 +235,14 @@
 	changed := time.Now()
 	for _, n := range w.nodes {
 		if !silent[n.address] {
-			n.change(2)
+			n.applyDocument(2)
 		}
 	}
-	time.Sleep(2 * inForceWithin)
+	time.Sleep(2 * changeDeadline)
 	for _, g := range deaf {
-		at, there := g.inForce.Load(uint64(2))
+		at, there := g.appliedAt.Load(uint64(2))
 		if !there {
-			took = append(took, 2*inForceWithin)
+			took = append(took, 2*changeDeadline)
 			continue
 		}
 		took = append(took, at.(time.Time).Sub(changed))
@@ -250,23 +250,23 @@
 	return took
 }
 
-func TestChangeIsInForceWhenBothNodesFallSilent(t *testing.T) {
+func TestChangeAppliesInTimeWhenBothNodesAreLost(t *testing.T) {
 	const moments = 8
 	for i, c := range []struct {
 		nodes, gateways, more int
 		way                   time.Duration
-		lose                  func(w *quietWorld, nodes map[string]bool)
+		lose                  func(w *memCluster, nodes map[string]bool)
 	}{
-		{3, 2, 0, 20 * time.Millisecond, (*quietWorld).silence},
-		{5, 2, 0, 20 * time.Millisecond, (*quietWorld).silence},
-		{5, 2, 0, 150 * time.Millisecond, (*quietWorld).silence},
-		{5, 2, 1, 20 * time.Millisecond, (*quietWorld).silence},
-		{8, 2, 1, 150 * time.Millisecond, (*quietWorld).silence},
-		{5, 149, 1, 20 * time.Millisecond, (*quietWorld).silence},
-		{5, 2, 0, 20 * time.Millisecond, (*quietWorld).cutOff},
-		{8, 2, 1, 20 * time.Millisecond, (*quietWorld).cutOff},
-		{8, 2, 1, 150 * time.Millisecond, (*quietWorld).cutOff},
-		{5, 149, 0, 20 * time.Millisecond, (*quietWorld).cutOff},
+		{3, 2, 0, 20 * time.Millisecond, (*memCluster).silenceNodes},
+		{5, 2, 0, 20 * time.Millisecond, (*memCluster).silenceNodes},
+		{5, 2, 0, 150 * time.Millisecond, (*memCluster).silenceNodes},
+		{5, 2, 1, 20 * time.Millisecond, (*memCluster).silenceNodes},
+		{8, 2, 1, 150 * time.Millisecond, (*memCluster).silenceNodes},
+		{5, 149, 1, 20 * time.Millisecond, (*memCluster).silenceNodes},
+		{5, 2, 0, 20 * time.Millisecond, (*memCluster).isolateNodes},
+		{8, 2, 1, 20 * time.Millisecond, (*memCluster).isolateNodes},
+		{8, 2, 1, 150 * time.Millisecond, (*memCluster).isolateNodes},
+		{5, 149, 0, 20 * time.Millisecond, (*memCluster).isolateNodes},
 	} {
 		t.Run(fmt.Sprintf("%d: %d nodes, %d gateways, %d more lost, ways of %s", i, c.nodes, c.gateways, c.more, c.way), func(t *testing.T) {
 			for i := range moments {
@@ -274,12 +274,12 @@
 					continue
 				}
 				bubble.Run(t, func(t *testing.T) {
-					w := newQuietWorld(t, c.nodes, c.gateways, c.way)
+					w := newMemCluster(t, c.nodes, c.gateways, c.way)
 					defer w.stop()
-					moment := time.Duration(i) * beat / moments
-					for _, took := range w.afterSilence(c.more, moment, func(nodes map[string]bool) { c.lose(w, nodes) }) {
-						if took > inForceWithin {
-							t.Fatalf("in force %s after the change at %s of a beat; %s are allowed", took, moment, inForceWithin)
+					moment := time.Duration(i) * updateInterval / moments
+					for _, took := range w.changeAfterLoss(c.more, moment, func(nodes map[string]bool) { c.lose(w, nodes) }) {
+						if took > changeDeadline {
+							t.Fatalf("in force %s after the change at %s of a beat; %s are allowed", took, moment, changeDeadline)
 						}
 					}
 				})
@@ -289,23 +289,23 @@
 }
 
 // Spares go again once one of the two is heard, and a node that is lost alone brings none for long.
-func TestSparesEndWhenANodeIsHeard(t *testing.T) {
+func TestFallbacksEndWhenANodeResponds(t *testing.T) {
 	bubble.Run(t, func(t *testing.T) {
-		w := newQuietWorld(t, 5, 1, 20*time.Millisecond)
+		w := newMemCluster(t, 5, 1, 20*time.Millisecond)
 		defer w.stop()
 		g := w.gateways[0]
-		pair := g.followed()
+		pair := g.followedNodes()
 		if len(pair) != 2 {
 			t.Fatalf("it follows %v", pair)
 		}
-		w.silence(pair)
-		time.Sleep(quietAfter + beat/2)
-		if all := g.followed(); len(all) <= len(pair) {
+		w.silenceNodes(pair)
+		time.Sleep(quietTimeout + updateInterval/2)
+		if all := g.followedNodes(); len(all) <= len(pair) {
 			t.Fatalf("it follows %v beside silent ones", all)
 		}
 		w.network.MendAll()
-		time.Sleep(2 * beat)
-		if all := g.followed(); len(all) != 2 {
+		time.Sleep(2 * updateInterval)
+		if all := g.followedNodes(); len(all) != 2 {
 			t.Fatalf("it follows %v after they are heard", all)
 		}
 	})
--- a/pkg/feed/records.go
+++ b/pkg/feed/records.go
@@ -19,12 +19,12 @@
 	"github.com/tidepost/tidepost/pkg/quarantine"
 )
 
-// maxRecordsAtOnce bounds the records of one Update, some 150 bytes each: 16 in 80 ms to
+// maxRecordsPerUpdate bounds the records of one Update, some 150 bytes each: 16 in 80 ms to
 // a gateway and in 400 ms to another node, but for those that are urgent.
-const maxRecordsAtOnce = 16
+const maxRecordsPerUpdate = 16
 
-// Recorded queues records for the followers that need them.
-func (p *Publisher) Recorded(records []quarantine.Record) {
+// QueueRecords queues records for the followers that need them.
+func (p *Publisher) QueueRecords(records []quarantine.Record) {
 	if len(records) == 0 {
 		return
 	}
@@ -35,20 +35,20 @@
 	}
 }
 
-// takesRecords tells whether a follower needs to know of requests.
-func (s *subscriber) takesRecords() bool {
+// wantsRecords tells whether a follower needs to know of requests.
+func (s *subscriber) wantsRecords() bool {
 	return s.hello.role == RoleGateway || s.hello.role == RoleNode
 }
 
 // queueRecords queues records, and has them told at once where one may soon keep a request
 // away, or clears one.
 func (s *subscriber) queueRecords(records []quarantine.Record) {
-	if !s.takesRecords() {
+	if !s.wantsRecords() {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.spare {
+	if s.fallback {
 		return
 	}
 	for _, r := range records {
@@ -59,17 +59,17 @@
 	switch {
 	case len(s.records) == 0:
 	case slices.ContainsFunc(records, isUrgent):
-		daemon.Wake(s.wake)
+		daemon.Wake(s.wakeNow)
 	default:
-		daemon.Wake(s.soon)
+		daemon.Wake(s.wakeBatched)
 	}
 }
 
 // isUrgent tells whether a record may soon keep its request away, or clears one.
 func isUrgent(r quarantine.Record) bool { return len(r.Ends()) > 1 || len(r.Whole()) > 0 }
 
-// takeRecords takes the most urgent records off the queue. The caller holds the lock.
-func (s *subscriber) takeRecords() []quarantine.Record {
+// dequeueRecords takes the most urgent records off the queue. The caller holds the lock.
+func (s *subscriber) dequeueRecords() []quarantine.Record {
 	if len(s.records) == 0 {
 		return nil
 	}
@@ -77,17 +77,17 @@
 	for _, r := range s.records {
 		all = append(all, r)
 	}
-	all = firstOf(quarantine.Sorted(all), maxRecordsAtOnce)
+	all = truncateRecords(quarantine.Sorted(all), maxRecordsPerUpdate)
 	for _, r := range all {
 		delete(s.records, r.Fingerprint())
 	}
 	if len(s.records) > 0 {
-		daemon.Wake(s.soon)
+		daemon.Wake(s.wakeBatched)
 	}
 	return all
 }
 
-// firstOf returns the first records, so many at the most.
-func firstOf(records []quarantine.Record, most int) []quarantine.Record {
+// truncateRecords returns the first records, so many at the most.
+func truncateRecords(records []quarantine.Record, most int) []quarantine.Record {
 	return records[:min(len(records), most)]
 }
--- a/pkg/feed/silence_test.go
+++ b/pkg/feed/silence_test.go
@@ -16,22 +16,22 @@
 	"github.com/tidepost/tidepost/pkg/vm"
 )
 
-// silentLinks dials links that can go silent.
-type silentLinks struct {
+// silenceableLinks dials links that can go silent.
+type silenceableLinks struct {
 	silenced.Conns
-	to atomic.Pointer[string] // where dials go in place of the address; nil is the address
+	redirect atomic.Pointer[string] // where dials go in place of the address; nil is the address
 }
 
-func (s *silentLinks) dial(ctx context.Context, address string) (net.Conn, error) {
-	if to := s.to.Load(); to != nil {
+func (s *silenceableLinks) dial(ctx context.Context, address string) (net.Conn, error) {
+	if to := s.redirect.Load(); to != nil {
 		address = *to
 	}
 	return s.Dial(ctx, address)
 }
 
-// followSilently starts a gateway's follower over links that can go silent and returns
+// startSilenceableFollower starts a gateway's follower over links that can go silent and returns
 // it once the first node is its primary.
-func (h *herd) followSilently(s *silentLinks, take func(string, Update)) *Follower {
+func (h *testCluster) startSilenceableFollower(s *silenceableLinks, take func(string, Update)) *Follower {
 	identity := vm.NewIdentity("gateway", 1, "", "hall-0", "gateway:7700")
 	e := link.NewEndpoint(link.Config{
 		Own: identity, Clock: event.NewClock(time.Now), Logger: log.NewNopLogger(),
@@ -40,7 +40,7 @@
 	h.t.Cleanup(e.Close)
 	f := &Follower{
 		Endpoint: e, Hello: NewHello(RoleGateway, identity, "", "", nil, false), Seeds: func() []string { return h.nodes()[:1] },
-		Held: func() uint64 { return math.MaxUint64 }, Take: take, Logger: log.NewNopLogger(),
+		DocumentNumber: func() uint64 { return math.MaxUint64 }, OnUpdate: take, Logger: log.NewNopLogger(),
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	h.t.Cleanup(cancel)
@@ -49,8 +49,8 @@
 	return f
 }
 
-// countedLost tells whether a node was counted lost.
-func (f *Follower) countedLost(address string) bool {
+// wasLost tells whether a node was counted lost.
+func (f *Follower) wasLost(address string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	_, lost := f.lostAt[address]
@@ -64,11 +64,11 @@
 // had to cover the slowest node. What proved it: a follower that looks at its link after
 // one beat hears its node again, its primary as before, and counts it lost at no time;
 // and the node counts that follower once.
-func TestFollowerHearsItsNodeAgainOverAnotherLink(t *testing.T) {
-	h := &herd{t: t, loads: map[string]int{}}
-	node, s := h.startNode("hall-0"), &silentLinks{}
+func TestFollowerReconnectsOverNewLink(t *testing.T) {
+	h := &testCluster{t: t, loads: map[string]int{}}
+	node, s := h.startNode("hall-0"), &silenceableLinks{}
 	var updates atomic.Int64
-	f := h.followSilently(s, func(string, Update) { updates.Add(1) })
+	f := h.startSilenceableFollower(s, func(string, Update) { updates.Add(1) })
 	s.Silence()
 	before := updates.Load()
 	h.eventually("the node is heard again", func() bool { return updates.Load() > before })
@@ -80,23 +80,23 @@
 	h.eventually("it counts the follower once", func() bool {
 		node.mu.Lock()
 		defer node.mu.Unlock()
-		return node.census.gateways() == 1
+		return node.inventory.gateways() == 1
 	})
-	if address := h.nodes()[0]; f.countedLost(address) {
+	if address := h.nodes()[0]; f.wasLost(address) {
 		t.Errorf("%s was counted lost", address)
 	}
 }
 
 // Where another process answers at the address the node was started anew. It counts few
 // followers at first, and is lost as one that was cut off is.
-func TestNodeThatWasStartedAnewIsCountedLost(t *testing.T) {
-	h := &herd{t: t, loads: map[string]int{}}
+func TestRestartedNodeIsMarkedLost(t *testing.T) {
+	h := &testCluster{t: t, loads: map[string]int{}}
 	h.startNode("hall-0")
-	s := &silentLinks{}
-	f := h.followSilently(s, func(string, Update) {})
+	s := &silenceableLinks{}
+	f := h.startSilenceableFollower(s, func(string, Update) {})
 	h.startNode("hall-1")
 	other := h.nodes()[1]
-	s.to.Store(&other)
+	s.redirect.Store(&other)
 	s.Silence()
-	h.eventually("the node is counted lost", func() bool { return f.countedLost(h.nodes()[0]) })
+	h.eventually("the node is counted lost", func() bool { return f.wasLost(h.nodes()[0]) })
 }
--- a/pkg/feed/spares.go
+++ b/pkg/feed/spares.go
@@ -23,72 +23,72 @@
 )
 
 const (
-	// quietAfter is how long the two may say nothing: a beat of the primary and time on the
+	// quietTimeout is how long the two may say nothing: a beat of the primary and time on the
 	// way. The backup beats less often, so a primary that is lost alone brings spares for a
 	// moment.
-	quietAfter = quickBeat + 200*time.Millisecond
-	// firstSpares are followed then. All others are when the two say nothing at all for as
+	quietTimeout = gatewayUpdateInterval + 200*time.Millisecond
+	// firstFallbacks are followed then. All others are when the two say nothing at all for as
 	// long again; that they hear of no leader may be an election.
-	firstSpares = 2
+	firstFallbacks = 2
 )
 
-// noteWord notes a word of a node that is followed, for whoever holds the lock.
-func (f *Follower) noteWord(s *followed, confirmed bool, now time.Time) {
-	if s.spare {
+// recordActivity notes a word of a node that is followed, for whoever holds the lock.
+func (f *Follower) recordActivity(s *followedNode, confirmed bool, now time.Time) {
+	if s.fallback {
 		return
 	}
-	f.heardAt = now
+	f.lastUpdateAt = now
 	if confirmed {
-		f.sureAt = now
+		f.lastQuorumAt = now
 	}
-	if f.quiet == nil {
+	if f.quietTimer == nil {
 		return
 	}
-	if unsure := now.Sub(f.sureAt); unsure < quietAfter {
-		f.quiet.Reset(quietAfter - unsure)
+	if unsure := now.Sub(f.lastQuorumAt); unsure < quietTimeout {
+		f.quietTimer.Reset(quietTimeout - unsure)
 		return
 	}
-	f.quiet.Reset(quietAfter)
+	f.quietTimer.Reset(quietTimeout)
 	daemon.Wake(f.wake)
 }
 
-// spares returns the nodes to follow beside the wanted ones, for whoever holds the lock.
-func (f *Follower) spares(wanted []string, now time.Time) (spares []string) {
-	quiet, unsure := now.Sub(f.heardAt), now.Sub(f.sureAt)
-	if f.Hello.role != RoleGateway || f.sureAt.IsZero() || unsure < quietAfter {
+// fallbackNodes returns the nodes to follow beside the wanted ones, for whoever holds the lock.
+func (f *Follower) fallbackNodes(wanted []string, now time.Time) (spares []string) {
+	quiet, unsure := now.Sub(f.lastUpdateAt), now.Sub(f.lastQuorumAt)
+	if f.Hello.role != RoleGateway || f.lastQuorumAt.IsZero() || unsure < quietTimeout {
 		return nil
 	}
-	for _, c := range inOrder(f.Hello.self, f.candidates(now)) {
+	for _, c := range sortCandidates(f.Hello.self, f.candidates(now)) {
 		if !slices.Contains(wanted, c.address) {
 			spares = append(spares, c.address)
 		}
 	}
-	if quiet >= 2*quietAfter {
+	if quiet >= 2*quietTimeout {
 		return spares
 	}
-	if quiet >= quietAfter {
-		f.quiet.Reset(2*quietAfter - quiet)
+	if quiet >= quietTimeout {
+		f.quietTimer.Reset(2*quietTimeout - quiet)
 	}
-	return spares[:min(firstSpares, len(spares))]
+	return spares[:min(firstFallbacks, len(spares))]
 }
 
-// promote has spares that are wanted by now tell everything, and returns the words for that.
+// promoteFallbacks has spares that are wanted by now tell everything, and returns the words for that.
 // It is for whoever holds the lock.
-func (f *Follower) promote(wanted []string) map[*link.Stream]Word {
-	words := map[*link.Stream]Word{}
+func (f *Follower) promoteFallbacks(wanted []string) map[*link.Stream]FollowerMessage {
+	words := map[*link.Stream]FollowerMessage{}
 	for _, address := range wanted {
-		if s := f.streams[address]; s.spare && s.stream != nil {
-			s.spare = false
-			words[s.stream] = Word{subscription: Backup}
+		if s := f.streams[address]; s.fallback && s.stream != nil {
+			s.fallback = false
+			words[s.stream] = FollowerMessage{subscription: Backup}
 		}
 	}
 	return words
 }
 
-// isSpare tells whether a node is followed as a spare.
-func (f *Follower) isSpare(address string) bool {
+// isFallback tells whether a node is followed as a spare.
+func (f *Follower) isFallback(address string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s := f.streams[address]
-	return s != nil && s.spare
+	return s != nil && s.fallback
 }
--- a/pkg/feed/spent.go
+++ b/pkg/feed/spent.go
@@ -15,56 +15,56 @@
 
 import "time"
 
-// spentLife is for how long it is kept: as long as the longest window of a budget.
-const spentLife = 30 * time.Second
+// retryUsageTTL is for how long it is kept: as long as the longest window of a budget.
+const retryUsageTTL = 30 * time.Second
 
-// toldSpent is the last word of a gateway, and when it came.
-type toldSpent struct {
-	spent Spent
-	at    time.Time
+// storedRetryUsage is the last word of a gateway, and when it came.
+type storedRetryUsage struct {
+	usage      RetryUsage
+	receivedAt time.Time
 }
 
-// now returns the word with its age.
-func (t toldSpent) now(now time.Time) *Spent {
-	s := t.spent
-	s.age += now.Sub(t.at)
+// agedTo returns the word with its age.
+func (t storedRetryUsage) agedTo(now time.Time) *RetryUsage {
+	s := t.usage
+	s.age += now.Sub(t.receivedAt)
 	return &s
 }
 
-// keepSpent keeps the last word of a gateway.
-func (p *Publisher) keepSpent(s *subscriber, spent Spent) {
+// storeRetryUsage keeps the last word of a gateway.
+func (p *Publisher) storeRetryUsage(s *subscriber, spent RetryUsage) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.spent[s.hello.self.Address()] = toldSpent{spent, time.Now()}
+	p.retryUsage[s.hello.self.Address()] = storedRetryUsage{spent, time.Now()}
 }
 
-// handOnSpent has a gateway that starts told the last word of the one before it.
-func (p *Publisher) handOnSpent(s *subscriber) {
+// handOverRetryUsage has a gateway that starts told the last word of the one before it.
+func (p *Publisher) handOverRetryUsage(s *subscriber) {
 	if s.hello.role != RoleGateway {
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	address := s.hello.self.Address()
-	if told, kept := p.spent[address]; kept {
-		s.spent = &told
-		delete(p.spent, address)
+	if told, kept := p.retryUsage[address]; kept {
+		s.retryUsage = &told
+		delete(p.retryUsage, address)
 	}
 }
 
-// forgetSpent forgets the words that peers which started elsewhere may have been told, for
+// dropRetryUsage forgets the words that peers which started elsewhere may have been told, for
 // whoever holds the lock.
-func (p *Publisher) forgetSpent(started []Peer) {
+func (p *Publisher) dropRetryUsage(started []Peer) {
 	for _, peer := range started {
-		delete(p.spent, peer.address)
+		delete(p.retryUsage, peer.address)
 	}
 }
 
-// forgetOldSpent forgets what counts no more, for whoever holds the lock.
-func (p *Publisher) forgetOldSpent(now time.Time) {
-	for address, told := range p.spent {
-		if now.Sub(told.at) > spentLife {
-			delete(p.spent, address)
+// expireRetryUsage forgets what counts no more, for whoever holds the lock.
+func (p *Publisher) expireRetryUsage(now time.Time) {
+	for address, told := range p.retryUsage {
+		if now.Sub(told.receivedAt) > retryUsageTTL {
+			delete(p.retryUsage, address)
 		}
 	}
 }
--- a/pkg/feed/subscriber.go
+++ b/pkg/feed/subscriber.go
@@ -17,46 +17,46 @@
 
 // subscriber is one follower's queue.
 type subscriber struct {
-	hello Hello
-	wake  chan struct{} // something is to be told at once
-	soon  chan struct{} // something may wait for more
-
-	mu         sync.Mutex
-	primary    bool // it wants loads, demand and peers
-	pending    map[string]registry.Registration
-	records    map[quarantine.Fingerprint]quarantine.Record
-	loads      map[string]Load  // by engine
-	peers      map[string]*Peer // changes by link address; nil is one that left
-	wholePeers bool             // all peers are to be told
-	nodes      bool             // the control nodes are to be told
-	asked      bool             // the document is to be told
-	demand     float64          // requests for engines a second, of a gateway
-	spent      *toldSpent       // of the gateway before it, to be told
-	spare      bool             // it wants to hear of documents and weights only
+	hello       Hello
+	wakeNow     chan struct{} // something is to be told at once
+	wakeBatched chan struct{} // something may wait for more
+
+	mu            sync.Mutex
+	primary       bool // it wants loads, demand and peers
+	registrations map[string]registry.Registration
+	records       map[quarantine.Fingerprint]quarantine.Record
+	loads         map[string]Load   // by engine
+	peers         map[string]*Peer  // changes by link address; nil is one that left
+	sendAllPeers  bool              // all peers are to be told
+	sendNodes     bool              // the control nodes are to be told
+	sendDocument  bool              // the document is to be told
+	demand        float64           // requests for engines a second, of a gateway
+	retryUsage    *storedRetryUsage // of the gateway before it, to be told
+	fallback      bool              // it wants to hear of documents and weights only
 }
 
 func newSubscriber(hello Hello) *subscriber {
 	return &subscriber{
-		hello: hello, spare: hello.spare, wake: make(chan struct{}, 1), soon: make(chan struct{}, 1),
-		primary: hello.role == RoleNode, wholePeers: hello.role == RoleNode, nodes: !hello.spare,
-		records: map[quarantine.Fingerprint]quarantine.Record{},
-		pending: map[string]registry.Registration{}, loads: map[string]Load{}, peers: map[string]*Peer{},
+		hello: hello, fallback: hello.fallback, wakeNow: make(chan struct{}, 1), wakeBatched: make(chan struct{}, 1),
+		primary: hello.role == RoleNode, sendAllPeers: hello.role == RoleNode, sendNodes: !hello.fallback,
+		records:       map[quarantine.Fingerprint]quarantine.Record{},
+		registrations: map[string]registry.Registration{}, loads: map[string]Load{}, peers: map[string]*Peer{},
 	}
 }
 
-// change changes what waits and has it told at once.
-func (s *subscriber) change(change func(*subscriber)) {
+// changeAndWake changes what waits and has it told at once.
+func (s *subscriber) changeAndWake(change func(*subscriber)) {
 	s.mu.Lock()
 	change(s)
 	s.mu.Unlock()
-	daemon.Wake(s.wake)
+	daemon.Wake(s.wakeNow)
 }
 
-// queueWords queues words of backend servers. The caller holds the lock, or is the
+// queueRegistrations queues words of backend servers. The caller holds the lock, or is the
 // only one who knows s.
-func (s *subscriber) queueWords(words []registry.Registration) {
+func (s *subscriber) queueRegistrations(words []registry.Registration) {
 	for _, r := range words {
-		s.pending[r.Incarnation()] = r
+		s.registrations[r.Incarnation()] = r
 	}
 }
 
@@ -66,42 +66,42 @@
 	return s.primary
 }
 
-// isSpare tells whether this follower wants to hear of documents and weights only.
-func (s *subscriber) isSpare() bool {
+// isFallback tells whether this follower wants to hear of documents and weights only.
+func (s *subscriber) isFallback() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.spare
+	return s.fallback
 }
 
-// endSpare has this follower told everything from now on, and tells whether it was a spare.
-func (s *subscriber) endSpare() (was bool) {
+// endFallback has this follower told everything from now on, and tells whether it was a spare.
+func (s *subscriber) endFallback() (was bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	was, s.spare = s.spare, false
+	was, s.fallback = s.fallback, false
 	return was
 }
 
-// beat is how long this follower is told nothing when nothing changes.
-func (s *subscriber) beat() time.Duration {
+// updateInterval is how long this follower is told nothing when nothing changes.
+func (s *subscriber) updateInterval() time.Duration {
 	if s.hello.role == RoleGateway && s.isPrimary() {
-		return quickBeat
+		return gatewayUpdateInterval
 	}
-	return beat
+	return updateInterval
 }
 
-// isSame tells whether this is another stream of the same follower.
-func (s *subscriber) isSame(other *subscriber) bool {
+// isSameFollower tells whether this is another stream of the same follower.
+func (s *subscriber) isSameFollower(other *subscriber) bool {
 	self, theirs := s.hello.self, other.hello.self
 	return s != other && s.hello.role == other.hello.role && self.Address() == theirs.Address() && self.ID() == theirs.ID()
 }
 
-// takesLoads tells whether loads are for this follower.
-func (s *subscriber) takesLoads() bool {
+// wantsLoads tells whether loads are for this follower.
+func (s *subscriber) wantsLoads() bool {
 	return s.primary && (s.hello.role == RoleGateway || s.hello.role == RoleNode)
 }
 
-// takesPeer tells whether this follower is to know a peer: control nodes know all.
-func (s *subscriber) takesPeer(p Peer) bool {
+// wantsPeer tells whether this follower is to know a peer: control nodes know all.
+func (s *subscriber) wantsPeer(p Peer) bool {
 	return s.hello.role == RoleNode || p.gateway == (s.hello.role == RoleGateway)
 }
 
@@ -109,16 +109,16 @@
 func (s *subscriber) queueLoads(loads []Load, urgent bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.takesLoads() {
+	if !s.wantsLoads() {
 		return
 	}
 	for _, l := range loads {
 		s.loads[l.engine] = l
 	}
 	if urgent {
-		daemon.Wake(s.wake)
+		daemon.Wake(s.wakeNow)
 	} else {
-		daemon.Wake(s.soon)
+		daemon.Wake(s.wakeBatched)
 	}
 }
 
@@ -130,45 +130,45 @@
 		return
 	}
 	for _, p := range joined {
-		if s.takesPeer(p) {
+		if s.wantsPeer(p) {
 			s.peers[p.address] = &p
 		}
 	}
 	for _, address := range gone {
 		s.peers[address] = nil
 	}
-	daemon.Wake(s.soon)
+	daemon.Wake(s.wakeBatched)
 }
 
-// gather is how long what may wait does so, for more to be told with it. Between
+// batchDelay is how long what may wait does so, for more to be told with it. Between
 // nodes it is longer: links between regions are narrow, and gateways use engines
 // of other failure domains for what their own cannot take.
-func (s *subscriber) gather() time.Duration {
+func (s *subscriber) batchDelay() time.Duration {
 	if s.hello.role == RoleNode {
-		return relayPause
+		return relayBatchDelay
 	}
-	return loadPause
+	return loadBatchDelay
 }
 
-// taken is what was taken off a queue to be told.
-type taken struct {
+// dequeued is what was taken off a queue to be told.
+type dequeued struct {
 	registrations map[string]registry.Registration
 	loads         map[string]Load
 	peers         map[string]*Peer
-	wholePeers    bool
-	nodes         bool
-	asked         bool
+	sendAllPeers  bool
+	sendNodes     bool
+	sendDocument  bool
 	primary       bool
 	records       []quarantine.Record
-	spent         *toldSpent
+	retryUsage    *storedRetryUsage
 }
 
-// take empties the queue.
-func (s *subscriber) take() taken {
+// dequeue empties the queue.
+func (s *subscriber) dequeue() dequeued {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	t := taken{s.pending, s.loads, s.peers, s.wholePeers, s.nodes, s.asked, s.primary, s.takeRecords(), s.spent}
-	s.pending, s.loads, s.peers = map[string]registry.Registration{}, map[string]Load{}, map[string]*Peer{}
-	s.wholePeers, s.nodes, s.asked, s.spent = false, false, false, nil
+	t := dequeued{s.registrations, s.loads, s.peers, s.sendAllPeers, s.sendNodes, s.sendDocument, s.primary, s.dequeueRecords(), s.retryUsage}
+	s.registrations, s.loads, s.peers = map[string]registry.Registration{}, map[string]Load{}, map[string]*Peer{}
+	s.sendAllPeers, s.sendNodes, s.sendDocument, s.retryUsage = false, false, false, nil
 	return t
 }
--- a/pkg/feed/subscription.go
+++ b/pkg/feed/subscription.go
@@ -7,36 +7,36 @@
 
 import "github.com/tidepost/tidepost/pkg/daemon"
 
-// subscribe makes this node a follower's primary, or takes that back. The census
+// setSubscription makes this node a follower's primary, or takes that back. The census
 // counts a follower where it has its primary.
-func (p *Publisher) subscribe(s *subscriber, to Subscription) {
-	p.tellAll(s)
+func (p *Publisher) setSubscription(s *subscriber, to Subscription) {
+	p.endFallback(s)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.makePrimary(s, to == Primary)
+	p.setPrimary(s, to == Primary)
 }
 
-// tellAll has a spare follower told what the others are.
-func (p *Publisher) tellAll(s *subscriber) {
-	if !s.endSpare() {
+// endFallback has a spare follower told what the others are.
+func (p *Publisher) endFallback(s *subscriber) {
+	if !s.endFallback() {
 		return
 	}
 	// Once it is told of new ones, so that none comes between.
 	known := p.source.Registrations()
-	s.change(func(s *subscriber) {
-		s.queueWords(known)
-		s.nodes = true
+	s.changeAndWake(func(s *subscriber) {
+		s.queueRegistrations(known)
+		s.sendNodes = true
 	})
 	p.queueKnownRecords(s)
 }
 
-// makePrimary is subscribe for whoever holds the lock.
-func (p *Publisher) makePrimary(s *subscriber, primary bool) {
+// setPrimary is subscribe for whoever holds the lock.
+func (p *Publisher) setPrimary(s *subscriber, primary bool) {
 	s.mu.Lock()
 	changed := s.primary != primary
 	s.primary = primary
-	s.wholePeers = s.wholePeers || primary
-	if s.takesLoads() {
+	s.sendAllPeers = s.sendAllPeers || primary
+	if s.wantsLoads() {
 		for engine, told := range p.loads {
 			s.loads[engine] = told.load
 		}
@@ -46,23 +46,23 @@
 	if !changed || !p.subscribers[s] {
 		return
 	}
-	p.count(s, primary, demand)
+	p.countFollower(s, primary, demand)
 	if !primary {
 		return
 	}
-	daemon.Wake(s.wake)
+	daemon.Wake(s.wakeNow)
 	for other := range p.subscribers {
 		// It counts once: two would halve the share of places of a gateway that is
 		// back before its old stream is found broken. One without a name can't be
 		// told from others.
-		if s.hello.self.ID() != "" && other.isSame(s) && other.isPrimary() {
-			p.makePrimary(other, false)
+		if s.hello.self.ID() != "" && other.isSameFollower(s) && other.isPrimary() {
+			p.setPrimary(other, false)
 		}
 	}
 }
 
-// count takes a follower into the census, or out of it.
-func (p *Publisher) count(s *subscriber, in bool, demand float64) {
+// countFollower takes a follower into the census, or out of it.
+func (p *Publisher) countFollower(s *subscriber, in bool, demand float64) {
 	sign := 1
 	if !in {
 		sign = -1
@@ -71,39 +71,39 @@
 	case RoleNode:
 		return
 	case RoleGateway:
-		p.census.of(here).gateways += sign
-		p.census.changeDemand(s.hello.self.Domain(), float64(sign)*demand)
+		p.inventory.forNode(localNode).gateways += sign
+		p.inventory.addLocalDemand(s.hello.self.Domain(), float64(sign)*demand)
 	}
 	if in {
-		p.peerJoined(s.hello)
-	} else if !p.isServedAgain(s) {
-		p.peerLeft(s.hello.self.Address())
+		p.addPeer(s.hello)
+	} else if !p.hasOtherStream(s) {
+		p.removePeer(s.hello.self.Address())
 	}
 }
 
-// isServedAgain tells whether a follower has another stream here: it came back
+// hasOtherStream tells whether a follower has another stream here: it came back
 // before its old stream was found broken.
-func (p *Publisher) isServedAgain(s *subscriber) bool {
+func (p *Publisher) hasOtherStream(s *subscriber) bool {
 	for other := range p.subscribers {
-		if other.isSame(s) && other.isPrimary() {
+		if other.isSameFollower(s) && other.isPrimary() {
 			return true
 		}
 	}
 	return false
 }
 
-func (p *Publisher) peerJoined(h Hello) {
+func (p *Publisher) addPeer(h Hello) {
 	peer := NewPeer(h.self.Address(), h.self.Domain(), h.service, h.engine, h.role == RoleCache, h.role == RoleGateway)
-	p.census.join(here, peer)
+	p.inventory.addPeer(localNode, peer)
 	for s := range p.subscribers {
 		s.queuePeers([]Peer{peer}, nil)
 	}
 }
 
-// peerLeft tells the other nodes, and the followers here unless another node has
+// removePeer tells the other nodes, and the followers here unless another node has
 // it by now.
-func (p *Publisher) peerLeft(address string) {
-	gone := p.census.leave(here, address)
+func (p *Publisher) removePeer(address string) {
+	gone := p.inventory.removePeer(localNode, address)
 	for s := range p.subscribers {
 		if gone || s.hello.role == RoleNode {
 			s.queuePeers(nil, []string{address})
@@ -111,8 +111,8 @@
 	}
 }
 
-// demanded notes what comes to a gateway.
-func (p *Publisher) demanded(s *subscriber, perSecond float64) {
+// receiveDemand notes what comes to a gateway.
+func (p *Publisher) receiveDemand(s *subscriber, perSecond float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s.mu.Lock()
@@ -120,6 +120,6 @@
 	s.demand = perSecond
 	s.mu.Unlock()
 	if primary {
-		p.census.changeDemand(s.hello.self.Domain(), perSecond-before)
+		p.inventory.addLocalDemand(s.hello.self.Domain(), perSecond-before)
 	}
 }
--- a/pkg/feed/update.go
+++ b/pkg/feed/update.go
@@ -12,14 +12,14 @@
 	"github.com/tidepost/tidepost/pkg/serviceconfig"
 )
 
-// update takes what waits for the follower.
-func (p *Publisher) update(s *subscriber) Update {
-	t := s.take()
-	u := Update{number: p.source.Number(), weights: p.source.Weights(), confirmed: p.source.Confirmed(), records: t.records}
-	if t.spent != nil {
-		u.spent = t.spent.now(time.Now())
+// nextUpdate takes what waits for the follower.
+func (p *Publisher) nextUpdate(s *subscriber) Update {
+	t := s.dequeue()
+	u := Update{number: p.source.DocumentNumber(), versions: p.source.Versions(), quorumConfirmed: p.source.QuorumConfirmed(), records: t.records}
+	if t.retryUsage != nil {
+		u.retryUsage = t.retryUsage.agedTo(time.Now())
 	}
-	if t.asked {
+	if t.sendDocument {
 		u.document = p.documentFor(s.hello.role)
 	}
 	for _, l := range t.loads {
@@ -28,47 +28,47 @@
 	for _, r := range t.registrations {
 		u.registrations = append(u.registrations, r)
 	}
-	if t.nodes {
-		u.nodes = p.nodes()
+	if t.sendNodes {
+		u.nodes = p.controlNodes()
 	}
 	if t.primary {
-		p.addCensus(&u, s, t)
+		p.addInventory(&u, s, t)
 	}
 	return u
 }
 
-// addCensus adds what the census says to a primary follower's Update.
-func (p *Publisher) addCensus(u *Update, s *subscriber, t taken) {
+// addInventory adds what the census says to a primary follower's Update.
+func (p *Publisher) addInventory(u *Update, s *subscriber, t dequeued) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	isNode := s.hello.role == RoleNode
 	switch {
 	case isNode:
-		u.gateways, u.demands = p.census.of(here).gateways, p.census.demandsHere()
+		u.gateways, u.demands = p.inventory.forNode(localNode).gateways, p.inventory.localDemands()
 	case s.hello.role == RoleGateway:
-		u.gateways, u.demands = p.census.gateways(), p.census.demands()
+		u.gateways, u.demands = p.inventory.gateways(), p.inventory.demands()
 	}
-	if t.wholePeers {
-		u.whole = true
-		all := p.census.peers()
+	if t.sendAllPeers {
+		u.allPeers = true
+		all := p.inventory.peers()
 		if isNode {
-			all = p.census.peersHere()
+			all = p.inventory.localPeers()
 		}
-		u.peers = slices.DeleteFunc(all, func(peer Peer) bool { return !s.takesPeer(peer) })
+		u.peers = slices.DeleteFunc(all, func(peer Peer) bool { return !s.wantsPeer(peer) })
 		return
 	}
 	for address, peer := range t.peers {
 		if peer == nil {
-			u.gone = append(u.gone, address)
+			u.removedPeers = append(u.removedPeers, address)
 		} else {
 			u.peers = append(u.peers, *peer)
 		}
 	}
 }
 
-// nodes returns the control nodes, with the failure domains of those that
+// controlNodes returns the control nodes, with the failure domains of those that
 // follow here: all others do.
-func (p *Publisher) nodes() []Node {
+func (p *Publisher) controlNodes() []Node {
 	addresses := p.source.Nodes()
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/pkg/feed/versions.go
+++ b/pkg/feed/versions.go
@@ -25,95 +25,103 @@
 )
 
 const (
-	// maxNamed bounds the versions that are remembered of a model.
-	maxNamed = 16
-	// spentAfter is how long ago a version's successor was named when it is told no
+	// maxVersionsPerModel bounds the versions that are remembered of a model.
+	maxVersionsPerModel = 16
+	// obsoleteAfter is how long ago a version's successor was named when it is told no
 	// more: nobody can wait for it once the longest agreed time of the successor is
 	// over, and twice that leaves room for ages that are told too young.
-	spentAfter = 2 * settings.LongestWithin
+	obsoleteAfter = 2 * settings.LongestWithin
 )
 
-// Named is a named version and since when it is named. The zero value is none.
-type Named struct {
-	version uint64
-	since   time.Time
-	heard   time.Time
+// VersionInfo is a named version and since when it is named. The zero value is none.
+type VersionInfo struct {
+	version   uint64
+	since     time.Time
+	firstSeen time.Time
 }
 
-// NewNamed returns a version named at a time.
-func NewNamed(version uint64, since time.Time) Named { return Named{version: version, since: since} }
+// NewVersionInfo returns a version named at a time.
+func NewVersionInfo(version uint64, since time.Time) VersionInfo {
+	return VersionInfo{version: version, since: since}
+}
 
 // Version returns the version.
-func (n Named) Version() uint64 { return n.version }
+func (n VersionInfo) Version() uint64 { return n.version }
 
 // Since returns when it was named; the zero time when that is not known.
-func (n Named) Since() time.Time { return n.since }
+func (n VersionInfo) Since() time.Time { return n.since }
 
-// Heard returns when it was first heard of here; the zero time when that is not
+// FirstSeen returns when it was first heard of here; the zero time when that is not
 // known.
-func (n Named) Heard() time.Time { return n.heard }
+func (n VersionInfo) FirstSeen() time.Time { return n.firstSeen }
 
-func compareNamed(n Named, version uint64) int { return cmp.Compare(n.version, version) }
+func compareVersion(n VersionInfo, version uint64) int { return cmp.Compare(n.version, version) }
 
-// Versions holds the named versions of all models. It is safe for concurrent
+// VersionTable holds the named versions of all models. It is safe for concurrent
 // use.
-type Versions struct {
+type VersionTable struct {
 	mu     sync.RWMutex
-	models map[string][]Named
+	models map[string][]VersionInfo
 }
 
-// NewVersions returns a table without versions.
-func NewVersions() *Versions { return &Versions{models: map[string][]Named{}} }
+// NewVersionTable returns a table without versions.
+func NewVersionTable() *VersionTable { return &VersionTable{models: map[string][]VersionInfo{}} }
 
-// Hear takes named versions and tells whether one of them was not known.
-func (t *Versions) Hear(all []Weights, now time.Time) (newer bool) { return HasNew(t.Take(all, now)) }
+// Add takes named versions and tells whether one of them was not known.
+func (t *VersionTable) Add(all []NamedVersion, now time.Time) (newer bool) {
+	return HasNewVersion(t.Merge(all, now))
+}
 
-// Take takes named versions, those told late in their place, and returns what
+// Merge takes named versions, those told late in their place, and returns what
 // changed by that.
-func (t *Versions) Take(all []Weights, now time.Time) []Move { return t.take(all, now, true) }
+func (t *VersionTable) Merge(all []NamedVersion, now time.Time) []VersionChange {
+	return t.merge(all, now, true)
+}
 
-// Raise takes the ages of those versions only that are held, and returns what
+// MergeAges takes the ages of those versions only that are held, and returns what
 // changed by that.
-func (t *Versions) Raise(all []Weights, now time.Time) []Move { return t.take(all, now, false) }
+func (t *VersionTable) MergeAges(all []NamedVersion, now time.Time) []VersionChange {
+	return t.merge(all, now, false)
+}
 
-func (t *Versions) take(all []Weights, now time.Time, insert bool) (moves []Move) {
+func (t *VersionTable) merge(all []NamedVersion, now time.Time, insert bool) (moves []VersionChange) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, w := range all {
 		named := t.models[w.model]
-		at, held := slices.BinarySearchFunc(named, w.version, compareNamed)
+		at, held := slices.BinarySearchFunc(named, w.version, compareVersion)
 		since := now.Add(-w.age)
 		switch {
 		case held:
-			moves = append(moves, makeOlder(w.model, named[:at+1], since, now)...)
-		case !insert, at == 0 && len(named) >= maxNamed:
+			moves = append(moves, increaseAges(w.model, named[:at+1], since, now)...)
+		case !insert, at == 0 && len(named) >= maxVersionsPerModel:
 			// What fell out of a full table is told again with each Update.
 		default:
 			if at < len(named) && named[at].since.Before(since) {
 				since = named[at].since
 			}
-			moves = append(moves, Move{model: w.model, version: w.version, age: now.Sub(since), isNew: true})
-			moves = append(moves, makeOlder(w.model, named[:at], since, now)...)
-			named = slices.Insert(named, at, Named{w.version, since, now})
-			t.models[w.model] = named[max(0, len(named)-maxNamed):]
+			moves = append(moves, VersionChange{model: w.model, version: w.version, age: now.Sub(since), isNew: true})
+			moves = append(moves, increaseAges(w.model, named[:at], since, now)...)
+			named = slices.Insert(named, at, VersionInfo{w.version, since, now})
+			t.models[w.model] = named[max(0, len(named)-maxVersionsPerModel):]
 		}
 	}
 	return moves
 }
 
-// makeOlder has the last of some versions, and with it those before, be named at a
+// increaseAges has the last of some versions, and with it those before, be named at a
 // time at the latest: versions are named in their order.
-func makeOlder(model string, named []Named, since, now time.Time) (moves []Move) {
+func increaseAges(model string, named []VersionInfo, since, now time.Time) (moves []VersionChange) {
 	for i := len(named) - 1; i >= 0 && since.Before(named[i].since); i-- {
-		moves = append(moves, Move{model: model, version: named[i].version, age: now.Sub(since), by: named[i].since.Sub(since)})
+		moves = append(moves, VersionChange{model: model, version: named[i].version, age: now.Sub(since), ageIncrease: named[i].since.Sub(since)})
 		named[i].since = since
 	}
 	return moves
 }
 
-// Suspended makes all versions older by how long the VM was suspended: the clock by which
+// AddSuspension makes all versions older by how long the VM was suspended: the clock by which
 // their ages are counted stood still.
-func (t *Versions) Suspended(by time.Duration) {
+func (t *VersionTable) AddSuspension(by time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, named := range t.models {
@@ -123,37 +131,37 @@
 	}
 }
 
-// Weights returns the versions that somebody may still wait for, by model and
+// Current returns the versions that somebody may still wait for, by model and
 // oldest first, with their ages.
-func (t *Versions) Weights(now time.Time) (all []Weights) {
+func (t *VersionTable) Current(now time.Time) (all []NamedVersion) {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	for _, model := range slices.Sorted(maps.Keys(t.models)) {
 		named := t.models[model]
 		for i, n := range named {
-			if i+1 < len(named) && now.Sub(named[i+1].since) > spentAfter {
+			if i+1 < len(named) && now.Sub(named[i+1].since) > obsoleteAfter {
 				continue
 			}
-			all = append(all, Weights{model, n.version, now.Sub(n.since)})
+			all = append(all, NamedVersion{model, n.version, now.Sub(n.since)})
 		}
 	}
 	return all
 }
 
 // Newest returns the newest version of a model.
-func (t *Versions) Newest(model string) Named {
+func (t *VersionTable) Newest(model string) VersionInfo {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	named := t.models[model]
 	if len(named) == 0 {
-		return Named{}
+		return VersionInfo{}
 	}
 	return named[len(named)-1]
 }
 
 // Next returns the oldest version of a model above another: of those that are
 // still to come, its time ends first.
-func (t *Versions) Next(model string, above uint64) Named {
+func (t *VersionTable) Next(model string, above uint64) VersionInfo {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	for _, n := range t.models[model] {
@@ -161,12 +169,12 @@
 			return n
 		}
 	}
-	return Named{}
+	return VersionInfo{}
 }
 
 // Due returns the newest version of a model that was named at least age ago; 0
 // when there is none.
-func (t *Versions) Due(model string, age time.Duration, now time.Time) uint64 {
+func (t *VersionTable) Due(model string, age time.Duration, now time.Time) uint64 {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	var version uint64
--- a/pkg/feed/wire_generated.go
+++ b/pkg/feed/wire_generated.go
@@ -52,9 +52,65 @@
 	return nil
 }
 
+// NewFollowerMessage returns a FollowerMessage with the given fields.
+func NewFollowerMessage(requestDocument bool, load *Load, demand float64, subscription Subscription, records []quarantine.Record, trialRequest quarantine.Fingerprint, retryUsage *RetryUsage) FollowerMessage {
+	return FollowerMessage{requestDocument: requestDocument, load: load, demand: demand, subscription: subscription, records: records, trialRequest: trialRequest, retryUsage: retryUsage}
+}
+
+// RequestDocument asks for the document that the node holds.
+func (f FollowerMessage) RequestDocument() bool { return f.requestDocument }
+
+// Load is the load of the engine beside a stager; nil otherwise.
+func (f FollowerMessage) Load() *Load { return f.load }
+
+// Demand is how many requests for engines come to a gateway, a second; 0 in
+// a Word that tells something else.
+func (f FollowerMessage) Demand() float64 { return f.demand }
+
+// Subscription changes what the follower wants to be told.
+func (f FollowerMessage) Subscription() Subscription { return f.subscription }
+
+// Records are what the follower has learnt of requests under which servers ended, and
+// in its first Word all that it knows: a node that has started anew learns them so.
+func (f FollowerMessage) Records() []quarantine.Record { return f.records }
+
+// TrialRequest is a barred request that a gateway asks to try once more; else empty.
+func (f FollowerMessage) TrialRequest() quarantine.Fingerprint { return f.trialRequest }
+
+// RetryUsage is the last word of a gateway that ends in order; nil in all others.
+func (f FollowerMessage) RetryUsage() *RetryUsage { return f.retryUsage }
+
+// EncodeMsgpack writes the fields in order, as one array.
+func (f FollowerMessage) EncodeMsgpack(enc *msgpack.Encoder) error {
+	if err := enc.EncodeArrayLen(7); err != nil {
+		return err
+	}
+	return enc.EncodeMulti(f.requestDocument, f.load, f.demand, f.subscription, f.records, f.trialRequest, f.retryUsage)
+}
+
+// DecodeMsgpack reads what EncodeMsgpack wrote, of this version or another.
+func (f *FollowerMessage) DecodeMsgpack(dec *msgpack.Decoder) error {
+	count, err := dec.DecodeArrayLen()
+	if err != nil {
+		return err
+	}
+	fields := []any{&f.requestDocument, &f.load, &f.demand, &f.subscription, &f.records, &f.trialRequest, &f.retryUsage}
+	for i := 0; i < count; i++ {
+		if i >= len(fields) {
+			err = dec.Skip()
+		} else {
+			err = dec.Decode(fields[i])
+		}
+		if err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
 // NewHello returns a Hello with the given fields.
-func NewHello(role Role, self vm.Identity, service string, engine string, weights []Weights, spare bool) Hello {
-	return Hello{role: role, self: self, service: service, engine: engine, weights: weights, spare: spare}
+func NewHello(role Role, self vm.Identity, service string, engine string, versions []NamedVersion, fallback bool) Hello {
+	return Hello{role: role, self: self, service: service, engine: engine, versions: versions, fallback: fallback}
 }
 
 // Role is what the follower is.
@@ -69,20 +125,20 @@
 // Engine is the engine's address, of a stager.
 func (h Hello) Engine() string { return h.engine }
 
-// Weights are the named versions that the follower knows of. A node that has
+// Versions are the named versions that the follower knows of. A node that has
 // started anew takes their ages from it; what is named the log alone decides.
-func (h Hello) Weights() []Weights { return h.weights }
+func (h Hello) Versions() []NamedVersion { return h.versions }
 
-// Spare says that the follower only wants to hear of new documents and weights: those
+// Fallback says that the follower only wants to hear of new documents and weights: those
 // that it follows say nothing. A Word with a subscription ends that.
-func (h Hello) Spare() bool { return h.spare }
+func (h Hello) Fallback() bool { return h.fallback }
 
 // EncodeMsgpack writes the fields in order, as one array.
 func (h Hello) EncodeMsgpack(enc *msgpack.Encoder) error {
 	if err := enc.EncodeArrayLen(6); err != nil {
 		return err
 	}
-	return enc.EncodeMulti(h.role, h.self, h.service, h.engine, h.weights, h.spare)
+	return enc.EncodeMulti(h.role, h.self, h.service, h.engine, h.versions, h.fallback)
 }
 
 // DecodeMsgpack reads what EncodeMsgpack wrote, of this version or another.
@@ -91,7 +147,7 @@
 	if err != nil {
 		return err
 	}
-	fields := []any{&h.role, &h.self, &h.service, &h.engine, &h.weights, &h.spare}
+	fields := []any{&h.role, &h.self, &h.service, &h.engine, &h.versions, &h.fallback}
 	for i := 0; i < count; i++ {
 		if i >= len(fields) {
 			err = dec.Skip()
@@ -106,8 +162,8 @@
 }
 
 // NewLoad returns a Load with the given fields.
-func NewLoad(service string, engine string, model string, version uint64, running int, queued int, pace float64, busy bool, exchanging bool) Load {
-	return Load{service: service, engine: engine, model: model, version: version, running: running, queued: queued, pace: pace, busy: busy, exchanging: exchanging}
+func NewLoad(service string, engine string, model string, version uint64, running int, queued int, stepTimeRatio float64, busy bool, transferring bool) Load {
+	return Load{service: service, engine: engine, model: model, version: version, running: running, queued: queued, stepTimeRatio: stepTimeRatio, busy: busy, transferring: transferring}
 }
 
 // Service is the engine's service.
@@ -128,22 +184,22 @@
 // Queued returns the field of that name.
 func (l Load) Queued() int { return l.queued }
 
-// Pace is its time for a step over the usual one; 0 when not known.
-func (l Load) Pace() float64 { return l.pace }
+// StepTimeRatio is its time for a step over the usual one; 0 when not known.
+func (l Load) StepTimeRatio() float64 { return l.stepTimeRatio }
 
 // Busy says that an order is under way: it takes nothing new.
 func (l Load) Busy() bool { return l.busy }
 
-// Exchanging says that chunks are on their way over the VM's link: a question to
+// Transferring says that chunks are on their way over the VM's link: a question to
 // the stager would wait behind them.
-func (l Load) Exchanging() bool { return l.exchanging }
+func (l Load) Transferring() bool { return l.transferring }
 
 // EncodeMsgpack writes the fields in order, as one array.
 func (l Load) EncodeMsgpack(enc *msgpack.Encoder) error {
 	if err := enc.EncodeArrayLen(9); err != nil {
 		return err
 	}
-	return enc.EncodeMulti(l.service, l.engine, l.model, l.version, l.running, l.queued, l.pace, l.busy, l.exchanging)
+	return enc.EncodeMulti(l.service, l.engine, l.model, l.version, l.running, l.queued, l.stepTimeRatio, l.busy, l.transferring)
 }
 
 // DecodeMsgpack reads what EncodeMsgpack wrote, of this version or another.
@@ -152,7 +208,49 @@
 	if err != nil {
 		return err
 	}
-	fields := []any{&l.service, &l.engine, &l.model, &l.version, &l.running, &l.queued, &l.pace, &l.busy, &l.exchanging}
+	fields := []any{&l.service, &l.engine, &l.model, &l.version, &l.running, &l.queued, &l.stepTimeRatio, &l.busy, &l.transferring}
+	for i := 0; i < count; i++ {
+		if i >= len(fields) {
+			err = dec.Skip()
+		} else {
+			err = dec.Decode(fields[i])
+		}
+		if err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// NewNamedVersion returns a NamedVersion with the given fields.
+func NewNamedVersion(model string, version uint64, age time.Duration) NamedVersion {
+	return NamedVersion{model: model, version: version, age: age}
+}
+
+// Model is the model's name.
+func (n NamedVersion) Model() string { return n.model }
+
+// Version is a named version.
+func (n NamedVersion) Version() uint64 { return n.version }
+
+// Age is how long ago it was named at least, as far as the teller knows.
+func (n NamedVersion) Age() time.Duration { return n.age }
+
+// EncodeMsgpack writes the fields in order, as one array.
+func (n NamedVersion) EncodeMsgpack(enc *msgpack.Encoder) error {
+	if err := enc.EncodeArrayLen(3); err != nil {
+		return err
+	}
+	return enc.EncodeMulti(n.model, n.version, n.age)
+}
+
+// DecodeMsgpack reads what EncodeMsgpack wrote, of this version or another.
+func (n *NamedVersion) DecodeMsgpack(dec *msgpack.Decoder) error {
+	count, err := dec.DecodeArrayLen()
+	if err != nil {
+		return err
+	}
+	fields := []any{&n.model, &n.version, &n.age}
 	for i := 0; i < count; i++ {
 		if i >= len(fields) {
 			err = dec.Skip()
@@ -256,35 +354,38 @@
 	return nil
 }
 
-// NewServiceSpent returns a ServiceSpent with the given fields.
-func NewServiceSpent(service string, requests []int, repeats []int) ServiceSpent {
-	return ServiceSpent{service: service, requests: requests, repeats: repeats}
+// NewRetryUsage returns a RetryUsage with the given fields.
+func NewRetryUsage(gateways int, slot time.Duration, age time.Duration, services []ServiceRetryUsage) RetryUsage {
+	return RetryUsage{gateways: gateways, slot: slot, age: age, services: services}
 }
 
-// Service is its name.
-func (s ServiceSpent) Service() string { return s.service }
+// Gateways is how many gateways shared the reserve.
+func (r RetryUsage) Gateways() int { return r.gateways }
 
-// Requests and repeats are what it got in each slot.
-func (s ServiceSpent) Requests() []int { return s.requests }
+// Slot is the time that each count is of.
+func (r RetryUsage) Slot() time.Duration { return r.slot }
 
-// Repeats returns the field of that name.
-func (s ServiceSpent) Repeats() []int { return s.repeats }
+// Age is how long ago it ended, as far as the teller knows.
+func (r RetryUsage) Age() time.Duration { return r.age }
+
+// Services are the counts by service.
+func (r RetryUsage) Services() []ServiceRetryUsage { return r.services }
 
 // EncodeMsgpack writes the fields in order, as one array.
-func (s ServiceSpent) EncodeMsgpack(enc *msgpack.Encoder) error {
-	if err := enc.EncodeArrayLen(3); err != nil {
+func (r RetryUsage) EncodeMsgpack(enc *msgpack.Encoder) error {
+	if err := enc.EncodeArrayLen(4); err != nil {
 		return err
 	}
-	return enc.EncodeMulti(s.service, s.requests, s.repeats)
+	return enc.EncodeMulti(r.gateways, r.slot, r.age, r.services)
 }
 
 // DecodeMsgpack reads what EncodeMsgpack wrote, of this version or another.
-func (s *ServiceSpent) DecodeMsgpack(dec *msgpack.Decoder) error {
+func (r *RetryUsage) DecodeMsgpack(dec *msgpack.Decoder) error {
 	count, err := dec.DecodeArrayLen()
 	if err != nil {
 		return err
 	}
-	fields := []any{&s.service, &s.requests, &s.repeats}
+	fields := []any{&r.gateways, &r.slot, &r.age, &r.services}
 	for i := 0; i < count; i++ {
 		if i >= len(fields) {
 			err = dec.Skip()
@@ -298,38 +399,35 @@
 	return nil
 }
 
-// NewSpent returns a Spent with the given fields.
-func NewSpent(gateways int, slot time.Duration, age time.Duration, services []ServiceSpent) Spent {
-	return Spent{gateways: gateways, slot: slot, age: age, services: services}
+// NewServiceRetryUsage returns a ServiceRetryUsage with the given fields.
+func NewServiceRetryUsage(service string, requests []int, retries []int) ServiceRetryUsage {
+	return ServiceRetryUsage{service: service, requests: requests, retries: retries}
 }
 
-// Gateways is how many gateways shared the reserve.
-func (s Spent) Gateways() int { return s.gateways }
-
-// Slot is the time that each count is of.
-func (s Spent) Slot() time.Duration { return s.slot }
+// Service is its name.
+func (s ServiceRetryUsage) Service() string { return s.service }
 
-// Age is how long ago it ended, as far as the teller knows.
-func (s Spent) Age() time.Duration { return s.age }
+// Requests and repeats are what it got in each slot.
+func (s ServiceRetryUsage) Requests() []int { return s.requests }
 
-// Services are the counts by service.
-func (s Spent) Services() []ServiceSpent { return s.services }
+// Retries returns the field of that name.
+func (s ServiceRetryUsage) Retries() []int { return s.retries }
 
 // EncodeMsgpack writes the fields in order, as one array.
-func (s Spent) EncodeMsgpack(enc *msgpack.Encoder) error {
-	if err := enc.EncodeArrayLen(4); err != nil {
+func (s ServiceRetryUsage) EncodeMsgpack(enc *msgpack.Encoder) error {
+	if err := enc.EncodeArrayLen(3); err != nil {
 		return err
 	}
-	return enc.EncodeMulti(s.gateways, s.slot, s.age, s.services)
+	return enc.EncodeMulti(s.service, s.requests, s.retries)
 }
 
 // DecodeMsgpack reads what EncodeMsgpack wrote, of this version or another.
-func (s *Spent) DecodeMsgpack(dec *msgpack.Decoder) error {
+func (s *ServiceRetryUsage) DecodeMsgpack(dec *msgpack.Decoder) error {
 	count, err := dec.DecodeArrayLen()
 	if err != nil {
 		return err
 	}
-	fields := []any{&s.gateways, &s.slot, &s.age, &s.services}
+	fields := []any{&s.service, &s.requests, &s.retries}
 	for i := 0; i < count; i++ {
 		if i >= len(fields) {
 			err = dec.Skip()
@@ -344,8 +442,8 @@
 }
 
 // NewUpdate returns a Update with the given fields.
-func NewUpdate(number uint64, document *serviceconfig.Document, weights []Weights, registrations []registry.Registration, confirmed bool, nodes []Node, gateways int, whole bool, peers []Peer, gone []string, loads []Load, demands []Demand, records []quarantine.Record, spent *Spent) Update {
-	return Update{number: number, document: document, weights: weights, registrations: registrations, confirmed: confirmed, nodes: nodes, gateways: gateways, whole: whole, peers: peers, gone: gone, loads: loads, demands: demands, records: records, spent: spent}
+func NewUpdate(number uint64, document *serviceconfig.Document, versions []NamedVersion, registrations []registry.Registration, quorumConfirmed bool, nodes []Node, gateways int, allPeers bool, peers []Peer, removedPeers []string, loads []Load, demands []Demand, records []quarantine.Record, retryUsage *RetryUsage) Update {
+	return Update{number: number, document: document, versions: versions, registrations: registrations, quorumConfirmed: quorumConfirmed, nodes: nodes, gateways: gateways, allPeers: allPeers, peers: peers, removedPeers: removedPeers, loads: loads, demands: demands, records: records, retryUsage: retryUsage}
 }
 
 // Number is the newest document applied at the node; 0 is none.
@@ -354,15 +452,15 @@
 // Document is the one asked for; nil otherwise.
 func (u Update) Document() *serviceconfig.Document { return u.document }
 
-// Weights are the named versions that somebody may still wait for, by model
+// Versions are the named versions that somebody may still wait for, by model
 // and oldest first: some 30 bytes each.
-func (u Update) Weights() []Weights { return u.weights }
+func (u Update) Versions() []NamedVersion { return u.versions }
 
 // Registrations are words that the follower has not heard from this node.
 func (u Update) Registrations() []registry.Registration { return u.registrations }
 
-// Confirmed says that the node heard of a quorum's leader lately.
-func (u Update) Confirmed() bool { return u.confirmed }
+// QuorumConfirmed says that the node heard of a quorum's leader lately.
+func (u Update) QuorumConfirmed() bool { return u.quorumConfirmed }
 
 // Nodes are all control nodes.
 func (u Update) Nodes() []Node { return u.nodes }
@@ -371,15 +469,15 @@
 // where another node is told.
 func (u Update) Gateways() int { return u.gateways }
 
-// Whole says that peers are all that there are; else they have come since.
-func (u Update) Whole() bool { return u.whole }
+// AllPeers says that peers are all that there are; else they have come since.
+func (u Update) AllPeers() bool { return u.allPeers }
 
 // Peers are the followers that this one is to know, and gone the link addresses of
 // those that have left.
 func (u Update) Peers() []Peer { return u.peers }
 
-// Gone returns the field of that name.
-func (u Update) Gone() []string { return u.gone }
+// RemovedPeers returns the field of that name.
+func (u Update) RemovedPeers() []string { return u.removedPeers }
 
 // Loads are those of engines that changed.
 func (u Update) Loads() []Load { return u.loads }
@@ -392,16 +490,16 @@
 // servers ended: for gateways and nodes.
 func (u Update) Records() []quarantine.Record { return u.records }
 
-// Spent is what the gateway had spent that ended in order at the follower's address; nil
+// RetryUsage is what the gateway had spent that ended in order at the follower's address; nil
 // where none did of late, or another has taken its place since.
-func (u Update) Spent() *Spent { return u.spent }
+func (u Update) RetryUsage() *RetryUsage { return u.retryUsage }
 
 // EncodeMsgpack writes the fields in order, as one array.
 func (u Update) EncodeMsgpack(enc *msgpack.Encoder) error {
 	if err := enc.EncodeArrayLen(14); err != nil {
 		return err
 	}
-	return enc.EncodeMulti(u.number, u.document, u.weights, u.registrations, u.confirmed, u.nodes, u.gateways, u.whole, u.peers, u.gone, u.loads, u.demands, u.records, u.spent)
+	return enc.EncodeMulti(u.number, u.document, u.versions, u.registrations, u.quorumConfirmed, u.nodes, u.gateways, u.allPeers, u.peers, u.removedPeers, u.loads, u.demands, u.records, u.retryUsage)
 }
 
 // DecodeMsgpack reads what EncodeMsgpack wrote, of this version or another.
@@ -410,105 +508,7 @@
 	if err != nil {
 		return err
 	}
-	fields := []any{&u.number, &u.document, &u.weights, &u.registrations, &u.confirmed, &u.nodes, &u.gateways, &u.whole, &u.peers, &u.gone, &u.loads, &u.demands, &u.records, &u.spent}
-	for i := 0; i < count; i++ {
-		if i >= len(fields) {
-			err = dec.Skip()
-		} else {
-			err = dec.Decode(fields[i])
-		}
-		if err != nil {
-			return err
-		}
-	}
-	return nil
-}
-
-// NewWeights returns a Weights with the given fields.
-func NewWeights(model string, version uint64, age time.Duration) Weights {
-	return Weights{model: model, version: version, age: age}
-}
-
-// Model is the model's name.
-func (w Weights) Model() string { return w.model }
-
-// Version is a named version.
-func (w Weights) Version() uint64 { return w.version }
-
-// Age is how long ago it was named at least, as far as the teller knows.
-func (w Weights) Age() time.Duration { return w.age }
-
-// EncodeMsgpack writes the fields in order, as one array.
-func (w Weights) EncodeMsgpack(enc *msgpack.Encoder) error {
-	if err := enc.EncodeArrayLen(3); err != nil {
-		return err
-	}
-	return enc.EncodeMulti(w.model, w.version, w.age)
-}
-
-// DecodeMsgpack reads what EncodeMsgpack wrote, of this version or another.
-func (w *Weights) DecodeMsgpack(dec *msgpack.Decoder) error {
-	count, err := dec.DecodeArrayLen()
-	if err != nil {
-		return err
-	}
-	fields := []any{&w.model, &w.version, &w.age}
-	for i := 0; i < count; i++ {
-		if i >= len(fields) {
-			err = dec.Skip()
-		} else {
-			err = dec.Decode(fields[i])
-		}
-		if err != nil {
-			return err
-		}
-	}
-	return nil
-}
-
-// NewWord returns a Word with the given fields.
-func NewWord(ask bool, load *Load, demand float64, subscription Subscription, records []quarantine.Record, trial quarantine.Fingerprint, spent *Spent) Word {
-	return Word{ask: ask, load: load, demand: demand, subscription: subscription, records: records, trial: trial, spent: spent}
-}
-
-// Ask asks for the document that the node holds.
-func (w Word) Ask() bool { return w.ask }
-
-// Load is the load of the engine beside a stager; nil otherwise.
-func (w Word) Load() *Load { return w.load }
-
-// Demand is how many requests for engines come to a gateway, a second; 0 in
-// a Word that tells something else.
-func (w Word) Demand() float64 { return w.demand }
-
-// Subscription changes what the follower wants to be told.
-func (w Word) Subscription() Subscription { return w.subscription }
-
-// Records are what the follower has learnt of requests under which servers ended, and
-// in its first Word all that it knows: a node that has started anew learns them so.
-func (w Word) Records() []quarantine.Record { return w.records }
-
-// Trial is a barred request that a gateway asks to try once more; else empty.
-func (w Word) Trial() quarantine.Fingerprint { return w.trial }
-
-// Spent is the last word of a gateway that ends in order; nil in all others.
-func (w Word) Spent() *Spent { return w.spent }
-
-// EncodeMsgpack writes the fields in order, as one array.
-func (w Word) EncodeMsgpack(enc *msgpack.Encoder) error {
-	if err := enc.EncodeArrayLen(7); err != nil {
-		return err
-	}
-	return enc.EncodeMulti(w.ask, w.load, w.demand, w.subscription, w.records, w.trial, w.spent)
-}
-
-// DecodeMsgpack reads what EncodeMsgpack wrote, of this version or another.
-func (w *Word) DecodeMsgpack(dec *msgpack.Decoder) error {
-	count, err := dec.DecodeArrayLen()
-	if err != nil {
-		return err
-	}
-	fields := []any{&w.ask, &w.load, &w.demand, &w.subscription, &w.records, &w.trial, &w.spent}
+	fields := []any{&u.number, &u.document, &u.versions, &u.registrations, &u.quorumConfirmed, &u.nodes, &u.gateways, &u.allPeers, &u.peers, &u.removedPeers, &u.loads, &u.demands, &u.records, &u.retryUsage}
 	for i := 0; i < count; i++ {
 		if i >= len(fields) {
 			err = dec.Skip()
--- a/pkg/gateway/attempt.go
+++ b/pkg/gateway/attempt.go
@@ -218,7 +218,7 @@
 	}
 	if told.Elsewhere(x.backend.word().Incarnation()) {
 		word := x.backend.word()
-		x.gateway.backends.depart(word.Incarnation(), word.Born())
+		x.gateway.backends.depart(word.Incarnation(), word.StartedAt())
 		x.gateway.note(q, attemptElsewhere, "the address belongs to "+told.Incarnation)
 		return false
 	}
--- a/pkg/gateway/backend.go
+++ b/pkg/gateway/backend.go
@@ -100,7 +100,7 @@
 func (b *backend) hear(r registry.Registration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if r.Follows(b.registration) {
+	if r.Supersedes(b.registration) {
 		b.registration = r
 	}
 }
@@ -137,7 +137,7 @@
 		inFlight: b.inFlight, work: b.work, failureRate: b.failureRate, pace: b.pace,
 		resting: now.Before(b.restUntil),
 		oldest:  b.waits.oldest(now), lost: b.lost,
-		asked: b.isAsked(now), unanswered: now.Before(b.unaskedUntil) && !(b.told.isFresh(now) && b.told.load.Exchanging()),
+		asked: b.isAsked(now), unanswered: now.Before(b.unaskedUntil) && !(b.told.isFresh(now) && b.told.load.Transferring()),
 		full: now.Before(b.fullUntil), state: r.State(), domain: r.Domain(),
 		heldUntil: b.limit.heldUntil, nextPermit: b.limit.nextAt, limited: b.limit.named, perSecond: b.limit.perSecond,
 	}
@@ -220,7 +220,7 @@
 func (b *backend) isExchanging(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.told.isFresh(now) && b.told.load.Exchanging()
+	return b.told.isFresh(now) && b.told.load.Transferring()
 }
 
 // takeBackMargin is how long before its version lapses a request that waits here is taken
@@ -228,7 +228,7 @@
 func (b *backend) takeBackMargin() time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.told.load.Exchanging() {
+	if b.told.load.Transferring() {
 		return chunksMargin
 	}
 	return lapseMargin
--- a/pkg/gateway/backends.go
+++ b/pkg/gateway/backends.go
@@ -72,7 +72,7 @@
 // hear takes the word of a backend server.
 func (t *backends) hear(r registry.Registration) {
 	if r.State() == registry.Gone {
-		t.depart(r.Incarnation(), r.Born())
+		t.depart(r.Incarnation(), r.StartedAt())
 		return
 	}
 	if t.hasDeparted(r) {
@@ -88,7 +88,7 @@
 		s.services[r.Service()] = service
 	}
 	if b := service[r.Incarnation()]; b != nil {
-		if b.word().Born() >= r.Born() {
+		if b.word().StartedAt() >= r.StartedAt() {
 			b.hear(r)
 			return
 		}
@@ -108,11 +108,11 @@
 // endEarlierStarts ends what is known of an incarnation's starts before the one of a word:
 // the later one may be of another service, or at another address.
 func (t *backends) endEarlierStarts(r registry.Registration) {
-	if r.Born() == 0 {
+	if r.StartedAt() == 0 {
 		return
 	}
 	t.each(func(b *backend, id string) {
-		if id == r.Incarnation() && b.word().Born() < r.Born() {
+		if id == r.Incarnation() && b.word().StartedAt() < r.StartedAt() {
 			b.isGone()
 		}
 	})
@@ -129,7 +129,7 @@
 	t.departed[incarnation] = departure{max(born, t.departed[incarnation].born), time.Now()}
 	t.departedLock.Unlock()
 	t.each(func(b *backend, id string) {
-		if id == incarnation && b.word().Born() <= born {
+		if id == incarnation && b.word().StartedAt() <= born {
 			b.isGone()
 		}
 	})
@@ -139,7 +139,7 @@
 func (t *backends) latestStart(incarnation string) (born uint64) {
 	t.each(func(b *backend, id string) {
 		if id == incarnation {
-			born = max(born, b.word().Born())
+			born = max(born, b.word().StartedAt())
 		}
 	})
 	return born
@@ -150,7 +150,7 @@
 	t.departedLock.Lock()
 	defer t.departedLock.Unlock()
 	d, gone := t.departed[r.Incarnation()]
-	return gone && r.Born() <= d.born
+	return gone && r.StartedAt() <= d.born
 }
 
 // each calls f with every backend server and its incarnation.
--- a/pkg/gateway/choose.go
+++ b/pkg/gateway/choose.go
@@ -172,7 +172,7 @@
 		return capacity
 	}
 	for _, c := range all {
-		perSecond := 1 / (turn * max(c.load.told.load.Pace(), 1))
+		perSecond := 1 / (turn * max(c.load.told.load.StepTimeRatio(), 1))
 		if c.load.limited {
 			perSecond = min(perSecond, c.load.perSecond)
 		}
@@ -201,7 +201,7 @@
 	}
 	var told time.Duration
 	if ahead := l.told.taken() - w.engine.Slots() + 1; l.fresh && ahead > 0 {
-		told = time.Duration(float64(ahead) * float64(w.engine.Turn()) * max(l.told.load.Pace(), 1))
+		told = time.Duration(float64(ahead) * float64(w.engine.Turn()) * max(l.told.load.StepTimeRatio(), 1))
 		// Part of the wait is over: else an engine that is heard of only when it is asked
 		// is not asked again for toldLife, and stands empty meanwhile.
 		told = max(told-l.toldAge, 0)
@@ -229,7 +229,7 @@
 	total := float64(l.work+w.work) + float64(l.inFlight+1)*float64(unitWork)
 	pace := l.pace
 	if l.fresh && w.engine.Slots() > 0 {
-		pace = max(l.told.load.Pace(), 1)
+		pace = max(l.told.load.StepTimeRatio(), 1)
 		total += float64(w.waitAt(l)) + float64(l.told.load.Running()+l.told.load.Queued())*float64(sharedWork)
 	}
 	if pace > 0 {
--- a/pkg/gateway/demand.go
+++ b/pkg/gateway/demand.go
@@ -60,7 +60,7 @@
 
 // tellDemand tells the control nodes the demand here until the context ends.
 func (g *Gateway) tellDemand(ctx context.Context) error {
-	return daemon.Every(ctx, tellDemandEvery, func() { g.follower.TellDemand(g.demand.rate(time.Now())) })
+	return daemon.Every(ctx, tellDemandEvery, func() { g.follower.ReportDemand(g.demand.rate(time.Now())) })
 }
 
 // shares are the parts of the engines' places that are for requests from here.
--- a/pkg/gateway/gateway.go
+++ b/pkg/gateway/gateway.go
@@ -56,7 +56,7 @@
 	protocol Protocol
 	follower *feed.Follower
 	backends *backends
-	versions *feed.Versions
+	versions *feed.VersionTable
 	waiting  *waitingSet
 	fleet    fleet
 	budget   *budget
@@ -110,7 +110,7 @@
 	}
 	g := &Gateway{
 		settings: s, process: process, protocol: protocol, running: context.Background(),
-		backends: newBackends(), versions: feed.NewVersions(), waiting: newWaitingSet(),
+		backends: newBackends(), versions: feed.NewVersionTable(), waiting: newWaitingSet(),
 		suspension: suspension.New(), stop: newPlannedStop(),
 		budget:     newBudget(s.RetryRatio(), s.RetryReserve(), s.RetryWindow()),
 		metrics:    newMetrics(process.Registry),
@@ -120,17 +120,17 @@
 	}
 	g.seeds = daemon.NewSeeds(path, s, settings.LoadGateway, process.Logger)
 	g.follower = &feed.Follower{
-		Endpoint: process.Endpoint,
-		Hello:    feed.NewHello(feed.RoleGateway, process.Identity, "", "", nil, false),
-		Seeds:    func() []string { return link.WithPortOf(g.seeds.Get(), process.Identity.Address()) },
-		Held:     g.index.Number,
-		Take:     g.take,
-		Weights:  func() []feed.Weights { return g.versions.Weights(time.Now()) },
-		Records:  g.quarantine.Records,
-		Logger:   process.Logger,
+		Endpoint:       process.Endpoint,
+		Hello:          feed.NewHello(feed.RoleGateway, process.Identity, "", "", nil, false),
+		Seeds:          func() []string { return link.WithPortOf(g.seeds.Get(), process.Identity.Address()) },
+		DocumentNumber: g.index.Number,
+		OnUpdate:       g.take,
+		Versions:       func() []feed.NamedVersion { return g.versions.Current(time.Now()) },
+		Records:        g.quarantine.Records,
+		Logger:         process.Logger,
 	}
 	g.waitForEnd = waitForEnd
-	g.tellRecords, g.askTrial = g.follower.TellRecords, g.follower.AskTrial
+	g.tellRecords, g.askTrial = g.follower.ReportRecords, g.follower.RequestTrial
 	g.suspension.OnResume(g.resumed)
 	g.suspension.OnResume(process.LogSuspension)
 	g.heardDemands = g.follower.Demands
@@ -151,12 +151,12 @@
 	for _, l := range u.Loads() {
 		g.backends.hearLoad(l)
 	}
-	if moves := g.versions.Take(u.Weights(), time.Now()); len(moves) > 0 {
-		feed.LogMoves(g.process.Logger, moves, string(feed.RoleNode), address)
+	if moves := g.versions.Merge(u.Versions(), time.Now()); len(moves) > 0 {
+		feed.LogVersionChanges(g.process.Logger, moves, string(feed.RoleNode), address)
 		g.waiting.lookNow()
 	}
 	g.learnRecords(u.Records())
-	g.inheritSpent(u.Spent())
+	g.inheritSpent(u.RetryUsage())
 	d := u.Document()
 	if d == nil || !g.index.Raise(*d) {
 		return
@@ -168,7 +168,7 @@
 // resumed makes what is known count how long the VM was suspended: ages of versions, and
 // loads that were told before. Attempts that wait look at once whether they still may.
 func (g *Gateway) resumed(suspended time.Duration) {
-	g.versions.Suspended(suspended)
+	g.versions.AddSuspension(suspended)
 	g.backends.each(func(b *backend, _ string) { b.suspended(suspended) })
 	g.waiting.lookNow()
 }
--- a/pkg/gateway/inherit.go
+++ b/pkg/gateway/inherit.go
@@ -22,11 +22,11 @@
 const inheritWithin = 5 * time.Second
 
 // spent is what this gateway has spent, the last slot first.
-func (b *budget) spent(gateways int) feed.Spent {
+func (b *budget) spent(gateways int) feed.RetryUsage {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.advance()
-	var all []feed.ServiceSpent
+	var all []feed.ServiceRetryUsage
 	for _, name := range slices.Sorted(maps.Keys(b.services)) {
 		s := b.services[name]
 		requests, repeats := make([]int, budgetSlots), make([]int, budgetSlots)
@@ -34,14 +34,14 @@
 			i := (b.current - back + budgetSlots) % budgetSlots
 			requests[back], repeats[back] = s.requests[i], s.repeats[i]
 		}
-		all = append(all, feed.NewServiceSpent(name, requests, repeats))
+		all = append(all, feed.NewServiceRetryUsage(name, requests, repeats))
 	}
-	return feed.NewSpent(gateways, b.slot, 0, all)
+	return feed.NewRetryUsage(gateways, b.slot, 0, all)
 }
 
 // inherit counts what the gateway before this one had spent; false where that can't be
 // compared, is counted already, or is of one that ended long before.
-func (b *budget) inherit(spent feed.Spent) bool {
+func (b *budget) inherit(spent feed.RetryUsage) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	before := spent.Age() - b.now().Sub(b.started)
@@ -53,7 +53,7 @@
 	passed := int(spent.Age() / b.slot)
 	for _, one := range spent.Services() {
 		s := b.of(one.Service())
-		for back, n := range one.Repeats() {
+		for back, n := range one.Retries() {
 			b.put(&s.repeats, max(passed+back-1, 0), n)
 		}
 		for back, n := range one.Requests() {
@@ -72,7 +72,7 @@
 }
 
 // inheritSpent takes what the gateway that ended in order before this one had spent.
-func (g *Gateway) inheritSpent(spent *feed.Spent) {
+func (g *Gateway) inheritSpent(spent *feed.RetryUsage) {
 	if spent == nil || !g.budget.inherit(*spent) {
 		return
 	}
@@ -91,5 +91,5 @@
 // tellSpent tells control nodes what this gateway has spent, when it sends nothing more.
 func (g *Gateway) tellSpent() {
 	g.budget.end()
-	g.follower.TellSpent(g.budget.spent(g.gateways()))
+	g.follower.ReportRetryUsage(g.budget.spent(g.gateways()))
 }
--- a/pkg/gateway/inherit_test.go
+++ b/pkg/gateway/inherit_test.go
@@ -23,7 +23,7 @@
 	told := f.gateways[i].spent(fleetSize)
 	f.restart(i)
 	if after >= 0 {
-		f.gateways[i].inherit(feed.NewSpent(told.Gateways(), told.Slot(), after, told.Services()))
+		f.gateways[i].inherit(feed.NewRetryUsage(told.Gateways(), told.Slot(), after, told.Services()))
 	}
 }
 
@@ -107,7 +107,7 @@
 		full := int(safety * 40)
 		for now.Sub(spentAt) < fleetWindow {
 			counted := 0
-			for _, n := range after.spent(1).Services()[0].Repeats() {
+			for _, n := range after.spent(1).Services()[0].Retries() {
 				counted += n
 			}
 			if counted != 1 {
@@ -135,7 +135,7 @@
 // A word of long ago is not followed: another gateway may have been there since.
 func TestOldWordsAreNotFollowed(t *testing.T) {
 	told := newBudget(10, 40, fleetWindow).spent(1)
-	old := feed.NewSpent(told.Gateways(), told.Slot(), inheritWithin+time.Second, told.Services())
+	old := feed.NewRetryUsage(told.Gateways(), told.Slot(), inheritWithin+time.Second, told.Services())
 	if newBudget(10, 40, fleetWindow).inherit(old) {
 		t.Error("a word of long before the start was taken")
 	}
--- a/pkg/gateway/lapse_test.go
+++ b/pkg/gateway/lapse_test.go
@@ -77,12 +77,12 @@
 // hearNamed has the gateway know that version 2 was named, when so much of its time is
 // left; it is not woken.
 func (f *fixture) hearNamed(left time.Duration) {
-	f.gateway.versions.Hear(f.namedUpdate(left).Weights(), time.Now())
+	f.gateway.versions.Add(f.namedUpdate(left).Versions(), time.Now())
 }
 
 // namedUpdate is a control node's word of it.
 func (f *fixture) namedUpdate(left time.Duration) feed.Update {
-	named := []feed.Weights{feed.NewWeights("menu", 2, f.gateway.settings.WeightsWithin()-left)}
+	named := []feed.NamedVersion{feed.NewNamedVersion("menu", 2, f.gateway.settings.WeightsWithin()-left)}
 	return feed.NewUpdate(0, nil, named, nil, true, nil, 0, false, nil, nil, nil, nil, nil, nil)
 }
 
--- a/pkg/gateway/lend_test.go
+++ b/pkg/gateway/lend_test.go
@@ -35,7 +35,7 @@
 		t.Fatalf("%d %q %v", status, body, err)
 	}
 	counted := 0
-	for _, n := range lender.budget.spent(1).Services()[0].Repeats() {
+	for _, n := range lender.budget.spent(1).Services()[0].Retries() {
 		counted += n
 	}
 	if counted != 1 {
--- a/pkg/gateway/limit_heard.go
+++ b/pkg/gateway/limit_heard.go
@@ -108,7 +108,7 @@
 		return a, false
 	}
 	r := b.registration
-	server := serverlimit.NewServer(r.Incarnation(), r.Born(), r.Domain())
+	server := serverlimit.NewServer(r.Incarnation(), r.StartedAt(), r.Domain())
 	return serverlimit.NewAsk(server, b.limit.perSecond, b.limit.news, time.Since(b.limit.sent)), true
 }
 
--- a/pkg/gateway/places.go
+++ b/pkg/gateway/places.go
@@ -73,7 +73,7 @@
 // endedSince is how many requests a full engine has ended since the word; 0 when
 // it is not known how long they take.
 func (t toldLoad) endedSince(e serviceconfig.Engine, now time.Time) float64 {
-	turn := float64(e.Turn()) * max(t.load.Pace(), 1)
+	turn := float64(e.Turn()) * max(t.load.StepTimeRatio(), 1)
 	if turn <= 0 {
 		return 0
 	}
--- a/pkg/gateway/quarantine.go
+++ b/pkg/gateway/quarantine.go
@@ -107,7 +107,7 @@
 // endOfServer is what is told of the backend server if it ended under the attempt.
 func (x *exchange) endOfServer() quarantine.End {
 	word := x.backend.word()
-	return quarantine.NewEnd(word.Incarnation(), word.Born(), word.Domain(), x.request.build, x.request.knownEnds, 0)
+	return quarantine.NewEnd(word.Incarnation(), word.StartedAt(), word.Domain(), x.request.build, x.request.knownEnds, 0)
 }
 
 // sawEnd notes that the backend server ended while it had the request.
--- a/pkg/gateway/reserve.go
+++ b/pkg/gateway/reserve.go
@@ -265,7 +265,7 @@
 func (b *backend) reserveTimeout(now time.Time) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.told.isFresh(now) && b.told.load.Exchanging() {
+	if b.told.isFresh(now) && b.told.load.Transferring() {
 		return exchangingTimeout
 	}
 	return reserveTimeout
--- a/pkg/gateway/stream_world_test.go
+++ b/pkg/gateway/stream_world_test.go
@@ -267,7 +267,7 @@
 	}
 	w.mu.Lock()
 	for version, at := range w.named {
-		g.versions.Hear([]feed.Weights{feed.NewWeights("menu", version, time.Since(at))}, time.Now())
+		g.versions.Add([]feed.NamedVersion{feed.NewNamedVersion("menu", version, time.Since(at))}, time.Now())
 	}
 	w.begun = append(w.begun, g)
 	w.mu.Unlock()
@@ -313,7 +313,7 @@
 		for _, m := range w.members {
 			time.AfterFunc(w.between(0, loadLag), func() {
 				g := m.process()
-				g.versions.Hear([]feed.Weights{feed.NewWeights("menu", version, loadLag/2)}, time.Now())
+				g.versions.Add([]feed.NamedVersion{feed.NewNamedVersion("menu", version, loadLag/2)}, time.Now())
 				g.waiting.lookNow()
 			})
 		}
--- a/pkg/gateway/suspended_test.go
+++ b/pkg/gateway/suspended_test.go
@@ -29,7 +29,7 @@
 func TestAgesCountASuspension(t *testing.T) {
 	const suspended = 4 * time.Second
 	g, suspend := suspendable(t)
-	g.versions.Take([]feed.Weights{feed.NewWeights("menu", 2, time.Second)}, time.Now())
+	g.versions.Merge([]feed.NamedVersion{feed.NewNamedVersion("menu", 2, time.Second)}, time.Now())
 	g.backends.hear(registry.NewRegistration("i-1", "menu", "127.0.0.1:9", "hall-a", "v1", 4, registry.Ready, 0, nil, 1, 0))
 	g.backends.hearLoad(feed.NewLoad("menu", "127.0.0.1:9", "menu", 2, 1, 0, 1, false, false))
 	q := &request{deadline: time.Now().Add(5 * time.Second), suspension: g.suspension, suspendedBefore: g.suspension.Total()}
--- a/pkg/gateway/told_test.go
+++ b/pkg/gateway/told_test.go
@@ -12,13 +12,13 @@
 // time, and tells them to nodes that start anew after it.
 func TestGatewayKeepsTheAgesOfAllNamedVersions(t *testing.T) {
 	g := newFixture(t, serviceconfig.Repeatable, false).gateway
-	for _, told := range [][]feed.Weights{
-		{feed.NewWeights("menu", 2, 0), feed.NewWeights("menu", 3, 0)},
-		{feed.NewWeights("menu", 2, time.Hour), feed.NewWeights("menu", 3, time.Minute)},
+	for _, told := range [][]feed.NamedVersion{
+		{feed.NewNamedVersion("menu", 2, 0), feed.NewNamedVersion("menu", 3, 0)},
+		{feed.NewNamedVersion("menu", 2, time.Hour), feed.NewNamedVersion("menu", 3, time.Minute)},
 	} {
 		g.take("10.0.0.9:7700", feed.NewUpdate(0, nil, told, nil, true, nil, 0, false, nil, nil, nil, nil, nil, nil))
 	}
-	kept := g.follower.Weights()
+	kept := g.follower.Versions()
 	if len(kept) != 2 || kept[0].Version() != 2 || kept[0].Age() < time.Hour || kept[1].Age() < time.Minute {
 		t.Fatalf("kept %v", kept)
 	}
--- a/pkg/gateway/versions_test.go
+++ b/pkg/gateway/versions_test.go
@@ -9,10 +9,10 @@
 
 // A version that is overtaken by a later one is still due at its own time.
 func TestEarlierVersionStaysDue(t *testing.T) {
-	table := feed.NewVersions()
+	table := feed.NewVersionTable()
 	start := time.Unix(100, 0)
-	table.Hear([]feed.Weights{feed.NewWeights("menu", 2, 0)}, start)
-	table.Hear([]feed.Weights{feed.NewWeights("menu", 3, 0)}, start.Add(2*time.Second))
+	table.Add([]feed.NamedVersion{feed.NewNamedVersion("menu", 2, 0)}, start)
+	table.Add([]feed.NamedVersion{feed.NewNamedVersion("menu", 3, 0)}, start.Add(2*time.Second))
 	if v := table.Due("menu", 7*time.Second, start.Add(8*time.Second)); v != 2 {
 		t.Fatalf("8 s after version 2 was named, version %d is due", v)
 	}
--- a/pkg/gateway/waits_test.go
+++ b/pkg/gateway/waits_test.go
@@ -63,10 +63,10 @@
 
 // Where requests are slow to begin, an old version is left earlier.
 func TestVersionLapses(t *testing.T) {
-	table := feed.NewVersions()
+	table := feed.NewVersionTable()
 	now := time.Now()
-	table.Hear([]feed.Weights{feed.NewWeights("menu", 2, 5*time.Second)}, now)
-	table.Hear([]feed.Weights{feed.NewWeights("menu", 3, time.Second)}, now)
+	table.Add([]feed.NamedVersion{feed.NewNamedVersion("menu", 2, 5*time.Second)}, now)
+	table.Add([]feed.NamedVersion{feed.NewNamedVersion("menu", 3, time.Second)}, now)
 	if at := table.Next("menu", 1).Since().Add(8 * time.Second); at.Sub(now).Round(time.Second) != 3*time.Second {
 		t.Fatalf("version 1 lapses in %s", at.Sub(now))
 	}
--- a/pkg/registry/registration.go
+++ b/pkg/registry/registration.go
@@ -52,16 +52,16 @@
 	slots int
 	// state is where it stands in its life.
 	state State
-	// cold is how much longer it is slow from its start.
-	cold time.Duration
+	// warmupLeft is how much longer it is slow from its start.
+	warmupLeft time.Duration
 	// holdings are the weights that it serves.
 	holdings []Holding
 	// sequence rises with each word of one start.
 	sequence uint64
-	// born is when the backend server started, in Unix milliseconds; 0 when it does not
+	// startedAt is when the backend server started, in Unix milliseconds; 0 when it does not
 	// say. One that starts again may keep its incarnation, and counts and holds anew. In a
 	// word that one is gone it is the latest start that the word may be of.
-	born uint64
+	startedAt uint64
 }
 
 // Holding is a range of layers of one version of a model.
@@ -77,21 +77,21 @@
 	to   int
 }
 
-// mostSlots bounds what a backend server may say of its places: some hundred times what any
+// maxSlots bounds what a backend server may say of its places: some hundred times what any
 // has.
-const mostSlots = 1 << 14
+const maxSlots = 1 << 14
 
-// Check tells what is odd about what a backend server says of itself. Another program may
+// Validate tells what is odd about what a backend server says of itself. Another program may
 // write entries of its own, and what those name is no backend server to use.
-func (r Registration) Check() error {
+func (r Registration) Validate() error {
 	address, err := netip.ParseAddrPort(r.address)
 	switch {
 	case r.incarnation == "" || r.service == "":
 		return failure.New(failure.BadRequest, "incarnation %q, service %q: neither may be missing", r.incarnation, r.service)
 	case err != nil || address.Port() == 0 || address.Addr().IsUnspecified():
 		return failure.New(failure.BadRequest, "address %q is not IP:PORT", r.address)
-	case r.slots < 1 || r.slots > mostSlots:
-		return failure.New(failure.BadRequest, "slots %d are not from 1 to %d", r.slots, mostSlots)
+	case r.slots < 1 || r.slots > maxSlots:
+		return failure.New(failure.BadRequest, "slots %d are not from 1 to %d", r.slots, maxSlots)
 	}
 	return nil
 }
@@ -100,23 +100,23 @@
 // at the earliest.
 func (r Registration) AsGone(born uint64) Registration {
 	r.state = Gone
-	r.born = max(r.born, born)
+	r.startedAt = max(r.startedAt, born)
 	return r
 }
 
-// Follows tells whether a word may take the place of an earlier one of its incarnation:
+// Supersedes tells whether a word may take the place of an earlier one of its incarnation:
 // it is of a later start, or of the same and not older. Leaving is final for a start. Words
 // of followers come in any order, and those that a cut held up after those of a later
 // start.
-func (r Registration) Follows(old Registration) bool {
+func (r Registration) Supersedes(old Registration) bool {
 	switch {
 	case r.state == Gone && old.state == Gone:
 		// Nodes tell each other again: what is known by then must not seem heard of anew.
-		return r.born > old.born
+		return r.startedAt > old.startedAt
 	case r.state == Gone:
-		return r.born == 0 || r.born >= old.born
-	case r.born != old.born:
-		return r.born > old.born
+		return r.startedAt == 0 || r.startedAt >= old.startedAt
+	case r.startedAt != old.startedAt:
+		return r.startedAt > old.startedAt
 	case r.sequence < old.sequence:
 		return false
 	}
@@ -145,9 +145,9 @@
 	return version
 }
 
-// sameWord tells whether followers would learn nothing new from o.
-func (r Registration) sameWord(o Registration) bool {
-	if r.born != o.born || r.service != o.service || r.address != o.address || r.domain != o.domain ||
+// hasSameContent tells whether followers would learn nothing new from o.
+func (r Registration) hasSameContent(o Registration) bool {
+	if r.startedAt != o.startedAt || r.service != o.service || r.address != o.address || r.domain != o.domain ||
 		r.slots != o.slots || r.state != o.state || len(r.holdings) != len(o.holdings) {
 		return false
 	}
@@ -156,5 +156,5 @@
 			return false
 		}
 	}
-	return (r.cold > 0) == (o.cold > 0)
+	return (r.warmupLeft > 0) == (o.warmupLeft > 0)
 }
--- a/pkg/registry/table.go
+++ b/pkg/registry/table.go
@@ -21,7 +21,7 @@
 // entry is a registration and when it was last heard.
 type entry struct {
 	registration Registration
-	heard        time.Time
+	receivedAt   time.Time
 	relayed      bool // another node told of it: its heartbeats do not come here
 }
 
@@ -53,40 +53,40 @@
 	return &t.shards[xxhash.Sum64String(incarnation)%shardCount]
 }
 
-// Hear takes a word of a backend server itself and tells whether others have to
+// Receive takes a word of a backend server itself and tells whether others have to
 // hear of it: it is new, it differs, or the words between went to another node.
-func (t *Table) Hear(r Registration) (changed bool) {
-	old, known, taken := t.put(r, false)
+func (t *Table) Receive(r Registration) (changed bool) {
+	old, known, taken := t.store(r, false)
 	before := old.registration
-	return taken && (!known || old.relayed || !r.sameWord(before) || r.sequence > before.sequence+1)
+	return taken && (!known || old.relayed || !r.hasSameContent(before) || r.sequence > before.sequence+1)
 }
 
-// HearRelayed takes a word that another node told, and returns what others have to
+// ReceiveRelayed takes a word that another node told, and returns what others have to
 // hear: r where it is new or differs, or the word held where r calls a backend
 // server silent whose heartbeats come here. Unlike the backend server's own word it
 // says nothing of when the next one is due.
-func (t *Table) HearRelayed(r Registration) (word Registration, tell bool) {
-	old, known, taken := t.put(r, true)
+func (t *Table) ReceiveRelayed(r Registration) (word Registration, tell bool) {
+	old, known, taken := t.store(r, true)
 	if !taken {
 		held := old.registration
 		return held, r.state == Silent && held.state == Ready && !old.relayed
 	}
-	return r, !known || !r.sameWord(old.registration)
+	return r, !known || !r.hasSameContent(old.registration)
 }
 
-// put takes a word unless the one held goes before it.
-func (t *Table) put(r Registration, relayed bool) (old entry, known, taken bool) {
+// store takes a word unless the one held goes before it.
+func (t *Table) store(r Registration, relayed bool) (old entry, known, taken bool) {
 	s := t.shard(r.incarnation)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	old, known = s.entries[r.incarnation]
-	if known && !r.Follows(old.registration) {
+	if known && !r.Supersedes(old.registration) {
 		return old, known, false
 	}
 	if r.state == Gone {
-		r = r.AsGone(old.registration.born)
+		r = r.AsGone(old.registration.startedAt)
 	}
-	if known && relayed && r.sequence == old.registration.sequence && r.sameWord(old.registration) {
+	if known && relayed && r.sequence == old.registration.sequence && r.hasSameContent(old.registration) {
 		// The same word again: who hears the heartbeats goes on doing so.
 		relayed = old.relayed
 	}
@@ -94,10 +94,10 @@
 	return old, known, true
 }
 
-// leaveSlack is how far clocks may differ. A backend server that leaves does not say which
+// maxClockSkew is how far clocks may differ. A backend server that leaves does not say which
 // start it is of, so the word is of all that began by the time here, less this. One that
 // starts again does so seconds later, and is not kept out by a clock that is ahead.
-const leaveSlack = 10 * time.Second
+const maxClockSkew = 10 * time.Second
 
 // Leave marks an incarnation as gone and returns its last word. A start that is known is
 // gone whenever it began.
@@ -109,8 +109,8 @@
 	r := held.registration
 	r.incarnation = incarnation
 	changed := !known || r.state != Gone
-	r = r.AsGone(uint64(max(t.now().Add(-leaveSlack).UnixMilli(), 0)))
-	s.entries[incarnation] = entry{registration: r, heard: t.now()}
+	r = r.AsGone(uint64(max(t.now().Add(-maxClockSkew).UnixMilli(), 0)))
+	s.entries[incarnation] = entry{registration: r, receivedAt: t.now()}
 	return r, changed
 }
 
@@ -125,13 +125,13 @@
 
 // Direct returns the words of the backend servers whose heartbeats come here.
 func (t *Table) Direct() []Registration {
-	return t.pick(func(e entry) bool { return !e.relayed })
+	return t.filter(func(e entry) bool { return !e.relayed })
 }
 
 // All returns every word, sorted by incarnation.
-func (t *Table) All() []Registration { return t.pick(func(entry) bool { return true }) }
+func (t *Table) All() []Registration { return t.filter(func(entry) bool { return true }) }
 
-func (t *Table) pick(want func(entry) bool) []Registration {
+func (t *Table) filter(want func(entry) bool) []Registration {
 	var picked []Registration
 	for i := range t.shards {
 		s := &t.shards[i]
@@ -147,8 +147,8 @@
 	return picked
 }
 
-// Patience is how long a table waits for the next word.
-type Patience struct {
+// Timeouts is how long a table waits for the next word.
+type Timeouts struct {
 	// Direct is how long a backend server may say nothing here, and Relayed how
 	// long another node may say nothing of it, until it is silent.
 	Direct, Relayed time.Duration
@@ -158,19 +158,19 @@
 
 // Sweep marks what was not heard in time as silent, forgets what was not heard
 // for long, and returns the words that changed.
-func (t *Table) Sweep(p Patience) []Registration {
+func (t *Table) Sweep(p Timeouts) []Registration {
 	var changed []Registration
 	now := t.now()
 	for i := range t.shards {
 		s := &t.shards[i]
 		s.mu.Lock()
 		for id, e := range s.entries {
-			age := now.Sub(e.heard)
+			age := now.Sub(e.receivedAt)
 			if age > p.Forget {
 				delete(s.entries, id)
 				continue
 			}
-			if age > p.of(e) && e.registration.state == Ready {
+			if age > p.silenceTimeout(e) && e.registration.state == Ready {
 				e.registration.state = Silent
 				s.entries[id] = e
 				changed = append(changed, e.registration)
@@ -181,7 +181,7 @@
 	return changed
 }
 
-func (p Patience) of(e entry) time.Duration {
+func (p Timeouts) silenceTimeout(e entry) time.Duration {
 	if e.relayed {
 		return p.Relayed
 	}
--- a/pkg/registry/wire_generated.go
+++ b/pkg/registry/wire_generated.go
@@ -54,8 +54,8 @@
 }
 
 // NewRegistration returns a Registration with the given fields.
-func NewRegistration(incarnation string, service string, address string, domain string, software string, slots int, state State, cold time.Duration, holdings []Holding, sequence uint64, born uint64) Registration {
-	return Registration{incarnation: incarnation, service: service, address: address, domain: domain, software: software, slots: slots, state: state, cold: cold, holdings: holdings, sequence: sequence, born: born}
+func NewRegistration(incarnation string, service string, address string, domain string, software string, slots int, state State, warmupLeft time.Duration, holdings []Holding, sequence uint64, startedAt uint64) Registration {
+	return Registration{incarnation: incarnation, service: service, address: address, domain: domain, software: software, slots: slots, state: state, warmupLeft: warmupLeft, holdings: holdings, sequence: sequence, startedAt: startedAt}
 }
 
 // Incarnation is the identity of the backend server.
@@ -79,8 +79,8 @@
 // State is where it stands in its life.
 func (r Registration) State() State { return r.state }
 
-// Cold is how much longer it is slow from its start.
-func (r Registration) Cold() time.Duration { return r.cold }
+// WarmupLeft is how much longer it is slow from its start.
+func (r Registration) WarmupLeft() time.Duration { return r.warmupLeft }
 
 // Holdings are the weights that it serves.
 func (r Registration) Holdings() []Holding { return r.holdings }
@@ -88,17 +88,17 @@
 // Sequence rises with each word of one start.
 func (r Registration) Sequence() uint64 { return r.sequence }
 
-// Born is when the backend server started, in Unix milliseconds; 0 when it does not
+// StartedAt is when the backend server started, in Unix milliseconds; 0 when it does not
 // say. One that starts again may keep its incarnation, and counts and holds anew. In a
 // word that one is gone it is the latest start that the word may be of.
-func (r Registration) Born() uint64 { return r.born }
+func (r Registration) StartedAt() uint64 { return r.startedAt }
 
 // EncodeMsgpack writes the fields in order, as one array.
 func (r Registration) EncodeMsgpack(enc *msgpack.Encoder) error {
 	if err := enc.EncodeArrayLen(11); err != nil {
 		return err
 	}
-	return enc.EncodeMulti(r.incarnation, r.service, r.address, r.domain, r.software, r.slots, r.state, r.cold, r.holdings, r.sequence, r.born)
+	return enc.EncodeMulti(r.incarnation, r.service, r.address, r.domain, r.software, r.slots, r.state, r.warmupLeft, r.holdings, r.sequence, r.startedAt)
 }
 
 // DecodeMsgpack reads what EncodeMsgpack wrote, of this version or another.
@@ -107,7 +107,7 @@
 	if err != nil {
 		return err
 	}
-	fields := []any{&r.incarnation, &r.service, &r.address, &r.domain, &r.software, &r.slots, &r.state, &r.cold, &r.holdings, &r.sequence, &r.born}
+	fields := []any{&r.incarnation, &r.service, &r.address, &r.domain, &r.software, &r.slots, &r.state, &r.warmupLeft, &r.holdings, &r.sequence, &r.startedAt}
 	for i := 0; i < count; i++ {
 		if i >= len(fields) {
 			err = dec.Skip()
--- a/pkg/reservation/wire_generated.go
+++ b/pkg/reservation/wire_generated.go
@@ -21,7 +21,7 @@
 // Begins is how long the first event is expected to take.
 func (a Answer) Begins() time.Duration { return a.begins }
 
-// Load is the engine's, with what was granted and has not come yet.
+// Load is the engine's, with what was granted before and has not come yet.
 func (a Answer) Load() feed.Load { return a.load }
 
 // EncodeMsgpack writes the fields in order, as one array.
--- a/pkg/staging/cache_test.go
+++ b/pkg/staging/cache_test.go
@@ -130,9 +130,9 @@
 // does not move it.
 func TestOldestNamedVersionIsDueFirst(t *testing.T) {
 	now := time.Now()
-	m := &Member{versions: feed.NewVersions()}
-	m.versions.Hear([]feed.Weights{feed.NewWeights("menu", 2, 0)}, now.Add(-3*time.Second))
-	m.versions.Hear([]feed.Weights{feed.NewWeights("menu", 3, 0)}, now)
+	m := &Member{versions: feed.NewVersionTable()}
+	m.versions.Add([]feed.NamedVersion{feed.NewNamedVersion("menu", 2, 0)}, now.Add(-3*time.Second))
+	m.versions.Add([]feed.NamedVersion{feed.NewNamedVersion("menu", 3, 0)}, now)
 	if due := m.nextDue("menu", 1); due.Version() != 2 {
 		t.Fatalf("due %d at an engine that serves 1", due.Version())
 	}
--- a/pkg/staging/due_test.go
+++ b/pkg/staging/due_test.go
@@ -13,8 +13,8 @@
 // anew returns a member that has just started and was told of versions 2 and 3 of a
 // model, named some time ago.
 func anew(second, third time.Duration) *Member {
-	m := &Member{versions: feed.NewVersions(), copies: map[string][]*weightsCopy{}}
-	m.versions.Hear([]feed.Weights{feed.NewWeights("menu", 2, second), feed.NewWeights("menu", 3, third)}, time.Now())
+	m := &Member{versions: feed.NewVersionTable(), copies: map[string][]*weightsCopy{}}
+	m.versions.Add([]feed.NamedVersion{feed.NewNamedVersion("menu", 2, second), feed.NewNamedVersion("menu", 3, third)}, time.Now())
 	return m
 }
 
@@ -37,8 +37,8 @@
 	}
 	k := NewCache(process, Protocol{}, func() []string { return nil }, nil)
 	long := time.Now().Add(-2 * stallAfter) // since then it tries in vain
-	k.versions.Hear([]feed.Weights{
-		feed.NewWeights("menu", 2, 40*time.Minute), feed.NewWeights("menu", 3, 20*time.Minute), feed.NewWeights("menu", 4, 20*time.Second),
+	k.versions.Add([]feed.NamedVersion{
+		feed.NewNamedVersion("menu", 2, 40*time.Minute), feed.NewNamedVersion("menu", 3, 20*time.Minute), feed.NewNamedVersion("menu", 4, 20*time.Second),
 	}, long)
 	if got := k.target("menu", 0).Version(); got != 3 {
 		t.Fatalf("version %d is gathered", got)
@@ -57,12 +57,12 @@
 	}
 	m := NewCache(process, Protocol{}, func() []string { return nil }, nil).Member
 	for _, step := range []struct {
-		told []feed.Weights
+		told []feed.NamedVersion
 		wake bool
 	}{
-		{[]feed.Weights{feed.NewWeights("menu", 3, 0)}, true},
-		{[]feed.Weights{feed.NewWeights("menu", 2, time.Second), feed.NewWeights("menu", 3, 0)}, true},
-		{[]feed.Weights{feed.NewWeights("menu", 2, time.Hour), feed.NewWeights("menu", 3, time.Minute)}, false},
+		{[]feed.NamedVersion{feed.NewNamedVersion("menu", 3, 0)}, true},
+		{[]feed.NamedVersion{feed.NewNamedVersion("menu", 2, time.Second), feed.NewNamedVersion("menu", 3, 0)}, true},
+		{[]feed.NamedVersion{feed.NewNamedVersion("menu", 2, time.Hour), feed.NewNamedVersion("menu", 3, time.Minute)}, false},
 	} {
 		m.takeUpdate("10.0.0.9:7700", feed.NewUpdate(0, nil, step.told, nil, true, nil, 0, false, nil, nil, nil, nil, nil, nil))
 		select {
@@ -76,7 +76,7 @@
 			}
 		}
 	}
-	told := m.follower.Weights()
+	told := m.follower.Versions()
 	if len(told) != 2 || told[0].Version() != 2 || told[0].Age() < time.Hour || told[1].Age() < time.Minute {
 		t.Fatalf("told %v", told)
 	}
@@ -86,7 +86,7 @@
 // moment. Their times end together then, and only the last of them is worth having.
 func TestVersionWhoseTimeEndsWithTheNextOneIsNotNext(t *testing.T) {
 	m := anew(time.Second+3*time.Millisecond, time.Second)
-	m.versions.Hear([]feed.Weights{feed.NewWeights("menu", 4, 500*time.Millisecond)}, time.Now())
+	m.versions.Add([]feed.NamedVersion{feed.NewNamedVersion("menu", 4, 500*time.Millisecond)}, time.Now())
 	if due := m.nextDue("menu", 0).Version(); due != 3 {
 		t.Fatalf("version %d is the next where 2 and 3 were named together", due)
 	}
--- a/pkg/staging/loads.go
+++ b/pkg/staging/loads.go
@@ -33,7 +33,7 @@
 				pause = loadEvery
 			}
 			if l != last || time.Since(toldAt) > tellAgain {
-				s.follower.Tell(l)
+				s.follower.ReportLoad(l)
 				last, toldAt = l, time.Now()
 			}
 		}
--- a/pkg/staging/member.go
+++ b/pkg/staging/member.go
@@ -35,7 +35,7 @@
 	metrics  *metrics
 	running  context.Context
 	index    serviceconfig.Current
-	versions *feed.Versions
+	versions *feed.VersionTable
 	within   time.Duration // the agreed time; 0 where it is not known
 	wake     chan struct{}
 	beside   beside
@@ -74,11 +74,11 @@
 		process: process, protocol: protocol, registry: registry.NewTable(nil), failing: newFailingPeers(),
 		metrics: newMetrics(process.Registry), wake: make(chan struct{}, 1), running: context.Background(),
 		drawnManifests: map[string]Manifest{}, notices: link.NewMessenger[notice](process.Endpoint, link.KindChunkNotice),
-		uploads: make(chan struct{}, uploads), underWay: map[fetchKey]bool{}, versions: feed.NewVersions(), copies: map[string][]*weightsCopy{},
+		uploads: make(chan struct{}, uploads), underWay: map[fetchKey]bool{}, versions: feed.NewVersionTable(), copies: map[string][]*weightsCopy{},
 	}
 	m.follower = &feed.Follower{
-		Endpoint: process.Endpoint, Hello: hello, Seeds: seeds, Held: m.index.Number, Take: m.takeUpdate,
-		Weights: func() []feed.Weights { return m.versions.Weights(time.Now()) }, Logger: process.Logger,
+		Endpoint: process.Endpoint, Hello: hello, Seeds: seeds, DocumentNumber: m.index.Number, OnUpdate: m.takeUpdate,
+		Versions: func() []feed.NamedVersion { return m.versions.Current(time.Now()) }, Logger: process.Logger,
 	}
 	process.Endpoint.Handle(link.KindChunkOf, m.serveQuestion)
 	process.Endpoint.Handle(link.KindChunkNotice, m.serveNotices)
@@ -88,11 +88,11 @@
 // takeUpdate takes what a control node tells.
 func (m *Member) takeUpdate(address string, u feed.Update) {
 	for _, r := range u.Registrations() {
-		m.registry.Hear(r)
+		m.registry.Receive(r)
 	}
-	moves := m.versions.Take(u.Weights(), time.Now())
-	feed.LogMoves(m.process.Logger, moves, string(feed.RoleNode), address)
-	changed := feed.HasNew(moves)
+	moves := m.versions.Merge(u.Versions(), time.Now())
+	feed.LogVersionChanges(m.process.Logger, moves, string(feed.RoleNode), address)
+	changed := feed.HasNewVersion(moves)
 	if d := u.Document(); d != nil && m.index.Raise(*d) {
 		changed = true
 	}
@@ -114,13 +114,13 @@
 }
 
 // wanted returns the newest named version of a model.
-func (m *Member) wanted(model string) feed.Named { return orFirst(m.versions.Newest(model)) }
+func (m *Member) wanted(model string) feed.VersionInfo { return orFirst(m.versions.Newest(model)) }
 
 // nextDue returns the oldest named version above the one that is served: its
 // time ends first, whatever was named after it. Where the time of later ones is
 // over too, or ends with its own, it is the last of these: requests may use none
 // before.
-func (m *Member) nextDue(model string, served uint64) feed.Named {
+func (m *Member) nextDue(model string, served uint64) feed.VersionInfo {
 	if m.within > 0 {
 		if due := m.versions.Due(model, m.within, time.Now()); due > served {
 			served = due - 1
@@ -140,9 +140,9 @@
 const together = 100 * time.Millisecond
 
 // orFirst returns a named version, or the first one where none was named.
-func orFirst(n feed.Named) feed.Named {
+func orFirst(n feed.VersionInfo) feed.VersionInfo {
 	if n.Version() == 0 {
-		return feed.NewNamed(firstVersion, time.Time{})
+		return feed.NewVersionInfo(firstVersion, time.Time{})
 	}
 	return n
 }
@@ -153,7 +153,7 @@
 // obtain returns a complete copy of a version, gathering it if need be; nil
 // when it could not be had or another version became the target meanwhile. held
 // returns the version that is held or served here.
-func (m *Member) obtain(ctx context.Context, model string, want feed.Named, held func() uint64) (*weightsCopy, error) {
+func (m *Member) obtain(ctx context.Context, model string, want feed.VersionInfo, held func() uint64) (*weightsCopy, error) {
 	c := m.copyOf(model, want.Version())
 	if c == nil {
 		manifest, err := m.findManifest(ctx, model, want.Version())
@@ -290,14 +290,14 @@
 	return holders
 }
 
-func (m *Member) logComplete(c *weightsCopy, want feed.Named, started time.Time) {
+func (m *Member) logComplete(c *weightsCopy, want feed.VersionInfo, started time.Time) {
 	_ = level.Info(m.process.Logger).Log("msg", "copy complete", "model", c.manifest.model, "version", c.manifest.version,
 		"ms", time.Since(started).Milliseconds(), "since_named_ms", sinceNamed(want))
 }
 
 // sinceNamed returns for how long a version has been named, in milliseconds;
 // 0 when it never was.
-func sinceNamed(want feed.Named) int64 {
+func sinceNamed(want feed.VersionInfo) int64 {
 	if want.Since().IsZero() {
 		return 0
 	}
--- a/pkg/staging/serve.go
+++ b/pkg/staging/serve.go
@@ -34,7 +34,7 @@
 // serve has the engine serve a complete copy when it is its turn, and returns
 // when to look again. due is the version whose time ends first; the copy is of
 // that or of a later one.
-func (s *Stager) serve(ctx context.Context, c *weightsCopy, report Report, due feed.Named, service *serviceconfig.Service) time.Duration {
+func (s *Stager) serve(ctx context.Context, c *weightsCopy, report Report, due feed.VersionInfo, service *serviceconfig.Service) time.Duration {
 	if s.laid != c {
 		if err := s.layDown(ctx, c); err != nil {
 			_ = level.Warn(s.process.Logger).Log("msg", "chunks not laid down", "err", err)
@@ -62,7 +62,7 @@
 // version: the control nodes agree on versions and they only rise, so whoever
 // orders an older one, for instance a stager that was cut off, is refused. cuts has
 // the engine cut what still runs, which must be able to go on elsewhere.
-func (s *Stager) order(ctx context.Context, c *weightsCopy, report Report, due feed.Named, cuts bool) {
+func (s *Stager) order(ctx context.Context, c *weightsCopy, report Report, due feed.VersionInfo, cuts bool) {
 	version := c.manifest.version
 	order := Order{Model: c.manifest.model, Version: version, Sequence: report.Sequence, Fence: version, Cuts: cuts}
 	err := s.protocol.Start(ctx, s.settings.Engine(), order)
@@ -132,7 +132,7 @@
 // turn returns when it is this engine's turn: spread over what is left, from
 // when the copy came, of the time within which the orders are given. An engine
 // that serves nothing has no work to stop, so its turn is at once.
-func (s *Stager) turn(c *weightsCopy, report Report, due feed.Named) time.Time {
+func (s *Stager) turn(c *weightsCopy, report Report, due feed.VersionInfo) time.Time {
 	if len(report.Holdings) == 0 || due.Since().IsZero() {
 		return time.Time{}
 	}
--- a/pkg/staging/stager.go
+++ b/pkg/staging/stager.go
@@ -76,7 +76,7 @@
 	seeds := func() []string { return link.WithPortOf(s.seeds.Get(), process.Identity.Address()) }
 	s.Member = newMember(process, protocol, hello, seeds, stagerUploads)
 	s.within = c.Within()
-	s.suspension.OnResume(s.versions.Suspended)
+	s.suspension.OnResume(s.versions.AddSuspension)
 	s.suspension.OnResume(process.LogSuspension)
 	process.Endpoint.Handle(link.KindReserve, s.serveReservation)
 	s.beside = beside{
@@ -158,7 +158,7 @@
 
 // gatherSoon gathers a version beside the work of the loop: an earlier one that
 // is complete may be due before it.
-func (s *Stager) gatherSoon(ctx context.Context, model string, want feed.Named) {
+func (s *Stager) gatherSoon(ctx context.Context, model string, want feed.VersionInfo) {
 	if c := s.ready.Load(); c != nil && c.manifest.model == model && c.manifest.version >= want.Version() {
 		return
 	}
--- a/pkg/staging/target.go
+++ b/pkg/staging/target.go
@@ -30,7 +30,7 @@
 const nearlyPart = 10
 
 // target returns the version to gather where a version is held or served.
-func (m *Member) target(model string, held uint64) feed.Named {
+func (m *Member) target(model string, held uint64) feed.VersionInfo {
 	newest, due := m.wanted(model), m.nextDue(model, held)
 	if due.Version() >= newest.Version() {
 		return newest
@@ -66,10 +66,10 @@
 // stalls tells whether the rest of a version is nowhere to be had just now. One of
 // which nothing is here has been tried since it was heard of, and not since it was
 // named: a member that has just started would take any for one that stalls.
-func (m *Member) stalls(model string, n feed.Named, now time.Time) bool {
+func (m *Member) stalls(model string, n feed.VersionInfo, now time.Time) bool {
 	c := m.copyOf(model, n.Version())
 	if c == nil {
-		return now.Sub(n.Heard()) > stallAfter
+		return now.Sub(n.FirstSeen()) > stallAfter
 	}
 	return c.stalls(now)
 }
--- a/pkg/staging/target_test.go
+++ b/pkg/staging/target_test.go
@@ -17,9 +17,9 @@
 // memberOf does so for versions of a number of chunks.
 func memberOf(t *testing.T, chunks int) (m *Member, second, third *weightsCopy, data [][]byte) {
 	t.Helper()
-	m = &Member{versions: feed.NewVersions(), copies: map[string][]*weightsCopy{}}
-	m.versions.Hear([]feed.Weights{feed.NewWeights("menu", 2, 5*time.Second)}, time.Now())
-	m.versions.Hear([]feed.Weights{feed.NewWeights("menu", 3, 3*time.Second)}, time.Now())
+	m = &Member{versions: feed.NewVersionTable(), copies: map[string][]*weightsCopy{}}
+	m.versions.Add([]feed.NamedVersion{feed.NewNamedVersion("menu", 2, 5*time.Second)}, time.Now())
+	m.versions.Add([]feed.NamedVersion{feed.NewNamedVersion("menu", 3, 3*time.Second)}, time.Now())
 	empty, data := testCopy(chunks)
 	second = m.keep(NewManifest("menu", 2, empty.manifest.digests))
 	third = m.keep(NewManifest("menu", 3, empty.manifest.digests))
