--- a/pkg/staging/withdraw_test.go
+++ b/pkg/staging/withdraw_test.go
@@ -89,7 +89,7 @@
 	}
 	c, _ := testCopy(1)
 	report := Report{Sequence: 3}
-	s.order(t.Context(), c, report, feed.Named{}, true)
+	s.order(t.Context(), c, report, feed.VersionInfo{}, true)
 	if len(given) != 1 || given[0].Fence != c.manifest.version {
 		t.Fatalf("orders %+v", given)
 	}
@@ -116,7 +116,7 @@
 	engine := serviceconfig.NewEngine(16, []string{"menu"}, 1, 1, 8, time.Millisecond, 0, 0, 0, 0, 0, 0)
 	for _, interruptible := range []bool{false, true} {
 		service := serviceconfig.NewService("menu", "", 0, "", engine, interruptible)
-		s.serve(t.Context(), c, report, feed.Named{}, &service)
+		s.serve(t.Context(), c, report, feed.VersionInfo{}, &service)
 		if last := given[len(given)-1]; last.Cuts != interruptible {
 			t.Errorf("requests may go on elsewhere: %t; the order cuts: %t", interruptible, last.Cuts)
 		}
