--- /dev/null
+++ b/pkg/feed/fallback.go
@@ -0,0 +1,98 @@
+// ================================================================
+// Fallback nodes: control nodes that a gateway follows in addition to its two while these send
+// nothing, or have lost contact with the leader because they are partitioned from the other nodes.
+// A change that the other nodes agree on must be in force within seconds, and the detection of two
+// lost nodes takes as long, so a gateway does not wait for it. It uses the shorter update interval
+// of its primary as the timeout, and drops the fallback nodes as soon as one of the two is in
+// contact with the leader again.
+//
+// A fallback node sends documents and versions only. Registrations and peers are many, and in a
+// partition all gateways look for fallback nodes at the same moment.
+//
+// A permanent third stream was rejected: it adds half as many streams to every node, and the third
+// node may be partitioned together with the two.
+// ================================================================
+
+package feed
+
+import (
+	"slices"
+	"time"
+
+	"github.com/tidepost/tidepost/pkg/daemon"
+	"github.com/tidepost/tidepost/pkg/link"
+)
+
+const (
+	// quietTimeout is how long the two nodes may send nothing: an update interval of the primary
+	// and the transit time. The backup sends less often, so the loss of the primary alone adds
+	// fallback nodes for a moment.
+	quietTimeout = gatewayUpdateInterval + 200*time.Millisecond
+	// firstFallbacks is the number of fallback nodes after quietTimeout. After twice that time
+	// without any Update all other nodes are followed; missing contact with the leader alone may be
+	// an election.
+	firstFallbacks = 2
+)
+
+// recordActivity records an Update of a followed node and restarts the timer for fallback nodes.
+// The caller holds the lock.
+func (f *Follower) recordActivity(s *followedNode, quorumConfirmed bool, now time.Time) {
+	if s.fallback {
+		return
+	}
+	f.lastUpdateAt = now
+	if quorumConfirmed {
+		f.lastQuorumAt = now
+	}
+	if f.quietTimer == nil {
+		return
+	}
+	if sinceQuorum := now.Sub(f.lastQuorumAt); sinceQuorum < quietTimeout {
+		f.quietTimer.Reset(quietTimeout - sinceQuorum)
+		return
+	}
+	f.quietTimer.Reset(quietTimeout)
+	daemon.Wake(f.wake)
+}
+
+// fallbackNodes returns the nodes to follow in addition to the wanted ones. The caller holds the
+// lock.
+func (f *Follower) fallbackNodes(wanted []string, now time.Time) (nodes []string) {
+	sinceUpdate, sinceQuorum := now.Sub(f.lastUpdateAt), now.Sub(f.lastQuorumAt)
+	if f.Hello.role != RoleGateway || f.lastQuorumAt.IsZero() || sinceQuorum < quietTimeout {
+		return nil
+	}
+	for _, c := range sortCandidates(f.Hello.self, f.candidates(now)) {
+		if !slices.Contains(wanted, c.address) {
+			nodes = append(nodes, c.address)
+		}
+	}
+	if sinceUpdate >= 2*quietTimeout {
+		return nodes
+	}
+	if sinceUpdate >= quietTimeout {
+		f.quietTimer.Reset(2*quietTimeout - sinceUpdate)
+	}
+	return nodes[:min(firstFallbacks, len(nodes))]
+}
+
+// promoteFallbacks turns fallback nodes that are wanted by now into regular ones, and returns the
+// messages that subscribe to everything. The caller holds the lock.
+func (f *Follower) promoteFallbacks(wanted []string) map[*link.Stream]FollowerMessage {
+	messages := map[*link.Stream]FollowerMessage{}
+	for _, address := range wanted {
+		if s := f.streams[address]; s.fallback && s.stream != nil {
+			s.fallback = false
+			messages[s.stream] = FollowerMessage{subscription: Backup}
+		}
+	}
+	return messages
+}
+
+// isFallback reports whether a node is followed as a fallback.
+func (f *Follower) isFallback(address string) bool {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	s := f.streams[address]
+	return s != nil && s.fallback
+}
--- a/pkg/feed/follower.go
+++ b/pkg/feed/follower.go
@@ -1,9 +1,8 @@
 // ================================================================
-// The follower: streams to two control nodes, chosen among those that it knows
-// of from its settings or from a node. A control node follows all others. One
-// that says nothing for a while is dropped and another one takes its place; what
-// it told before stays in use. A gateway whose two nodes say nothing follows others
-// beside them at once (spares.go).
+// Client side of the feed: streams to two control nodes, which are selected among those that the
+// settings list or a node reported. A control node follows all others. A node that sends nothing
+// for nodeTimeout is replaced by another one; what it sent stays in use. A gateway whose two nodes
+// both fall silent connects to fallback nodes at once (fallback.go).
 // ================================================================
 
 package feed
@@ -25,48 +24,50 @@
 )
 
 const (
-	// nodeTimeout is how long a node may say nothing: two beats and a half.
+	// nodeTimeout is how long a node may send nothing: two and a half update intervals.
 	nodeTimeout = 2500 * time.Millisecond
-	// linkCheckDelay is when the link to a node that says nothing is looked at: a beat, and
-	// time to come behind chunks. A silent link is replaced, and the node not lost.
+	// linkCheckDelay is how long a node may send nothing before its link is checked: one update
+	// interval and the time that an Update may wait behind chunks. A dead link is replaced without
+	// counting the node as lost.
 	linkCheckDelay = 1200 * time.Millisecond
-	// minRedialDelay and mostPause lie between two dials of a node.
+	// minRedialDelay and maxRedialDelay bound the exponential backoff between two dials of a node.
 	minRedialDelay = 100 * time.Millisecond
 	maxRedialDelay = 800 * time.Millisecond
-	// adjustInterval is the time between looks at the seeds.
+	// adjustInterval is the time between two selections of nodes, for changes of the seeds.
 	adjustInterval = 500 * time.Millisecond
-	// failedRankDuration is how long a node that was lost stands behind others.
+	// failedRankDuration is how long a node keeps rankFailed after its loss.
 	failedRankDuration = 2 * time.Second
-	// quorumTimeout is how long a node may be without word of a quorum's leader
-	// before another one is followed beside it: an election takes a second.
+	// quorumTimeout is how long a node may lack contact with the leader before another one is
+	// followed in addition: an election takes a second.
 	quorumTimeout = 2 * time.Second
-	// maxInitialRecords bounds what a node is told at first of requests under which servers
-	// ended, those with the most ends first: some 10 KB.
+	// maxInitialRecords bounds the quarantine records that a node gets when its stream opens, those
+	// with the most terminated servers first: about 10 KB.
 	maxInitialRecords = 64
-	// primaryWarmup is how long a node is heard before it takes the place of a primary
-	// that works. One that has just started counts few of the others, and gateways
-	// that take its count for all send engines more than they have places for.
+	// primaryWarmup is how long a node must have been connected before it replaces a working
+	// primary. A node that has just started counts few gateways, and gateways that take its count
+	// for the total send engines more requests than they have slots.
 	primaryWarmup = 2 * time.Second
 )
 
-// Follower keeps streams to control nodes.
+// Follower keeps streams to control nodes. The exported fields are set before Run; their functions
+// may be called from several goroutines.
 type Follower struct {
-	// Endpoint dials.
+	// Endpoint dials the nodes.
 	Endpoint *link.Endpoint
-	// Hello says who follows.
+	// Hello is the first message of each stream.
 	Hello Hello
-	// Seeds returns the link addresses from the settings.
+	// Seeds returns the link addresses of control nodes from the settings.
 	Seeds func() []string
-	// DocumentNumber returns the number of the document in force here.
+	// DocumentNumber returns the number of the document in force at this process.
 	DocumentNumber func() uint64
-	// OnUpdate takes an Update of the node at an address. It is called from one
-	// goroutine a node, at the same time for several nodes.
+	// OnUpdate handles an Update of the node at an address. It is called from one goroutine per
+	// node, concurrently for several nodes.
 	OnUpdate func(address string, u Update)
-	// Versions returns the named versions that are known here, for nodes that have
-	// started anew; nil where none are kept.
+	// Versions returns the named versions known to this process, for nodes that have restarted; nil
+	// if it keeps none.
 	Versions func() []NamedVersion
-	// Records returns what is known here of requests under which servers ended, for nodes
-	// that have started anew; nil where nothing is.
+	// Records returns the quarantine records known to this process, for nodes that have restarted;
+	// nil if it keeps none.
 	Records func() []quarantine.Record
 	// Logger gets a line for each node that is found or lost.
 	Logger log.Logger
@@ -74,29 +75,29 @@
 	wake chan struct{}
 
 	mu              sync.Mutex
-	streams         map[string]*followedNode // by node, those that are wanted
-	nodeLists       map[string][]Node        // by node: the nodes that it told
-	lostAt          map[string]time.Time     // by node: when it was last lost
-	primary         *link.Stream             // the stream whose node was told so last
+	streams         map[string]*followedNode // by address of the node
+	nodeLists       map[string][]Node        // control nodes that each node reported, by address of the node
+	lostAt          map[string]time.Time     // time of the last loss, by address of the node
+	primary         *link.Stream             // the stream whose node was last made the primary
 	inventory       receivedInventory
 	requestedNumber uint64
 	requestedAt     time.Time
-	lastUpdateAt    time.Time   // the last word of a node that is no spare
-	lastQuorumAt    time.Time   // the last of one that heard of a quorum's leader
-	quietTimer      *time.Timer // has spares looked for when no word has come for a while; nil before Run
+	lastUpdateAt    time.Time   // last Update of a node that is not a fallback
+	lastQuorumAt    time.Time   // last such Update of a node in contact with the leader
+	quietTimer      *time.Timer // wakes Run to add fallback nodes; nil before Run
 }
 
 // followedNode is a node that a stream is kept to.
 type followedNode struct {
 	cancel      context.CancelFunc
-	stream      *link.Stream // nil while it is not heard
+	stream      *link.Stream // nil while not connected
 	domain      string
-	connectedAt time.Time // when it was first heard
-	quorumAt    time.Time // when it was last sure that a quorum's leader is there
-	fallback    bool      // it tells of documents and weights only
+	connectedAt time.Time // time of the first Update since the node was lost
+	quorumAt    time.Time // last time at which the node was in contact with the leader
+	fallback    bool      // it sends documents and versions only
 }
 
-// Run follows until the context ends.
+// Run keeps the streams until the context ends.
 func (f *Follower) Run(ctx context.Context) error {
 	f.mu.Lock()
 	f.wake = make(chan struct{}, 1)
@@ -118,24 +119,24 @@
 }
 
 // ----------------------------------------------------------------
-// Which nodes are followed
+// Selection of nodes
 
-// adjust starts a stream to each node that is wanted and ends the others, and
-// tells the nodes which one is the primary.
+// adjust opens a stream to each selected node, closes the others, and notifies the nodes of a
+// change of the primary.
 func (f *Follower) adjust(ctx context.Context) {
 	f.mu.Lock()
 	now := time.Now()
 	wanted := f.wantedNodes(now)
-	spares := f.fallbackNodes(wanted, now)
-	for i, address := range append(slices.Clone(wanted), spares...) {
+	fallbacks := f.fallbackNodes(wanted, now)
+	for i, address := range append(slices.Clone(wanted), fallbacks...) {
 		if f.streams[address] == nil {
-			c, cancel := context.WithCancel(ctx)
+			streamCtx, cancel := context.WithCancel(ctx)
 			f.streams[address] = &followedNode{cancel: cancel, fallback: i >= len(wanted)}
-			go f.followWithRetries(c, address)
+			go f.followWithRetries(streamCtx, address)
 		}
 	}
 	for address, s := range f.streams {
-		if slices.Contains(wanted, address) || slices.Contains(spares, address) {
+		if slices.Contains(wanted, address) || slices.Contains(fallbacks, address) {
 			continue
 		}
 		s.cancel()
@@ -144,36 +145,36 @@
 			f.primary = nil
 		}
 	}
-	words := f.promoteFallbacks(wanted)
-	maps.Copy(words, f.choosePrimary(wanted, now))
+	messages := f.promoteFallbacks(wanted)
+	maps.Copy(messages, f.choosePrimary(wanted, now))
 	f.mu.Unlock()
-	for stream, w := range words {
-		// A failure shows in the reading, which then forgets the stream.
-		_ = stream.Send(w)
+	for stream, m := range messages {
+		// The receiving goroutine sees the failure too and drops the stream.
+		_ = stream.Send(m)
 	}
 }
 
-// choosePrimary makes the first wanted node that may be it the primary, and returns
-// what is to be told of that.
+// choosePrimary makes the first node that can be the primary the primary. It returns the messages
+// that notify the nodes.
 func (f *Follower) choosePrimary(wanted []string, now time.Time) map[*link.Stream]FollowerMessage {
 	if f.Hello.role == RoleNode {
-		// Every node is told what this one's followers tell.
+		// Every node gets the reports of this node's followers.
 		return nil
 	}
-	words := map[*link.Stream]FollowerMessage{}
+	messages := map[*link.Stream]FollowerMessage{}
 	first := slices.IndexFunc(wanted, func(address string) bool { return f.canBePrimary(f.streams[address], now) })
 	if first < 0 || f.streams[wanted[first]].stream == f.primary {
-		return words
+		return messages
 	}
 	if f.primary != nil {
-		words[f.primary] = FollowerMessage{subscription: Backup}
+		messages[f.primary] = FollowerMessage{subscription: Backup}
 	}
 	f.primary = f.streams[wanted[first]].stream
-	words[f.primary] = FollowerMessage{subscription: Primary}
-	return words
+	messages[f.primary] = FollowerMessage{subscription: Primary}
+	return messages
 }
 
-// canBePrimary tells whether a node may be the primary, or go on to be it.
+// canBePrimary reports whether a node may become or stay the primary.
 func (f *Follower) canBePrimary(s *followedNode, now time.Time) bool {
 	switch {
 	case s.stream == nil:
@@ -194,7 +195,7 @@
 	return choosePair(f.Hello.self, f.candidates(now))
 }
 
-// candidates are the nodes that may be followed, as they are seen now.
+// candidates returns the nodes that may be followed, with their current ranks.
 func (f *Follower) candidates(now time.Time) (all []candidate) {
 	for address, domain := range f.knownNodes() {
 		all = append(all, candidate{address, domain, f.rankOf(address, now)})
@@ -202,17 +203,17 @@
 	return all
 }
 
-// knownNodes returns the failure domains of the nodes to choose from, by address:
-// the seeds and what was told by nodes that are heard now, or by all that ever
-// told anything when none of these is. One that is a spare, or was until now, has not.
+// knownNodes returns the failure domains of the nodes to choose from, by address: the seeds, and
+// the nodes that connected nodes reported, or if none of those is connected, that any node ever
+// reported. A fallback node reports no nodes.
 func (f *Follower) knownNodes() map[string]string {
 	known := map[string]string{}
 	for _, address := range f.Seeds() {
 		known[address] = ""
 	}
-	heard := f.connectedNodes()
+	connected := f.connectedNodes()
 	for address, nodes := range f.nodeLists {
-		if !heard[address] && len(heard) > 0 {
+		if !connected[address] && len(connected) > 0 {
 			continue
 		}
 		for _, n := range nodes {
@@ -222,7 +223,7 @@
 		}
 	}
 	for address, s := range f.streams {
-		if _, there := known[address]; there && s.domain != "" {
+		if _, ok := known[address]; ok && s.domain != "" {
 			known[address] = s.domain
 		}
 	}
@@ -230,13 +231,13 @@
 }
 
 func (f *Follower) connectedNodes() map[string]bool {
-	heard := map[string]bool{}
+	connected := map[string]bool{}
 	for address, s := range f.streams {
 		if s.stream != nil && len(f.nodeLists[address]) > 0 {
-			heard[address] = true
+			connected[address] = true
 		}
 	}
-	return heard
+	return connected
 }
 
 func (f *Follower) rankOf(address string, now time.Time) candidateRank {
@@ -255,11 +256,12 @@
 }
 
 // ----------------------------------------------------------------
-// One node
+// Stream to one node
 
-// followWithRetries follows one node until the context ends.
+// followWithRetries keeps a stream to one node, with exponential backoff between attempts, until
+// the context ends.
 func (f *Follower) followWithRetries(ctx context.Context, address string) {
-	pause := minRedialDelay
+	delay := minRedialDelay
 	for ctx.Err() == nil {
 		started := time.Now()
 		err := f.followOnce(ctx, address)
@@ -268,20 +270,20 @@
 		}
 		f.markLost(ctx, address)
 		if time.Since(started) > nodeTimeout {
-			pause = minRedialDelay
+			delay = minRedialDelay
 			_ = level.Info(f.Logger).Log("msg", "control node lost", "node", address, "err", err)
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(pause):
+		case <-time.After(delay):
 		}
-		pause = min(2*pause, maxRedialDelay)
+		delay = min(2*delay, maxRedialDelay)
 	}
 }
 
-// errLinkReplaced says that the link was silent and another one took its place: the node was
-// not lost, and is followed over the new one.
+// errLinkReplaced reports that a dead link was replaced by a new one: the node is not lost, and is
+// followed over the new link.
 var errLinkReplaced = errors.New("the link was replaced")
 
 func (f *Follower) followOnce(ctx context.Context, address string) error {
@@ -294,8 +296,8 @@
 	if f.isRestarted(address, stream) {
 		f.markLost(ctx, address)
 	}
-	late := time.AfterFunc(linkCheckDelay, func() { f.Endpoint.Doubt(address, time.Now()) })
-	defer late.Stop()
+	linkCheck := time.AfterFunc(linkCheckDelay, func() { f.Endpoint.Doubt(address, time.Now()) })
+	defer linkCheck.Stop()
 	stream.SetDeadline(time.Now().Add(nodeTimeout))
 	hello := f.Hello
 	if f.Versions != nil {
@@ -317,10 +319,10 @@
 			}
 			return err
 		}
-		late.Reset(linkCheckDelay)
+		linkCheck.Reset(linkCheckDelay)
 		stream.SetDeadline(time.Now().Add(nodeTimeout))
 		if f.recordUpdate(address, stream, u) {
-			// From now on it is told what is learnt, so that nothing comes between.
+			// New records are sent over this stream from now on, so none is missed between the two.
 			f.sendKnownRecords(stream)
 		}
 		f.OnUpdate(address, u)
@@ -330,8 +332,8 @@
 	}
 }
 
-// isRestarted tells whether a node that was heard until now is another one behind the
-// new link: it was started anew, and is lost as it was.
+// isRestarted reports whether the new link of a connected node leads to another process: the node
+// has restarted, and its earlier state is lost.
 func (f *Follower) isRestarted(address string, stream *link.Stream) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -339,8 +341,8 @@
 	return s != nil && s.stream != nil && s.stream.Peer() != stream.Peer()
 }
 
-// recordUpdate notes what a node told of itself and of the other followers, and tells whether it is
-// heard over this stream for the first time.
+// recordUpdate stores what a node reported of itself and of the other followers, and reports
+// whether this is the first Update over the stream.
 func (f *Follower) recordUpdate(address string, stream *link.Stream, u Update) (first bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -354,7 +356,7 @@
 		if s.stream == nil {
 			s.connectedAt = now
 		} else if s.stream == f.primary {
-			// It moved to another link, and is told so there.
+			// The node moved to another link and is made the primary again there.
 			f.primary = nil
 		}
 		s.stream, s.domain, s.quorumAt = stream, stream.Peer().Domain(), now
@@ -369,19 +371,19 @@
 		daemon.Wake(f.wake)
 	}
 	if stream == f.primary {
-		// A node that was the primary just now may still tell its census.
+		// A former primary may still send its inventory; it is older and ignored.
 		f.inventory.apply(address, u)
 	}
 	return first
 }
 
-// markLost forgets the stream to a node. Its list of nodes stays: it is the way to
-// the others should the seeds be gone.
+// markLost removes the stream of a node. Its list of nodes stays, as the only way to the others if
+// the seeds are gone.
 func (f *Follower) markLost(ctx context.Context, address string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if ctx.Err() != nil {
-		// It is not wanted any more, and another stream to it may have begun.
+		// The node is not wanted any more, and another stream to it may have been opened.
 		return
 	}
 	if s := f.streams[address]; s != nil {
--- a/pkg/feed/follower_ask.go
+++ b/pkg/feed/follower_document.go
@@ -1,6 +1,7 @@
 // ================================================================
-// Which node a follower asks for a new document. Documents are large and links between failure
-// domains narrow, so one node is asked, and a near one first.
+// Selects the node that a follower requests a new document from. Documents are large and links
+// between failure domains are narrow, so only one node is asked, preferably one in the same failure
+// domain.
 // ================================================================
 
 package feed
@@ -12,31 +13,31 @@
 )
 
 const (
-	// documentRetryDelay is when a document is asked of another node.
+	// documentRetryDelay is the time after which the document is requested from another node.
 	documentRetryDelay = 400 * time.Millisecond
-	// remoteRequestDelay is how long nodes of other failure domains wait for one of the own to have
-	// the document too.
+	// remoteRequestDelay is how long a request to another failure domain waits for a node of the
+	// own one to have the document too.
 	remoteRequestDelay = 150 * time.Millisecond
 )
 
-// requestDocument asks a node for its document: at once where it is near or no near
-// node is heard, else when no near one had it in time. A failure to send shows
-// in the reading.
+// requestDocument requests the document from a node: at once if the node is in the own failure
+// domain or no such node is connected, else after remoteRequestDelay unless the document has
+// arrived. The receiving goroutine handles a failure to send.
 func (f *Follower) requestDocument(stream *link.Stream, number uint64) {
-	ask := func() {
+	send := func() {
 		if f.claimDocumentRequest(number) {
 			_ = stream.Send(FollowerMessage{requestDocument: true})
 		}
 	}
 	if f.isLocalDomain(stream) || !f.hasLocalNode() {
-		ask()
+		send()
 		return
 	}
-	time.AfterFunc(remoteRequestDelay, ask)
+	time.AfterFunc(remoteRequestDelay, send)
 }
 
-// claimDocumentRequest tells whether a node may be asked for a document: it is newer than
-// the one held, and no other node was asked for it just now.
+// claimDocumentRequest reports whether the document may be requested now: it is newer than the one
+// in force, and was not requested from another node within documentRetryDelay.
 func (f *Follower) claimDocumentRequest(number uint64) bool {
 	if number <= f.DocumentNumber() {
 		return false
@@ -55,8 +56,8 @@
 	return stream.Peer().Domain() == f.Hello.Self().Domain()
 }
 
-// hasLocalNode tells whether a node of the own failure domain is heard that would have a new
-// document by now.
+// hasLocalNode reports whether a node of the own failure domain is connected and recent enough to
+// have a new document soon.
 func (f *Follower) hasLocalNode() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/pkg/feed/demand_test.go
+++ b/pkg/feed/inventory_test.go
@@ -37,7 +37,7 @@
 	}
 	p.receiveDemand(last, 4)
 	if got := demandsByDomain(p.inventory.demands()); got["hall-b"] != 11 {
-		t.Fatalf("demands %v after a change", got)
+		t.Fatalf("demands %v after a change of the rate", got)
 	}
 	p.remove(last)
 	if got := demandsByDomain(p.inventory.demands()); got["hall-b"] != 7 || p.inventory.gateways() != 4 {
@@ -45,14 +45,14 @@
 	}
 }
 
-// A backup counts nobody: the primary does.
+// Only a follower's primary counts it, not its backup.
 func TestBackupsAreNotCounted(t *testing.T) {
 	p := NewPublisher(Source{})
 	s := newGatewaySubscriber("hall-a")
 	p.add(s)
 	p.receiveDemand(s, 10)
 	if len(p.inventory.demands()) != 0 || p.inventory.gateways() != 0 {
-		t.Fatal("a backup is counted")
+		t.Fatal("the follower of a backup is counted")
 	}
 }
 
@@ -63,26 +63,26 @@
 	c.forNode(localNode).gateways = 1
 	peer := NewPeer("10.0.0.9:7700", "hall-b", "menu", "10.0.0.9:80", false, false)
 	other := Update{gateways: 2, demands: []Demand{NewDemand("hall-a", 5), NewDemand("hall-b", 7)}, allPeers: true, peers: []Peer{peer}}
-	joined, _ := c.applyUpdate("node-b", other, now)
-	if len(joined) != 1 || c.gateways() != 3 {
-		t.Fatalf("joined %v, %d gateways", joined, c.gateways())
+	added, _ := c.applyUpdate("node-b", other, now)
+	if len(added) != 1 || c.gateways() != 3 {
+		t.Fatalf("added %v, %d gateways", added, c.gateways())
 	}
 	if got := demandsByDomain(c.demands()); got["hall-a"] != 15 || got["hall-b"] != 7 {
 		t.Fatalf("demands %v", got)
 	}
-	// The stager goes to its backup before the node that it left is forgotten.
+	// The stager switches to its backup before the inventory of its lost node expires.
 	if c.addPeer(localNode, peer) {
-		t.Fatal("a known peer is no news")
+		t.Fatal("a known peer counts as new")
 	}
 	if gone := c.expireNodes(now.Add(inventoryTTL)); len(gone) != 0 || c.gateways() != 1 {
-		t.Fatalf("gone %v, %d gateways", gone, c.gateways())
+		t.Fatalf("removed %v, %d gateways", gone, c.gateways())
 	}
 	if !c.removePeer(localNode, peer.Address()) {
-		t.Fatal("no node has it any more")
+		t.Fatal("the peer is not removed although no other node has it")
 	}
 }
 
-// Changes count only after all was told by the same node.
+// Changes of the peers apply only if the same node sent the complete list before.
 func TestPeerChangesApplyOnlyFromListSender(t *testing.T) {
 	var c receivedInventory
 	a := NewPeer("10.0.0.1:7700", "hall-a", "menu", "", false, false)
@@ -93,18 +93,18 @@
 		t.Fatalf("peers %v", c.peers)
 	}
 	c.apply("node-1", Update{peers: []Peer{b}, removedPeers: []string{a.Address()}})
-	if _, there := c.peers[b.Address()]; !there || len(c.peers) != 1 {
+	if _, ok := c.peers[b.Address()]; !ok || len(c.peers) != 1 {
 		t.Fatalf("peers %v", c.peers)
 	}
 }
 
-// A stager whose stream broke is back before the old stream is found broken: the
-// end of that one must not take it off the list.
+// A stager reconnects before its broken stream is detected. The end of the old stream must not
+// remove the stager.
 func TestReconnectedStagerStaysListed(t *testing.T) {
 	p := NewPublisher(Source{})
 	hello := NewHello(RoleStager, vm.NewIdentity("s", 1, "", "hall-a", "10.0.0.1:7700"), "menu", "10.0.0.1:80", nil, false)
-	old, back := newSubscriber(hello), newSubscriber(hello)
-	for _, s := range []*subscriber{old, back} {
+	old, reconnected := newSubscriber(hello), newSubscriber(hello)
+	for _, s := range []*subscriber{old, reconnected} {
 		p.add(s)
 		p.setSubscription(s, Primary)
 	}
@@ -112,14 +112,14 @@
 	if got := p.inventory.peers(); len(got) != 1 {
 		t.Fatalf("peers %v after the old stream ended", got)
 	}
-	p.remove(back)
+	p.remove(reconnected)
 	if got := p.inventory.peers(); len(got) != 0 {
 		t.Fatalf("peers %v after both ended", got)
 	}
 }
 
-// What a node told all peers of just before it heard that it is the primary no
-// more comes after the new primary's list, and is older.
+// A complete list of peers that a node sends just before it learns that it is no longer the primary
+// arrives after the new primary's list, and is older.
 func TestLatePeerListOfFormerPrimaryIsIgnored(t *testing.T) {
 	former, primary := &link.Stream{}, &link.Stream{}
 	f := &Follower{
@@ -127,11 +127,11 @@
 		streams: map[string]*followedNode{"a": {stream: former}, "b": {stream: primary}},
 		primary: primary,
 	}
-	one := NewPeer("10.0.0.1:7700", "hall-a", "menu", "", false, false)
-	two := NewPeer("10.0.0.2:7700", "hall-a", "menu", "", false, false)
-	f.recordUpdate("b", primary, Update{allPeers: true, peers: []Peer{one}})
+	firstPeer := NewPeer("10.0.0.1:7700", "hall-a", "menu", "", false, false)
+	secondPeer := NewPeer("10.0.0.2:7700", "hall-a", "menu", "", false, false)
+	f.recordUpdate("b", primary, Update{allPeers: true, peers: []Peer{firstPeer}})
 	f.recordUpdate("a", former, Update{allPeers: true})
-	f.recordUpdate("b", primary, Update{peers: []Peer{two}})
+	f.recordUpdate("b", primary, Update{peers: []Peer{secondPeer}})
 	if got := f.Peers(); len(got) != 2 {
 		t.Fatalf("peers %v", got)
 	}
--- a/pkg/feed/messages.go
+++ b/pkg/feed/messages.go
@@ -1,26 +1,25 @@
 // ================================================================
-// The feed: what control nodes tell gateways and stagers, and each other.
+// The feed: what control nodes send to gateways, stagers and caches, and to each other.
 //
-// A follower keeps streams to two control nodes: its primary, of its own failure
-// domain where there is one, and a backup. Both tell of documents, weights and
-// registrations, so that no single node's loss or cut hides a change; loads,
-// demand and peers are many, and only the primary tells them. Control nodes
-// follow all others and hand on what is told to them directly, so a word crosses
-// between two failure domains once and not once for each follower.
+// A follower keeps streams to two control nodes: its primary, in its own failure domain if there is
+// one there, and a backup. Both send documents, versions and registrations, so that the loss or
+// partition of one node hides no change. Loads, demands and peers are many, and only the primary
+// sends them. Control nodes follow all other nodes and forward only what followers report to them
+// directly, so that a message crosses between two failure domains once and not once per follower.
 //
-// Rejected: streams to all control nodes. At 274 followers and 5 nodes a load
-// went to each gateway from wherever its engine was, and links between regions
-// carried 264 MB in 22 s; each start of a follower had all others told anew.
+// Streams to all control nodes were rejected. With 274 followers and 5 nodes, each load was sent to
+// each gateway from wherever its engine was, and links between regions carried 264 MB in 22 s; each
+// start of a follower was sent to all others again.
 //
-//	follower -> node   Hello, then Words: asking for a document, telling a load
-//	node -> follower   Update at each change, and one each second without
+//	follower -> node   Hello, then FollowerMessages such as a document request or a load
+//	node -> follower   Update at each change, and one per second without changes
 //
-// Documents are large and come from one node only: nodes say the number that
-// they hold, and the follower asks one of them for it.
+// Documents are large and come from one node only: nodes send the number of the document that they
+// hold, and the follower requests it from one of them.
 // ================================================================
 
-// Package feed carries the service configuration, the named weights and the
-// registrations from control nodes to gateways and stagers.
+// Package feed carries the service configuration, the named versions of weights and the
+// registrations from control nodes to gateways, stagers and caches.
 package feed
 
 //go:generate go run github.com/tidepost/tidepost/tools/wiregen
@@ -34,7 +33,7 @@
 	"github.com/tidepost/tidepost/pkg/vm"
 )
 
-// Role says what a follower is.
+// Role is the kind of process that a follower is.
 type Role string
 
 // The roles of followers.
@@ -46,62 +45,62 @@
 	RoleNode Role = "node"
 )
 
-// Subscription says how much a follower wants to be told.
+// Subscription selects what a node sends to a follower.
 type Subscription uint8
 
-// The subscriptions. A stream begins as a backup.
+// The subscriptions. A stream starts as a backup.
 const (
-	// Unchanged stands in a Word that says nothing of it.
+	// Unchanged leaves the subscription as it is.
 	Unchanged Subscription = iota
-	// Backup wants documents, weights and registrations.
+	// Backup subscribes to documents, versions and registrations.
 	Backup
-	// Primary wants loads, demand and peers too.
+	// Primary subscribes to loads, demands and peers as well.
 	Primary
 )
 
-// Hello opens a stream of the feed.
+// Hello is the first message of a follower on a stream.
 //
 //wire:generate
 type Hello struct {
-	// role is what the follower is.
+	// role is the kind of process that the follower is.
 	role Role
-	// self is who it is.
+	// self is the identity of the follower.
 	self vm.Identity
-	// service is the engine's service, of a stager.
+	// service is the service of the engine beside a stager; empty for other roles.
 	service string
-	// engine is the engine's address, of a stager.
+	// engine is the address of the engine beside a stager; empty for other roles.
 	engine string
-	// versions are the named versions that the follower knows of. A node that has
-	// started anew takes their ages from it; what is named the log alone decides.
+	// versions are the named versions that the follower knows. A restarted node takes their ages
+	// from here, but never adds versions: those come only from the replicated log.
 	versions []NamedVersion
-	// fallback says that the follower only wants to hear of new documents and weights: those
-	// that it follows say nothing. A Word with a subscription ends that.
+	// fallback says that the follower only wants documents and versions, because the nodes that it
+	// follows are silent. A FollowerMessage with a subscription ends that.
 	fallback bool
 }
 
-// FollowerMessage is what a follower tells a node after its Hello.
+// FollowerMessage is what a follower sends to a node after its Hello.
 //
 //wire:generate
 type FollowerMessage struct {
-	// requestDocument asks for the document that the node holds.
+	// requestDocument requests the document that the node holds.
 	requestDocument bool
-	// load is the load of the engine beside a stager; nil otherwise.
+	// load is the load of the engine beside a stager; nil if the message reports none.
 	load *Load
-	// demand is how many requests for engines come to a gateway, a second; 0 in
-	// a Word that tells something else.
+	// demand is the rate of requests for engines at a gateway, in requests per second; 0 if the
+	// message reports none.
 	demand float64
-	// subscription changes what the follower wants to be told.
+	// subscription changes what the node sends to the follower.
 	subscription Subscription
-	// records are what the follower has learnt of requests under which servers ended, and
-	// in its first Word all that it knows: a node that has started anew learns them so.
+	// records are new quarantine records. The first message with records has all that the follower
+	// knows, so that a restarted node learns them.
 	records []quarantine.Record
-	// trialRequest is a barred request that a gateway asks to try once more; else empty.
+	// trialRequest is a barred request that a gateway asks to run once more; empty if none.
 	trialRequest quarantine.Fingerprint
-	// retryUsage is the last word of a gateway that ends in order; nil in all others.
+	// retryUsage is the last message of a gateway that shuts down gracefully; nil in all others.
 	retryUsage *RetryUsage
 }
 
-// Load is the state of an engine, read on its own VM.
+// Load is the state of an engine, measured on its own VM.
 //
 //wire:generate
 type Load struct {
@@ -109,40 +108,41 @@
 	service string
 	// engine is the engine's address.
 	engine string
-	// model and version are what it serves; 0 while it serves nothing whole.
-	model   string
+	// model is the model that the engine serves; empty while it serves no complete one.
+	model string
+	// version is the version of the weights that the engine serves; 0 while it serves no complete one.
 	version uint64
-	// running and queued count its requests.
+	// running is the number of requests that the engine is running.
 	running int
-	queued  int
-	// stepTimeRatio is its time for a step over the usual one; 0 when not known.
+	// queued is the number of requests that wait in the engine's queue.
+	queued int
+	// stepTimeRatio is the engine's current time per step divided by its usual one; 0 if not known.
 	stepTimeRatio float64
-	// busy says that an order is under way: it takes nothing new.
+	// busy says that an order is in progress: the engine accepts no new requests.
 	busy bool
-	// transferring says that chunks are on their way over the VM's link: a question to
-	// the stager would wait behind them.
+	// transferring says that chunks are being transferred over the VM's link: a request to the
+	// stager would be queued behind them.
 	transferring bool
 }
 
-// Urgent tells whether followers should hear of l at once after old.
+// Urgent reports whether followers should receive l without delay after old.
 func (l Load) Urgent(old Load) bool {
 	return l.version != old.version || l.busy != old.busy || l.transferring != old.transferring
 }
 
-// NamedVersion is a named version of a model.
+// NamedVersion is a version of a model's weights that was named as the one to serve, with its age.
 //
 //wire:generate
 type NamedVersion struct {
 	// model is the model's name.
 	model string
-	// version is a named version.
+	// version is the version of the weights.
 	version uint64
-	// age is how long ago it was named at least, as far as the teller knows.
+	// age is a lower bound of the time since the version was named, as far as the sender knows.
 	age time.Duration
 }
 
-// Peer is a follower as told to others: stagers and caches to each other, gateways to each
-// other.
+// Peer is a follower as sent to others: stagers and caches to each other, gateways to each other.
 //
 //wire:generate
 type Peer struct {
@@ -160,89 +160,91 @@
 	gateway bool
 }
 
-// Node is a control node, as told to followers.
+// Node is a control node as sent to followers.
 //
 //wire:generate
 type Node struct {
 	// address is its link address.
 	address string
-	// domain is its failure domain; empty where the teller does not know it.
+	// domain is its failure domain; empty if the sender does not know it.
 	domain string
 }
 
-// Update is what a node tells. A part that did not change since the last
-// Update is left empty.
+// Update is what a node sends to a follower. Parts that have not changed since the last Update are
+// empty.
 //
 //wire:generate
 type Update struct {
-	// number is the newest document applied at the node; 0 is none.
+	// number is the number of the newest document applied at the node; 0 if there is none.
 	number uint64
-	// document is the one asked for; nil otherwise.
+	// document is the requested document; nil if none was requested.
 	document *serviceconfig.Document
-	// versions are the named versions that somebody may still wait for, by model
-	// and oldest first: some 30 bytes each.
+	// versions are the named versions that a process may still be waiting for, by model and oldest
+	// first: about 30 bytes each.
 	versions []NamedVersion
-	// registrations are words that the follower has not heard from this node.
+	// registrations are those that this node has not sent to the follower yet.
 	registrations []registry.Registration
-	// quorumConfirmed says that the node heard of a quorum's leader lately.
+	// quorumConfirmed says that the node recently heard from a leader that has a quorum.
 	quorumConfirmed bool
 	// nodes are all control nodes.
 	nodes []Node
-	// gateways is how many gateways there are: in all, or those of the node
-	// where another node is told.
+	// gateways is the number of gateways: of all nodes, or of this node only in an Update to
+	// another node.
 	gateways int
-	// allPeers says that peers are all that there are; else they have come since.
+	// allPeers says that peers is the complete list; otherwise it has only the added peers.
 	allPeers bool
-	// peers are the followers that this one is to know, and gone the link addresses of
-	// those that have left.
-	peers        []Peer
+	// peers are the peers of the follower, or those added since the last Update.
+	peers []Peer
+	// removedPeers are the link addresses of the peers removed since the last Update.
 	removedPeers []string
-	// loads are those of engines that changed.
+	// loads are the loads of engines that changed.
 	loads []Load
-	// demands are the requests for engines that come to gateways, by failure
-	// domain: in all, or those of the node where another node is told.
+	// demands are the rates of requests for engines at gateways, by failure domain: of all nodes,
+	// or of this node only in an Update to another node.
 	demands []Demand
-	// records are what the follower has not heard from this node of requests under which
-	// servers ended: for gateways and nodes.
+	// records are the quarantine records that this node has not sent to the follower yet; for
+	// gateways and nodes only.
 	records []quarantine.Record
-	// retryUsage is what the gateway had spent that ended in order at the follower's address; nil
-	// where none did of late, or another has taken its place since.
+	// retryUsage is the retry usage of the gateway that last shut down gracefully at the follower's
+	// address; nil if there is none, or another gateway has started there since.
 	retryUsage *RetryUsage
 }
 
-// RetryUsage is what a gateway had spent of its budget of repeats when it ended in order. It sends
-// nothing afterwards, so the one that starts at its address knows exactly what counts yet.
+// RetryUsage is how much of its retry budget a gateway had used when it shut down gracefully. The
+// gateway sends nothing afterwards, so its successor at the same address knows exactly what still
+// counts against the budget.
 //
 //wire:generate
 type RetryUsage struct {
-	// gateways is how many gateways shared the reserve.
+	// gateways is the number of gateways that shared the reserve of retries.
 	gateways int
-	// slot is the time that each count is of.
+	// slot is the length of the time slot of each count.
 	slot time.Duration
-	// age is how long ago it ended, as far as the teller knows.
+	// age is the time since the gateway shut down, as far as the sender knows.
 	age time.Duration
 	// services are the counts by service.
 	services []ServiceRetryUsage
 }
 
-// ServiceRetryUsage is what one service got from a gateway, by slot of time and the last slot
-// first.
+// ServiceRetryUsage holds a gateway's requests and retries for one service by time slot, the latest
+// slot first.
 //
 //wire:generate
 type ServiceRetryUsage struct {
-	// service is its name.
+	// service is the name of the service.
 	service string
-	// requests and repeats are what it got in each slot.
+	// requests are the requests in each slot.
 	requests []int
-	retries  []int
+	// retries are the retries in each slot.
+	retries []int
 }
 
-// Demand is how many requests for engines come to gateways, a second.
+// Demand is the rate of requests for engines at the gateways of a failure domain.
 //
 //wire:generate
 type Demand struct {
 	// domain is the failure domain of the gateways.
 	domain string
-	// perSecond is what comes to all of them.
+	// perSecond is the sum of their rates, in requests per second.
 	perSecond float64
 }
--- a/pkg/feed/update.go
+++ b/pkg/feed/next_update.go
@@ -1,6 +1,6 @@
 // ================================================================
-// What one Update tells a follower: what waits for it, and what its role needs of the
-// census and of the document.
+// Builds the next Update to a follower from its queue, and from the parts of the inventory and the
+// document that its role needs.
 // ================================================================
 
 package feed
@@ -12,33 +12,33 @@
 	"github.com/tidepost/tidepost/pkg/serviceconfig"
 )
 
-// nextUpdate takes what waits for the follower.
+// nextUpdate empties the follower's queue and returns its content as an Update.
 func (p *Publisher) nextUpdate(s *subscriber) Update {
-	t := s.dequeue()
-	u := Update{number: p.source.DocumentNumber(), versions: p.source.Versions(), quorumConfirmed: p.source.QuorumConfirmed(), records: t.records}
-	if t.retryUsage != nil {
-		u.retryUsage = t.retryUsage.agedTo(time.Now())
+	d := s.dequeue()
+	u := Update{number: p.source.DocumentNumber(), versions: p.source.Versions(), quorumConfirmed: p.source.QuorumConfirmed(), records: d.records}
+	if d.retryUsage != nil {
+		u.retryUsage = d.retryUsage.agedTo(time.Now())
 	}
-	if t.sendDocument {
+	if d.sendDocument {
 		u.document = p.documentFor(s.hello.role)
 	}
-	for _, l := range t.loads {
+	for _, l := range d.loads {
 		u.loads = append(u.loads, l)
 	}
-	for _, r := range t.registrations {
+	for _, r := range d.registrations {
 		u.registrations = append(u.registrations, r)
 	}
-	if t.sendNodes {
+	if d.sendNodes {
 		u.nodes = p.controlNodes()
 	}
-	if t.primary {
-		p.addInventory(&u, s, t)
+	if d.primary {
+		p.addInventory(&u, s, d)
 	}
 	return u
 }
 
-// addInventory adds what the census says to a primary follower's Update.
-func (p *Publisher) addInventory(u *Update, s *subscriber, t dequeued) {
+// addInventory adds the inventory to an Update to a primary follower.
+func (p *Publisher) addInventory(u *Update, s *subscriber, d dequeued) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	isNode := s.hello.role == RoleNode
@@ -48,7 +48,7 @@
 	case s.hello.role == RoleGateway:
 		u.gateways, u.demands = p.inventory.gateways(), p.inventory.demands()
 	}
-	if t.sendAllPeers {
+	if d.sendAllPeers {
 		u.allPeers = true
 		all := p.inventory.peers()
 		if isNode {
@@ -57,7 +57,7 @@
 		u.peers = slices.DeleteFunc(all, func(peer Peer) bool { return !s.wantsPeer(peer) })
 		return
 	}
-	for address, peer := range t.peers {
+	for address, peer := range d.peers {
 		if peer == nil {
 			u.removedPeers = append(u.removedPeers, address)
 		} else {
@@ -66,8 +66,8 @@
 	}
 }
 
-// controlNodes returns the control nodes, with the failure domains of those that
-// follow here: all others do.
+// controlNodes returns the control nodes, with the failure domains of those that follow this node,
+// which is all that run.
 func (p *Publisher) controlNodes() []Node {
 	addresses := p.source.Nodes()
 	p.mu.Lock()
@@ -85,8 +85,8 @@
 	return all
 }
 
-// documentFor returns the document as a role needs it; nil when there is none.
-// Routes and keys are most of it, and only gateways read them.
+// documentFor returns the document as a role needs it; nil if there is none. Routes and keys are
+// most of it, and only gateways read them.
 func (p *Publisher) documentFor(role Role) *serviceconfig.Document {
 	d := p.source.Document()
 	if d == nil || role == RoleGateway {
--- a/pkg/feed/choice_test.go
+++ b/pkg/feed/node_selection_test.go
@@ -22,12 +22,12 @@
 	}{
 		{"none", nil, nil},
 		{"one", []candidate{far}, []string{"far"}},
-		{"the own failure domain first", []candidate{far, near}, []string{"near", "far"}},
-		{"one that failed is no primary", []candidate{far, {"near", "hall-a", rankFailed}}, []string{"far", "near"}},
-		{"one that is alone stays the primary", []candidate{far, {"near", "hall-a", rankNoQuorum}}, []string{"near", "far"}},
-		{"the backup hears of a leader", []candidate{near, {"alone", "hall-c", rankNoQuorum}, far}, []string{"near", "far"}},
-		{"one that is heard stays the backup", []candidate{near, {"untried", "hall-c", rankUntried}, far}, []string{"near", "far"}},
-		{"one that is untried before one that is alone", []candidate{near, {"untried", "hall-c", rankUntried}, {"alone", "hall-b", rankNoQuorum}}, []string{"near", "untried"}},
+		{"the primary is of the own failure domain", []candidate{far, near}, []string{"near", "far"}},
+		{"a failed node is no primary", []candidate{far, {"near", "hall-a", rankFailed}}, []string{"far", "near"}},
+		{"a primary without contact with the leader stays", []candidate{far, {"near", "hall-a", rankNoQuorum}}, []string{"near", "far"}},
+		{"the backup is in contact with the leader", []candidate{near, {"alone", "hall-c", rankNoQuorum}, far}, []string{"near", "far"}},
+		{"a connected backup stays", []candidate{near, {"untried", "hall-c", rankUntried}, far}, []string{"near", "far"}},
+		{"an untried node precedes one without contact with the leader", []candidate{near, {"untried", "hall-c", rankUntried}, {"alone", "hall-b", rankNoQuorum}}, []string{"near", "untried"}},
 		{"the backup is of another failure domain", []candidate{near, {"near-2", "hall-a", rankHealthy}, far}, []string{"near-2", "far"}},
 	}
 	for _, c := range cases {
@@ -37,7 +37,7 @@
 	}
 }
 
-// The followers of a failure domain share out the other nodes as backups.
+// The followers of a failure domain spread their backups over the other nodes.
 func TestBackupsAreSpread(t *testing.T) {
 	all := []candidate{{"node-a", "hall-a", rankUntried}}
 	for i := range 4 {
@@ -58,25 +58,25 @@
 	}
 }
 
-// A control node that has just come back counts few of the others: it takes the
-// place of a primary that works only after a while, and of none at once.
+// A control node that has just reconnected counts few gateways. It replaces a working primary only
+// after primaryWarmup, but becomes the primary at once if there is none.
 func TestReconnectedNodeWaitsToBecomePrimary(t *testing.T) {
 	now := time.Unix(100, 0)
 	near := &followedNode{stream: &link.Stream{}, connectedAt: now}
 	far := &followedNode{stream: &link.Stream{}, connectedAt: now.Add(-time.Minute)}
 	f := &Follower{streams: map[string]*followedNode{"near": near, "far": far}, primary: far.stream}
 	wanted := []string{"near", "far"}
-	if words := f.choosePrimary(wanted, now.Add(primaryWarmup/2)); len(words) != 0 || f.primary != far.stream {
-		t.Fatal("a node took the place of a primary that works before it had settled")
+	if messages := f.choosePrimary(wanted, now.Add(primaryWarmup/2)); len(messages) != 0 || f.primary != far.stream {
+		t.Fatal("a node replaced a working primary before primaryWarmup was over")
 	}
-	words := f.choosePrimary(wanted, now.Add(primaryWarmup))
-	if f.primary != near.stream || words[near.stream].subscription != Primary || words[far.stream].subscription != Backup {
-		t.Fatalf("words %v", words)
+	messages := f.choosePrimary(wanted, now.Add(primaryWarmup))
+	if f.primary != near.stream || messages[near.stream].subscription != Primary || messages[far.stream].subscription != Backup {
+		t.Fatalf("messages %v", messages)
 	}
 	f.primary = nil
 	far.stream = nil
 	near.connectedAt = now
 	if f.choosePrimary(wanted, now); f.primary != near.stream {
-		t.Fatal("there is no primary although a node is heard")
+		t.Fatal("there is no primary although a node is connected")
 	}
 }
--- a/pkg/feed/publisher.go
+++ b/pkg/feed/publisher.go
@@ -1,12 +1,11 @@
 // ================================================================
-// The publisher: a control node's side of the feed.
+// Server side of the feed at a control node.
 //
-// What followers tell directly goes to the own primary followers and to the
-// other control nodes; what other nodes tell goes to the own followers only. So
-// each word reaches a gateway by at most two nodes, and none goes round.
-// Registrations are the exception: whichever node learns something new tells all
-// that it serves, since a word that a backend server leaves must arrive also
-// where two nodes do not reach each other.
+// What followers report directly is sent to the node's own primary followers and to the other
+// control nodes; what other nodes send is forwarded to the own followers only. So each message
+// reaches a gateway through at most two nodes, and none loops. Registrations are the exception:
+// each node that learns of a new one sends it to all its followers, because a backend server's
+// leave must also arrive when two nodes cannot reach each other.
 // ================================================================
 
 package feed
@@ -25,72 +24,72 @@
 )
 
 const (
-	// updateInterval is the time between Updates when nothing changes, and quickBeat the same for
-	// gateways that have the node for their primary: what they miss counts soonest.
+	// updateInterval is the time between Updates without changes. gatewayUpdateInterval is the
+	// shorter one for gateways that have the node as their primary, which are affected first by a
+	// missing Update.
 	updateInterval        = time.Second
 	gatewayUpdateInterval = updateInterval / 2
-	// loadBatchDelay is how long loads wait for others to be told with them, and
-	// relayPause the same towards another node: at 24 engines a node and 5 nodes
-	// 0.1 s would send four times the bytes between regions.
+	// loadBatchDelay is how long loads are collected before an Update to a follower, and
+	// relayBatchDelay the same for another node: with 24 engines per node and 5 nodes, 0.1 s would
+	// send four times the bytes between regions.
 	loadBatchDelay  = 80 * time.Millisecond
 	relayBatchDelay = 400 * time.Millisecond
-	// minUpdateInterval lies between two Updates of one follower, whatever happens: a
-	// roll of 120 engines has several urgent words each.
+	// minUpdateInterval is the least time between two Updates to one follower: a rolling update of
+	// 120 engines has several urgent changes for each.
 	minUpdateInterval = 40 * time.Millisecond
-	// sendTimeout bounds one Update; a follower that takes longer is cut off.
+	// sendTimeout bounds the sending of one Update; a slower follower is disconnected.
 	sendTimeout = 3 * time.Second
 	// maxFollowers bounds the streams that a node serves.
 	maxFollowers = 4096
 )
 
-// Source is where a publisher reads what it tells. All of it is called from
-// several goroutines.
+// Source is the data that a publisher sends and the handlers of what it receives. All functions are
+// called from several goroutines.
 type Source struct {
-	// Self is the node.
+	// Self is the identity of the node.
 	Self vm.Identity
-	// DocumentNumber returns the newest applied document's number.
+	// DocumentNumber returns the number of the newest applied document.
 	DocumentNumber func() uint64
-	// Document returns that document; nil when there is none.
+	// Document returns that document; nil if there is none.
 	Document func() *serviceconfig.Document
 	// Versions returns the named versions.
 	Versions func() []NamedVersion
-	// OnHello takes the named versions that a follower knows of, before it is told
-	// anything; nil where nobody asks.
-	OnHello func(f Hello)
-	// Registrations returns all words that the node holds.
+	// OnHello handles the Hello of a follower, with the named versions that it knows, before any
+	// Update is sent to it; nil to ignore it.
+	OnHello func(hello Hello)
+	// Registrations returns all registrations that the node holds.
 	Registrations func() []registry.Registration
-	// Records returns what the node knows of requests under which servers ended, and
-	// Learn takes what a follower knows of them; nil where nobody asks.
+	// Records returns the quarantine records that the node holds, and OnRecords handles those that
+	// a follower sends; nil if the node keeps none.
 	Records   func() []quarantine.Record
 	OnRecords func(records []quarantine.Record)
-	// OnTrialRequest takes that a follower asks to try a barred request once more; nil where nobody
-	// may.
+	// OnTrialRequest handles a follower's request to run a barred request once more; nil to ignore
+	// it.
 	OnTrialRequest func(f quarantine.Fingerprint, tester string)
 	// Nodes returns the link addresses of the control nodes.
 	Nodes func() []string
-	// QuorumConfirmed tells whether a quorum's leader was heard of lately.
+	// QuorumConfirmed reports whether the node recently heard from a leader that has a quorum.
 	QuorumConfirmed func() bool
 }
 
-// Publisher serves the feed to followers.
+// Publisher serves the feed to followers. It is safe for concurrent use.
 type Publisher struct {
 	source Source
 
 	mu          sync.Mutex
 	subscribers map[*subscriber]bool
-	loads       map[string]receivedLoad     // the newest told here, by engine
-	retryUsage  map[string]storedRetryUsage // by link address of a gateway that ended in order
+	loads       map[string]receivedLoad     // the latest reported to this node, by engine
+	retryUsage  map[string]storedRetryUsage // by link address of a gateway that shut down gracefully
 	inventory   *inventory
 }
 
-// receivedLoad is a load and when it was told.
+// receivedLoad is a load and the time at which it was received.
 type receivedLoad struct {
 	load       Load
 	receivedAt time.Time
 }
 
-// loadTTL is for how long a load is told to a new follower: stagers tell theirs
-// anew each second.
+// loadTTL is how long a load is sent to new followers: stagers report theirs every second.
 const loadTTL = 2 * time.Second
 
 // NewPublisher returns a publisher without followers.
@@ -98,36 +97,37 @@
 	return &Publisher{source: s, subscribers: map[*subscriber]bool{}, loads: map[string]receivedLoad{}, retryUsage: map[string]storedRetryUsage{}, inventory: newInventory()}
 }
 
-// QueueRegistrations queues a word for every follower.
-func (p *Publisher) QueueRegistrations(words ...registry.Registration) {
-	if len(words) == 0 {
+// QueueRegistrations queues registrations for every follower.
+func (p *Publisher) QueueRegistrations(registrations ...registry.Registration) {
+	if len(registrations) == 0 {
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for s := range p.subscribers {
 		if !s.isFallback() {
-			s.changeAndWake(func(s *subscriber) { s.queueRegistrations(words) })
+			s.changeAndWake(func(s *subscriber) { s.queueRegistrations(registrations) })
 		}
 	}
 }
 
-// ResendToNodes queues words for the other control nodes, which forget what is not told
-// again.
-func (p *Publisher) ResendToNodes(words []registry.Registration) {
+// ResendToNodes queues registrations for the other control nodes, which forget those that are not
+// sent again.
+func (p *Publisher) ResendToNodes(registrations []registry.Registration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for s := range p.subscribers {
 		if s.hello.role == RoleNode {
-			s.changeAndWake(func(s *subscriber) { s.queueRegistrations(words) })
+			s.changeAndWake(func(s *subscriber) { s.queueRegistrations(registrations) })
 		}
 	}
 }
 
-// NotifyChange wakes every follower: the document or the weights changed.
+// NotifyChange sends an Update to every follower at once: the document or the versions have
+// changed.
 func (p *Publisher) NotifyChange() { p.changeAll(func(*subscriber) {}) }
 
-// NodesChanged has the control nodes told anew.
+// NodesChanged sends the list of control nodes to every follower.
 func (p *Publisher) NodesChanged() { p.changeAll(func(s *subscriber) { s.sendNodes = true }) }
 
 func (p *Publisher) changeAll(change func(*subscriber)) {
@@ -138,7 +138,7 @@
 	}
 }
 
-// receiveLoad takes a load that the stager beside the engine told here.
+// receiveLoad stores a load from the stager beside the engine and queues it.
 func (p *Publisher) receiveLoad(l Load) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -149,22 +149,22 @@
 	}
 }
 
-// ReceiveNodeUpdate takes what another control node told of its own followers.
+// ReceiveNodeUpdate handles what another control node sent of its own followers.
 func (p *Publisher) ReceiveNodeUpdate(node string, u Update) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	joined, gone := p.inventory.applyUpdate(node, u, time.Now())
+	added, removed := p.inventory.applyUpdate(node, u, time.Now())
 	p.dropRetryUsage(u.peers)
-	p.queueForFollowers(u.loads, joined, gone)
+	p.queueForFollowers(u.loads, added, removed)
 }
 
-// Sweep forgets old loads, and what silent control nodes told.
+// Sweep removes expired loads, retry usages and inventories of silent control nodes.
 func (p *Publisher) Sweep() {
 	now := time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for engine, told := range p.loads {
-		if now.Sub(told.receivedAt) > loadTTL {
+	for engine, received := range p.loads {
+		if now.Sub(received.receivedAt) > loadTTL {
 			delete(p.loads, engine)
 		}
 	}
@@ -172,9 +172,9 @@
 	p.queueForFollowers(nil, nil, p.inventory.expireNodes(now))
 }
 
-// queueForFollowers queues what other nodes told for the followers here, other nodes
-// excepted.
-func (p *Publisher) queueForFollowers(loads []Load, joined []Peer, gone []string) {
+// queueForFollowers queues what other nodes sent for the followers of this node, except other
+// nodes.
+func (p *Publisher) queueForFollowers(loads []Load, added []Peer, removed []string) {
 	for s := range p.subscribers {
 		if s.hello.role == RoleNode {
 			continue
@@ -182,8 +182,8 @@
 		if len(loads) > 0 {
 			s.queueLoads(loads, false)
 		}
-		if len(joined)+len(gone) > 0 {
-			s.queuePeers(joined, gone)
+		if len(added)+len(removed) > 0 {
+			s.queuePeers(added, removed)
 		}
 	}
 }
@@ -207,7 +207,7 @@
 	}
 	p.handOverRetryUsage(s)
 	if !p.add(s) {
-		return failure.New(failure.Overloaded, "%d followers are served already", maxFollowers)
+		return failure.New(failure.Overloaded, "the limit of %d followers is reached", maxFollowers)
 	}
 	defer p.remove(s)
 	if !hello.fallback {
@@ -219,8 +219,8 @@
 	return p.sendUpdates(ctx, stream, s)
 }
 
-// queueKnownRecords queues all records, once the follower is told of new ones, so that none
-// comes between.
+// queueKnownRecords queues all records. It is called after the follower was added to the
+// subscribers, so that it misses no new record.
 func (p *Publisher) queueKnownRecords(s *subscriber) {
 	if p.source.Records != nil {
 		s.queueRecords(p.source.Records())
@@ -248,37 +248,37 @@
 	delete(p.subscribers, s)
 }
 
-// receiveMessages reads what the follower tells; the end of the stream ends it.
+// receiveMessages handles the messages of a follower until the stream ends.
 func (p *Publisher) receiveMessages(stream *link.Stream, s *subscriber, cancel func()) {
 	defer cancel()
 	for {
-		var w FollowerMessage
-		if err := stream.Receive(&w); err != nil {
+		var m FollowerMessage
+		if err := stream.Receive(&m); err != nil {
 			return
 		}
-		if w.subscription != Unchanged {
-			p.setSubscription(s, w.subscription)
+		if m.subscription != Unchanged {
+			p.setSubscription(s, m.subscription)
 		}
-		if w.load != nil {
-			p.receiveLoad(*w.load)
+		if m.load != nil {
+			p.receiveLoad(*m.load)
 		}
-		p.receiveRecords(w.records)
-		if w.trialRequest != "" && p.source.OnTrialRequest != nil {
-			go p.source.OnTrialRequest(w.trialRequest, quarantine.Tester(s.hello.self))
+		p.receiveRecords(m.records)
+		if m.trialRequest != "" && p.source.OnTrialRequest != nil {
+			go p.source.OnTrialRequest(m.trialRequest, quarantine.Tester(s.hello.self))
 		}
-		if w.demand > 0 {
-			p.receiveDemand(s, w.demand)
+		if m.demand > 0 {
+			p.receiveDemand(s, m.demand)
 		}
-		if w.retryUsage != nil {
-			p.storeRetryUsage(s, *w.retryUsage)
+		if m.retryUsage != nil {
+			p.storeRetryUsage(s, *m.retryUsage)
 		}
-		if w.requestDocument {
+		if m.requestDocument {
 			s.changeAndWake(func(s *subscriber) { s.sendDocument = true })
 		}
 	}
 }
 
-// receiveRecords takes what a follower tells of requests under which servers ended.
+// receiveRecords passes the quarantine records of a follower to the source.
 func (p *Publisher) receiveRecords(records []quarantine.Record) {
 	if len(records) > 0 && p.source.OnRecords != nil {
 		p.source.OnRecords(records)
@@ -313,13 +313,13 @@
 	}
 }
 
-// waitOrWake waits for a time or a wake-up, and returns false when the context ended.
-func waitOrWake(ctx context.Context, pause time.Duration, wake <-chan struct{}) bool {
+// waitOrWake waits for a duration or a wake-up, and returns false if the context has ended.
+func waitOrWake(ctx context.Context, duration time.Duration, wake <-chan struct{}) bool {
 	select {
 	case <-ctx.Done():
 		return false
 	case <-wake:
-	case <-time.After(pause):
+	case <-time.After(duration):
 	}
 	return true
 }
--- a/pkg/feed/records.go
+++ b/pkg/feed/quarantine_records.go
@@ -1,13 +1,13 @@
 // ================================================================
-// What control nodes tell of requests under which servers ended. All gateways have to
-// know within a second or two, so it goes the way of registrations: whichever node
-// learns something new tells all gateways and nodes that it serves.
+// Distribution of quarantine records: records of requests that were running when a backend server
+// terminated. All gateways must have them within a second or two, so they are distributed as
+// registrations are: each node that learns of a new one sends it to all its gateways and nodes.
 //
-// It must not fill links either. A server that ends takes tens of requests with it, and
-// nearly all of them are innocent: records of one end go to the nodes only, which put them
-// together, and what is told at a time is bounded. Told to 149 gateways over two streams
-// each, 1,440 requests of 120 servers that end at one moment come to 1,440 x 298 x 130 B,
-// or 55 MB; this way all gateways know of the one that matters after 0.5 MB.
+// They must not saturate links either. A backend server that terminates has tens of requests
+// running, nearly all of them harmless. So records with one termination are sent to nodes only,
+// which merge them, and the records of one Update are bounded. Sent to 149 gateways over two
+// streams each, 1,440 requests of 120 backend servers that terminate at once would be 1,440 x 298 x
+// 130 B, or 55 MB; this way all gateways have the relevant record after 0.5 MB.
 // ================================================================
 
 package feed
@@ -19,8 +19,8 @@
 	"github.com/tidepost/tidepost/pkg/quarantine"
 )
 
-// maxRecordsPerUpdate bounds the records of one Update, some 150 bytes each: 16 in 80 ms to
-// a gateway and in 400 ms to another node, but for those that are urgent.
+// maxRecordsPerUpdate bounds the records of one Update, about 150 bytes each. Unless they are
+// urgent, at most 16 are sent to a gateway in 80 ms and to another node in 400 ms.
 const maxRecordsPerUpdate = 16
 
 // QueueRecords queues records for the followers that need them.
@@ -35,13 +35,12 @@
 	}
 }
 
-// wantsRecords tells whether a follower needs to know of requests.
+// wantsRecords reports whether quarantine records are sent to this follower.
 func (s *subscriber) wantsRecords() bool {
 	return s.hello.role == RoleGateway || s.hello.role == RoleNode
 }
 
-// queueRecords queues records, and has them told at once where one may soon keep a request
-// away, or clears one.
+// queueRecords queues records, and wakes the sender at once if one of them is urgent.
 func (s *subscriber) queueRecords(records []quarantine.Record) {
 	if !s.wantsRecords() {
 		return
@@ -65,10 +64,11 @@
 	}
 }
 
-// isUrgent tells whether a record may soon keep its request away, or clears one.
+// isUrgent reports whether a record may soon bar its request, or clears it.
 func isUrgent(r quarantine.Record) bool { return len(r.Ends()) > 1 || len(r.Whole()) > 0 }
 
-// dequeueRecords takes the most urgent records off the queue. The caller holds the lock.
+// dequeueRecords removes the most urgent records from the queue and returns them. The caller holds
+// the lock.
 func (s *subscriber) dequeueRecords() []quarantine.Record {
 	if len(s.records) == 0 {
 		return nil
@@ -87,7 +87,7 @@
 	return all
 }
 
-// truncateRecords returns the first records, so many at the most.
-func truncateRecords(records []quarantine.Record, most int) []quarantine.Record {
-	return records[:min(len(records), most)]
+// truncateRecords returns at most limit records from the front.
+func truncateRecords(records []quarantine.Record, limit int) []quarantine.Record {
+	return records[:min(len(records), limit)]
 }
--- a/pkg/feed/heard.go
+++ b/pkg/feed/received_inventory.go
@@ -1,21 +1,20 @@
 // ================================================================
-// What the primary told of the other followers. It outlives the stream that it
-// came by: a failure domain that is cut off goes on with what it knew.
+// The inventory that a follower received from its primary. It outlives the stream: a partitioned
+// failure domain continues with what it last received.
 // ================================================================
 
 package feed
 
-// receivedInventory is the census as a follower was told it last. It is not safe for
-// concurrent use.
+// receivedInventory is the last received inventory. It is not safe for concurrent use.
 type receivedInventory struct {
 	gateways int
 	demands  []Demand
 	peers    map[string]Peer // by link address
-	sender   string          // the node that told all peers last
+	sender   string          // the node that last sent the complete list of peers
 }
 
-// apply takes what a node told. Changes of the peers count only where the same
-// node told all of them before.
+// apply stores the inventory in an Update. Changes of the peers are applied only if the same node
+// sent the complete list before.
 func (c *receivedInventory) apply(node string, u Update) {
 	if u.gateways > 0 {
 		c.gateways, c.demands = u.gateways, u.demands
--- a/pkg/feed/subscriber.go
+++ b/pkg/feed/subscriber.go
@@ -1,7 +1,7 @@
 // ================================================================
-// A subscriber: one follower's queue at a control node. It holds the newest word
-// of each backend server, engine and peer that the follower has not got yet, so
-// a slow follower costs one word each and never holds up the others.
+// The send queue of one follower at a control node. It holds the latest registration, load and peer
+// change of each sender that the follower has not received, so that a slow follower costs at most
+// one entry for each and does not delay the others.
 // ================================================================
 
 package feed
@@ -15,24 +15,24 @@
 	"github.com/tidepost/tidepost/pkg/registry"
 )
 
-// subscriber is one follower's queue.
+// subscriber is the send queue of one follower. The fields below mu are guarded by it.
 type subscriber struct {
 	hello       Hello
-	wakeNow     chan struct{} // something is to be told at once
-	wakeBatched chan struct{} // something may wait for more
+	wakeNow     chan struct{} // sends an Update at once
+	wakeBatched chan struct{} // sends an Update after batchDelay
 
 	mu            sync.Mutex
-	primary       bool // it wants loads, demand and peers
+	primary       bool // loads, demands and peers are sent
 	registrations map[string]registry.Registration
 	records       map[quarantine.Fingerprint]quarantine.Record
 	loads         map[string]Load   // by engine
-	peers         map[string]*Peer  // changes by link address; nil is one that left
-	sendAllPeers  bool              // all peers are to be told
-	sendNodes     bool              // the control nodes are to be told
-	sendDocument  bool              // the document is to be told
-	demand        float64           // requests for engines a second, of a gateway
-	retryUsage    *storedRetryUsage // of the gateway before it, to be told
-	fallback      bool              // it wants to hear of documents and weights only
+	peers         map[string]*Peer  // changes by link address; nil for a removed peer
+	sendAllPeers  bool              // the next Update has all peers
+	sendNodes     bool              // the next Update has the control nodes
+	sendDocument  bool              // the next Update has the document
+	demand        float64           // requests for engines per second, of a gateway
+	retryUsage    *storedRetryUsage // of the gateway's predecessor, to be sent
+	fallback      bool              // only documents and versions are sent
 }
 
 func newSubscriber(hello Hello) *subscriber {
@@ -44,7 +44,7 @@
 	}
 }
 
-// changeAndWake changes what waits and has it told at once.
+// changeAndWake changes the queue and wakes the sender at once.
 func (s *subscriber) changeAndWake(change func(*subscriber)) {
 	s.mu.Lock()
 	change(s)
@@ -52,10 +52,10 @@
 	daemon.Wake(s.wakeNow)
 }
 
-// queueRegistrations queues words of backend servers. The caller holds the lock, or is the
-// only one who knows s.
-func (s *subscriber) queueRegistrations(words []registry.Registration) {
-	for _, r := range words {
+// queueRegistrations queues registrations. The caller holds the lock, or is the only one with
+// access to s.
+func (s *subscriber) queueRegistrations(registrations []registry.Registration) {
+	for _, r := range registrations {
 		s.registrations[r.Incarnation()] = r
 	}
 }
@@ -66,22 +66,22 @@
 	return s.primary
 }
 
-// isFallback tells whether this follower wants to hear of documents and weights only.
+// isFallback reports whether only documents and versions are sent to this follower.
 func (s *subscriber) isFallback() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.fallback
 }
 
-// endFallback has this follower told everything from now on, and tells whether it was a spare.
-func (s *subscriber) endFallback() (was bool) {
+// endFallback ends the restriction to documents and versions, and reports whether there was one.
+func (s *subscriber) endFallback() (wasFallback bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	was, s.fallback = s.fallback, false
-	return was
+	wasFallback, s.fallback = s.fallback, false
+	return wasFallback
 }
 
-// updateInterval is how long this follower is told nothing when nothing changes.
+// updateInterval returns the time between Updates to this follower without changes.
 func (s *subscriber) updateInterval() time.Duration {
 	if s.hello.role == RoleGateway && s.isPrimary() {
 		return gatewayUpdateInterval
@@ -89,23 +89,23 @@
 	return updateInterval
 }
 
-// isSameFollower tells whether this is another stream of the same follower.
+// isSameFollower reports whether other is another stream of the same follower.
 func (s *subscriber) isSameFollower(other *subscriber) bool {
-	self, theirs := s.hello.self, other.hello.self
-	return s != other && s.hello.role == other.hello.role && self.Address() == theirs.Address() && self.ID() == theirs.ID()
+	self, otherSelf := s.hello.self, other.hello.self
+	return s != other && s.hello.role == other.hello.role && self.Address() == otherSelf.Address() && self.ID() == otherSelf.ID()
 }
 
-// wantsLoads tells whether loads are for this follower.
+// wantsLoads reports whether loads are sent to this follower. The caller holds the lock.
 func (s *subscriber) wantsLoads() bool {
 	return s.primary && (s.hello.role == RoleGateway || s.hello.role == RoleNode)
 }
 
-// wantsPeer tells whether this follower is to know a peer: control nodes know all.
+// wantsPeer reports whether a peer is sent to this follower: control nodes get all.
 func (s *subscriber) wantsPeer(p Peer) bool {
 	return s.hello.role == RoleNode || p.gateway == (s.hello.role == RoleGateway)
 }
 
-// queueLoads queues loads for a follower that takes them.
+// queueLoads queues loads if they are sent to this follower.
 func (s *subscriber) queueLoads(loads []Load, urgent bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -122,27 +122,27 @@
 	}
 }
 
-// queuePeers queues changes of the peers for a follower that is told of them.
-func (s *subscriber) queuePeers(joined []Peer, gone []string) {
+// queuePeers queues changes of the peers if they are sent to this follower.
+func (s *subscriber) queuePeers(added []Peer, removed []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.primary {
 		return
 	}
-	for _, p := range joined {
+	for _, p := range added {
 		if s.wantsPeer(p) {
 			s.peers[p.address] = &p
 		}
 	}
-	for _, address := range gone {
+	for _, address := range removed {
 		s.peers[address] = nil
 	}
 	daemon.Wake(s.wakeBatched)
 }
 
-// batchDelay is how long what may wait does so, for more to be told with it. Between
-// nodes it is longer: links between regions are narrow, and gateways use engines
-// of other failure domains for what their own cannot take.
+// batchDelay is how long changes that are not urgent are collected before an Update. It is longer
+// between nodes: links between regions are narrow, and gateways use engines of other failure
+// domains only for the load that their own cannot take.
 func (s *subscriber) batchDelay() time.Duration {
 	if s.hello.role == RoleNode {
 		return relayBatchDelay
@@ -150,7 +150,7 @@
 	return loadBatchDelay
 }
 
-// dequeued is what was taken off a queue to be told.
+// dequeued is the content of a queue that was removed for an Update.
 type dequeued struct {
 	registrations map[string]registry.Registration
 	loads         map[string]Load
@@ -167,8 +167,8 @@
 func (s *subscriber) dequeue() dequeued {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	t := dequeued{s.registrations, s.loads, s.peers, s.sendAllPeers, s.sendNodes, s.sendDocument, s.primary, s.dequeueRecords(), s.retryUsage}
+	d := dequeued{s.registrations, s.loads, s.peers, s.sendAllPeers, s.sendNodes, s.sendDocument, s.primary, s.dequeueRecords(), s.retryUsage}
 	s.registrations, s.loads, s.peers = map[string]registry.Registration{}, map[string]Load{}, map[string]*Peer{}
 	s.sendAllPeers, s.sendNodes, s.sendDocument, s.retryUsage = false, false, false, nil
-	return t
+	return d
 }
--- a/pkg/feed/subscription.go
+++ b/pkg/feed/subscription.go
@@ -1,27 +1,26 @@
 // ================================================================
-// Who has this node for its primary. The census counts each follower where it has its
-// primary, once, whatever streams it keeps besides.
+// Subscriptions of followers. The inventory counts each follower once, at the node that is its
+// primary, whatever other streams it keeps.
 // ================================================================
 
 package feed
 
 import "github.com/tidepost/tidepost/pkg/daemon"
 
-// setSubscription makes this node a follower's primary, or takes that back. The census
-// counts a follower where it has its primary.
-func (p *Publisher) setSubscription(s *subscriber, to Subscription) {
+// setSubscription makes this node the primary or a backup of a follower.
+func (p *Publisher) setSubscription(s *subscriber, subscription Subscription) {
 	p.endFallback(s)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.setPrimary(s, to == Primary)
+	p.setPrimary(s, subscription == Primary)
 }
 
-// endFallback has a spare follower told what the others are.
+// endFallback queues the complete state for a follower that was in fallback mode.
 func (p *Publisher) endFallback(s *subscriber) {
 	if !s.endFallback() {
 		return
 	}
-	// Once it is told of new ones, so that none comes between.
+	// This is read after the follower receives new registrations, so that it misses none.
 	known := p.source.Registrations()
 	s.changeAndWake(func(s *subscriber) {
 		s.queueRegistrations(known)
@@ -30,15 +29,16 @@
 	p.queueKnownRecords(s)
 }
 
-// setPrimary is subscribe for whoever holds the lock.
+// setPrimary sets whether this node is the follower's primary, and counts the follower accordingly.
+// The caller holds the lock.
 func (p *Publisher) setPrimary(s *subscriber, primary bool) {
 	s.mu.Lock()
 	changed := s.primary != primary
 	s.primary = primary
 	s.sendAllPeers = s.sendAllPeers || primary
 	if s.wantsLoads() {
-		for engine, told := range p.loads {
-			s.loads[engine] = told.load
+		for engine, received := range p.loads {
+			s.loads[engine] = received.load
 		}
 	}
 	demand := s.demand
@@ -52,19 +52,18 @@
 	}
 	daemon.Wake(s.wakeNow)
 	for other := range p.subscribers {
-		// It counts once: two would halve the share of places of a gateway that is
-		// back before its old stream is found broken. One without a name can't be
-		// told from others.
+		// A gateway that reconnects before its old stream is detected as broken counts once: two
+		// would halve its share of the slots. Followers without an ID cannot be told apart.
 		if s.hello.self.ID() != "" && other.isSameFollower(s) && other.isPrimary() {
 			p.setPrimary(other, false)
 		}
 	}
 }
 
-// countFollower takes a follower into the census, or out of it.
-func (p *Publisher) countFollower(s *subscriber, in bool, demand float64) {
+// countFollower adds a follower to the inventory or removes it.
+func (p *Publisher) countFollower(s *subscriber, add bool, demand float64) {
 	sign := 1
-	if !in {
+	if !add {
 		sign = -1
 	}
 	switch s.hello.role {
@@ -74,15 +73,15 @@
 		p.inventory.forNode(localNode).gateways += sign
 		p.inventory.addLocalDemand(s.hello.self.Domain(), float64(sign)*demand)
 	}
-	if in {
+	if add {
 		p.addPeer(s.hello)
 	} else if !p.hasOtherStream(s) {
 		p.removePeer(s.hello.self.Address())
 	}
 }
 
-// hasOtherStream tells whether a follower has another stream here: it came back
-// before its old stream was found broken.
+// hasOtherStream reports whether a follower has another stream here: it has reconnected before its
+// old stream was detected as broken.
 func (p *Publisher) hasOtherStream(s *subscriber) bool {
 	for other := range p.subscribers {
 		if other.isSameFollower(s) && other.isPrimary() {
@@ -100,26 +99,26 @@
 	}
 }
 
-// removePeer tells the other nodes, and the followers here unless another node has
-// it by now.
+// removePeer removes a peer and queues the removal for the other nodes, and for the followers of
+// this node unless another node has the peer by now.
 func (p *Publisher) removePeer(address string) {
-	gone := p.inventory.removePeer(localNode, address)
+	isLast := p.inventory.removePeer(localNode, address)
 	for s := range p.subscribers {
-		if gone || s.hello.role == RoleNode {
+		if isLast || s.hello.role == RoleNode {
 			s.queuePeers(nil, []string{address})
 		}
 	}
 }
 
-// receiveDemand notes what comes to a gateway.
+// receiveDemand stores the request rate that a gateway reported.
 func (p *Publisher) receiveDemand(s *subscriber, perSecond float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s.mu.Lock()
-	before, primary := s.demand, s.primary
+	previous, primary := s.demand, s.primary
 	s.demand = perSecond
 	s.mu.Unlock()
 	if primary {
-		p.inventory.addLocalDemand(s.hello.self.Domain(), perSecond-before)
+		p.inventory.addLocalDemand(s.hello.self.Domain(), perSecond-previous)
 	}
 }
--- a/pkg/feed/versions_test.go
+++ b/pkg/feed/versions_test.go
@@ -21,37 +21,35 @@
 	}
 }
 
-// Seen: an engine on old weights got requests after the agreed time. A gateway
-// heard of two versions from a node that had started anew, and so took both for
-// younger than they were. A node that had lived through told their ages, and only
-// that of the last version was put right: the time of the one before, which ends
-// first, stayed too late.
+// Guards against this failure: an engine with old weights got requests after the agreed time. A
+// gateway learned of two versions from a restarted node, with ages that were too low. Another node
+// then sent the right ages, but only that of the last version was taken, so the previous version,
+// which is due first, became due too late.
 func TestGreaterAgeIsTakenForEveryVersion(t *testing.T) {
 	table := NewVersionTable()
 	table.Add([]NamedVersion{NewNamedVersion("menu", 2, 0)}, testTime)
 	table.Add([]NamedVersion{NewNamedVersion("menu", 3, 0)}, testTime)
 	if table.Add([]NamedVersion{NewNamedVersion("menu", 2, 5*time.Second), NewNamedVersion("menu", 3, 2*time.Second)}, testTime) {
-		t.Fatal("a version that was known counts as newly heard")
+		t.Fatal("a known version counts as new")
 	}
 	checkNext(t, table, 1, 2, 5*time.Second)
 	checkNext(t, table, 2, 3, 2*time.Second)
-	// A node that knows less moves nothing.
+	// A node that knows lower ages changes nothing.
 	table.Add([]NamedVersion{NewNamedVersion("menu", 2, time.Second), NewNamedVersion("menu", 3, 0)}, testTime)
 	checkNext(t, table, 1, 2, 5*time.Second)
 }
 
-// Seen: as above, where the gateway had heard of the last version alone, from a
-// node that told no other. The one before was then told by another node and was
-// dropped, being lower than what was held.
+// The same failure with another cause: the gateway knew only the last version. The previous one was
+// then sent by another node and was dropped, because it was lower than the one held.
 func TestOlderVersionLearnedLateKeepsItsOwnAge(t *testing.T) {
 	table := NewVersionTable()
 	table.Add([]NamedVersion{NewNamedVersion("menu", 3, time.Second)}, testTime)
 	both := []NamedVersion{NewNamedVersion("menu", 2, 3*time.Second), NewNamedVersion("menu", 3, time.Second)}
 	if !table.Add(both, testTime) {
-		t.Fatal("a version that was not known does not count as newly heard")
+		t.Fatal("an unknown version does not count as new")
 	}
 	if table.Add(both, testTime) {
-		t.Fatal("versions that are known count as newly heard")
+		t.Fatal("known versions count as new")
 	}
 	checkNext(t, table, 1, 2, 3*time.Second)
 	checkNext(t, table, 2, 3, time.Second)
@@ -59,16 +57,15 @@
 		t.Fatalf("the newest version is %d", newest)
 	}
 	if due := table.Due("menu", 2*time.Second, testTime); due != 2 {
-		t.Fatalf("version %d has been named for 2 s", due)
+		t.Fatalf("version %d is due after 2 s, want 2", due)
 	}
 	if due := table.Due("menu", time.Second, testTime); due != 3 {
-		t.Fatalf("version %d has been named for 1 s", due)
+		t.Fatalf("version %d is due after 1 s, want 3", due)
 	}
 }
 
-// Versions are named in order, so whoever knows the age of one knows that the
-// earlier ones are no younger: a node that started anew and heard of the last
-// one's age alone must not tell that an earlier one has all of its time.
+// Versions are named in order, so an earlier version is at least as old as a later one. A restarted
+// node that learns only the age of the last version must not report a lower age for an earlier one.
 func TestEarlierVersionIsNoYoungerThanALaterOne(t *testing.T) {
 	table := NewVersionTable()
 	table.Add([]NamedVersion{NewNamedVersion("menu", 2, 0), NewNamedVersion("menu", 3, 4*time.Second)}, testTime)
@@ -78,15 +75,15 @@
 	checkNext(t, table, 2, 3, 6*time.Second)
 }
 
-// The table is bounded, and what fell out of it is told again with each Update: it
-// must not wake those who wait for something new each time.
+// The table is bounded, and a version evicted from it is sent again with each Update. It must not
+// wake the processes that wait for a new version.
 func TestEvictedVersionIsNotNew(t *testing.T) {
 	table := NewVersionTable()
 	for version := range uint64(maxVersionsPerModel) {
 		table.Add([]NamedVersion{NewNamedVersion("menu", 10+version, 0)}, testTime)
 	}
 	if table.Add([]NamedVersion{NewNamedVersion("menu", 9, 0)}, testTime) {
-		t.Fatal("a version older than all of a full table counts as newly heard")
+		t.Fatal("a version older than all of a full table counts as new")
 	}
 	checkNext(t, table, 1, 10, 0)
 	if newest := table.Newest("menu").Version(); newest != 10+maxVersionsPerModel-1 {
@@ -94,8 +91,8 @@
 	}
 }
 
-// What nobody can wait for is not told each second; the newest version always is,
-// and of those that are due the last one.
+// Versions that no process waits for are not sent. The newest version always is, and so is the last
+// one of those that are due.
 func TestObsoleteVersionsAreNotSent(t *testing.T) {
 	table := NewVersionTable()
 	table.Add([]NamedVersion{
@@ -104,12 +101,12 @@
 	}, testTime)
 	want := []NamedVersion{NewNamedVersion("broth", 7, 9*obsoleteAfter), NewNamedVersion("menu", 3, 4*obsoleteAfter), NewNamedVersion("menu", 4, time.Second)}
 	if got := table.Current(testTime); !slices.Equal(got, want) {
-		t.Fatalf("told %v", got)
+		t.Fatalf("current versions %v", got)
 	}
 }
 
-// The log tells when a process learnt of a version or of its age, from whom, and by
-// how much that moved it; what the way of an Update makes is left out.
+// The log shows when a process learned of a version or its age, from whom, and by how much the age
+// changed. Differences within the transit time of an Update are not logged.
 func TestVersionChangesAreLogged(t *testing.T) {
 	table := NewVersionTable()
 	var lines bytes.Buffer
@@ -124,7 +121,7 @@
 	}
 }
 
-// A follower of an earlier release says nothing of versions in its Hello.
+// The Hello of a follower of an earlier release has no versions.
 func TestHelloOfEarlierReleaseIsDecoded(t *testing.T) {
 	raw, err := msgpack.Marshal([]any{RoleStager, vm.NewIdentity("s", 1, "north", "hall-a", "10.0.0.1:7700"), "menu", "10.0.0.1:80"})
 	if err != nil {
@@ -135,6 +132,6 @@
 		t.Fatal(err)
 	}
 	if hello.Role() != RoleStager || hello.Self().Domain() != "hall-a" || hello.Engine() != "10.0.0.1:80" {
-		t.Fatalf("read as %+v", hello)
+		t.Fatalf("decoded as %+v", hello)
 	}
 }
--- a/pkg/feed/wire_generated.go
+++ b/pkg/feed/wire_generated.go
@@ -21,7 +21,7 @@
 // Domain is the failure domain of the gateways.
 func (d Demand) Domain() string { return d.domain }
 
-// PerSecond is what comes to all of them.
+// PerSecond is the sum of their rates, in requests per second.
 func (d Demand) PerSecond() float64 { return d.perSecond }
 
 // EncodeMsgpack writes the fields in order, as one array.
@@ -57,27 +57,27 @@
 	return FollowerMessage{requestDocument: requestDocument, load: load, demand: demand, subscription: subscription, records: records, trialRequest: trialRequest, retryUsage: retryUsage}
 }
 
-// RequestDocument asks for the document that the node holds.
+// RequestDocument requests the document that the node holds.
 func (f FollowerMessage) RequestDocument() bool { return f.requestDocument }
 
-// Load is the load of the engine beside a stager; nil otherwise.
+// Load is the load of the engine beside a stager; nil if the message reports none.
 func (f FollowerMessage) Load() *Load { return f.load }
 
-// Demand is how many requests for engines come to a gateway, a second; 0 in
-// a Word that tells something else.
+// Demand is the rate of requests for engines at a gateway, in requests per second; 0 if the
+// message reports none.
 func (f FollowerMessage) Demand() float64 { return f.demand }
 
-// Subscription changes what the follower wants to be told.
+// Subscription changes what the node sends to the follower.
 func (f FollowerMessage) Subscription() Subscription { return f.subscription }
 
-// Records are what the follower has learnt of requests under which servers ended, and
-// in its first Word all that it knows: a node that has started anew learns them so.
+// Records are new quarantine records. The first message with records has all that the follower
+// knows, so that a restarted node learns them.
 func (f FollowerMessage) Records() []quarantine.Record { return f.records }
 
-// TrialRequest is a barred request that a gateway asks to try once more; else empty.
+// TrialRequest is a barred request that a gateway asks to run once more; empty if none.
 func (f FollowerMessage) TrialRequest() quarantine.Fingerprint { return f.trialRequest }
 
-// RetryUsage is the last word of a gateway that ends in order; nil in all others.
+// RetryUsage is the last message of a gateway that shuts down gracefully; nil in all others.
 func (f FollowerMessage) RetryUsage() *RetryUsage { return f.retryUsage }
 
 // EncodeMsgpack writes the fields in order, as one array.
@@ -113,24 +113,24 @@
 	return Hello{role: role, self: self, service: service, engine: engine, versions: versions, fallback: fallback}
 }
 
-// Role is what the follower is.
+// Role is the kind of process that the follower is.
 func (h Hello) Role() Role { return h.role }
 
-// Self is who it is.
+// Self is the identity of the follower.
 func (h Hello) Self() vm.Identity { return h.self }
 
-// Service is the engine's service, of a stager.
+// Service is the service of the engine beside a stager; empty for other roles.
 func (h Hello) Service() string { return h.service }
 
-// Engine is the engine's address, of a stager.
+// Engine is the address of the engine beside a stager; empty for other roles.
 func (h Hello) Engine() string { return h.engine }
 
-// Versions are the named versions that the follower knows of. A node that has
-// started anew takes their ages from it; what is named the log alone decides.
+// Versions are the named versions that the follower knows. A restarted node takes their ages
+// from here, but never adds versions: those come only from the replicated log.
 func (h Hello) Versions() []NamedVersion { return h.versions }
 
-// Fallback says that the follower only wants to hear of new documents and weights: those
-// that it follows say nothing. A Word with a subscription ends that.
+// Fallback says that the follower only wants documents and versions, because the nodes that it
+// follows are silent. A FollowerMessage with a subscription ends that.
 func (h Hello) Fallback() bool { return h.fallback }
 
 // EncodeMsgpack writes the fields in order, as one array.
@@ -172,26 +172,26 @@
 // Engine is the engine's address.
 func (l Load) Engine() string { return l.engine }
 
-// Model and version are what it serves; 0 while it serves nothing whole.
+// Model is the model that the engine serves; empty while it serves no complete one.
 func (l Load) Model() string { return l.model }
 
-// Version returns the field of that name.
+// Version is the version of the weights that the engine serves; 0 while it serves no complete one.
 func (l Load) Version() uint64 { return l.version }
 
-// Running and queued count its requests.
+// Running is the number of requests that the engine is running.
 func (l Load) Running() int { return l.running }
 
-// Queued returns the field of that name.
+// Queued is the number of requests that wait in the engine's queue.
 func (l Load) Queued() int { return l.queued }
 
-// StepTimeRatio is its time for a step over the usual one; 0 when not known.
+// StepTimeRatio is the engine's current time per step divided by its usual one; 0 if not known.
 func (l Load) StepTimeRatio() float64 { return l.stepTimeRatio }
 
-// Busy says that an order is under way: it takes nothing new.
+// Busy says that an order is in progress: the engine accepts no new requests.
 func (l Load) Busy() bool { return l.busy }
 
-// Transferring says that chunks are on their way over the VM's link: a question to
-// the stager would wait behind them.
+// Transferring says that chunks are being transferred over the VM's link: a request to the
+// stager would be queued behind them.
 func (l Load) Transferring() bool { return l.transferring }
 
 // EncodeMsgpack writes the fields in order, as one array.
@@ -230,10 +230,10 @@
 // Model is the model's name.
 func (n NamedVersion) Model() string { return n.model }
 
-// Version is a named version.
+// Version is the version of the weights.
 func (n NamedVersion) Version() uint64 { return n.version }
 
-// Age is how long ago it was named at least, as far as the teller knows.
+// Age is a lower bound of the time since the version was named, as far as the sender knows.
 func (n NamedVersion) Age() time.Duration { return n.age }
 
 // EncodeMsgpack writes the fields in order, as one array.
@@ -272,7 +272,7 @@
 // Address is its link address.
 func (n Node) Address() string { return n.address }
 
-// Domain is its failure domain; empty where the teller does not know it.
+// Domain is its failure domain; empty if the sender does not know it.
 func (n Node) Domain() string { return n.domain }
 
 // EncodeMsgpack writes the fields in order, as one array.
@@ -359,13 +359,13 @@
 	return RetryUsage{gateways: gateways, slot: slot, age: age, services: services}
 }
 
-// Gateways is how many gateways shared the reserve.
+// Gateways is the number of gateways that shared the reserve of retries.
 func (r RetryUsage) Gateways() int { return r.gateways }
 
-// Slot is the time that each count is of.
+// Slot is the length of the time slot of each count.
 func (r RetryUsage) Slot() time.Duration { return r.slot }
 
-// Age is how long ago it ended, as far as the teller knows.
+// Age is the time since the gateway shut down, as far as the sender knows.
 func (r RetryUsage) Age() time.Duration { return r.age }
 
 // Services are the counts by service.
@@ -404,13 +404,13 @@
 	return ServiceRetryUsage{service: service, requests: requests, retries: retries}
 }
 
-// Service is its name.
+// Service is the name of the service.
 func (s ServiceRetryUsage) Service() string { return s.service }
 
-// Requests and repeats are what it got in each slot.
+// Requests are the requests in each slot.
 func (s ServiceRetryUsage) Requests() []int { return s.requests }
 
-// Retries returns the field of that name.
+// Retries are the retries in each slot.
 func (s ServiceRetryUsage) Retries() []int { return s.retries }
 
 // EncodeMsgpack writes the fields in order, as one array.
@@ -446,52 +446,51 @@
 	return Update{number: number, document: document, versions: versions, registrations: registrations, quorumConfirmed: quorumConfirmed, nodes: nodes, gateways: gateways, allPeers: allPeers, peers: peers, removedPeers: removedPeers, loads: loads, demands: demands, records: records, retryUsage: retryUsage}
 }
 
-// Number is the newest document applied at the node; 0 is none.
+// Number is the number of the newest document applied at the node; 0 if there is none.
 func (u Update) Number() uint64 { return u.number }
 
-// Document is the one asked for; nil otherwise.
+// Document is the requested document; nil if none was requested.
 func (u Update) Document() *serviceconfig.Document { return u.document }
 
-// Versions are the named versions that somebody may still wait for, by model
-// and oldest first: some 30 bytes each.
+// Versions are the named versions that a process may still be waiting for, by model and oldest
+// first: about 30 bytes each.
 func (u Update) Versions() []NamedVersion { return u.versions }
 
-// Registrations are words that the follower has not heard from this node.
+// Registrations are those that this node has not sent to the follower yet.
 func (u Update) Registrations() []registry.Registration { return u.registrations }
 
-// QuorumConfirmed says that the node heard of a quorum's leader lately.
+// QuorumConfirmed says that the node recently heard from a leader that has a quorum.
 func (u Update) QuorumConfirmed() bool { return u.quorumConfirmed }
 
 // Nodes are all control nodes.
 func (u Update) Nodes() []Node { return u.nodes }
 
-// Gateways is how many gateways there are: in all, or those of the node
-// where another node is told.
+// Gateways is the number of gateways: of all nodes, or of this node only in an Update to
+// another node.
 func (u Update) Gateways() int { return u.gateways }
 
-// AllPeers says that peers are all that there are; else they have come since.
+// AllPeers says that peers is the complete list; otherwise it has only the added peers.
 func (u Update) AllPeers() bool { return u.allPeers }
 
-// Peers are the followers that this one is to know, and gone the link addresses of
-// those that have left.
+// Peers are the peers of the follower, or those added since the last Update.
 func (u Update) Peers() []Peer { return u.peers }
 
-// RemovedPeers returns the field of that name.
+// RemovedPeers are the link addresses of the peers removed since the last Update.
 func (u Update) RemovedPeers() []string { return u.removedPeers }
 
-// Loads are those of engines that changed.
+// Loads are the loads of engines that changed.
 func (u Update) Loads() []Load { return u.loads }
 
-// Demands are the requests for engines that come to gateways, by failure
-// domain: in all, or those of the node where another node is told.
+// Demands are the rates of requests for engines at gateways, by failure domain: of all nodes,
+// or of this node only in an Update to another node.
 func (u Update) Demands() []Demand { return u.demands }
 
-// Records are what the follower has not heard from this node of requests under which
-// servers ended: for gateways and nodes.
+// Records are the quarantine records that this node has not sent to the follower yet; for
+// gateways and nodes only.
 func (u Update) Records() []quarantine.Record { return u.records }
 
-// RetryUsage is what the gateway had spent that ended in order at the follower's address; nil
-// where none did of late, or another has taken its place since.
+// RetryUsage is the retry usage of the gateway that last shut down gracefully at the follower's
+// address; nil if there is none, or another gateway has started there since.
 func (u Update) RetryUsage() *RetryUsage { return u.retryUsage }
 
 // EncodeMsgpack writes the fields in order, as one array.
--- a/pkg/registry/registration.go
+++ b/pkg/registry/registration.go
@@ -1,10 +1,9 @@
 // ================================================================
-// What a backend server says of itself with its heartbeats, and the table of
-// the newest word of each.
+// Registrations: what backend servers report with their heartbeats.
 //
-// Registrations are soft state: no quorum agrees on them, they are relearnt
-// from the next heartbeat. Every control node keeps those that it hears, and
-// followers merge the words of all nodes by incarnation and sequence.
+// Registrations are soft state: they are not replicated through a quorum, but learned again from
+// the next heartbeat. Every control node keeps those that it receives, and followers merge the
+// registrations of all nodes by incarnation, start time and sequence.
 // ================================================================
 
 // Package registry keeps the registrations of backend servers.
@@ -19,48 +18,49 @@
 	"github.com/tidepost/tidepost/pkg/failure"
 )
 
-// State is where a backend server stands in its life.
+// State is the lifecycle state of a backend server.
 type State string
 
-// The states.
+// The lifecycle states of a backend server.
 const (
-	// Ready takes new requests.
+	// Ready accepts new requests.
 	Ready State = "ready"
 	// Silent has missed heartbeats; it may still work.
 	Silent State = "silent"
-	// Draining ends what it has and takes nothing new.
+	// Draining completes its requests and accepts no new ones.
 	Draining State = "draining"
-	// Gone has left; its incarnation comes back only by another start.
+	// Gone has left; its incarnation is valid again only after another start.
 	Gone State = "gone"
 )
 
-// Registration is the newest word of one incarnation of a backend server.
+// Registration is the latest report of one incarnation of a backend server.
 //
 //wire:generate
 type Registration struct {
-	// incarnation is the identity of the backend server.
+	// incarnation identifies the backend server.
 	incarnation string
 	// service is the service that it belongs to.
 	service string
-	// address is where it takes requests, IP:PORT.
+	// address is where it accepts requests, IP:PORT.
 	address string
 	// domain is its failure domain.
 	domain string
 	// software is the version of its program.
 	software string
-	// slots is how many requests it works on at one time.
+	// slots is the number of requests that it runs concurrently.
 	slots int
-	// state is where it stands in its life.
+	// state is its lifecycle state.
 	state State
-	// warmupLeft is how much longer it is slow from its start.
+	// warmupLeft is the remaining time for which it is slow after its start.
 	warmupLeft time.Duration
 	// holdings are the weights that it serves.
 	holdings []Holding
-	// sequence rises with each word of one start.
+	// sequence increases with each report of one start.
 	sequence uint64
-	// startedAt is when the backend server started, in Unix milliseconds; 0 when it does not
-	// say. One that starts again may keep its incarnation, and counts and holds anew. In a
-	// word that one is gone it is the latest start that the word may be of.
+	// startedAt is when the backend server started, in Unix milliseconds; 0 if it does not report
+	// it. A server that restarts may keep its incarnation, and then restarts its sequence without
+	// holdings. In a registration with state Gone it is the latest start that the leave may refer
+	// to.
 	startedAt uint64
 }
 
@@ -72,46 +72,47 @@
 	model string
 	// version is the version of its weights.
 	version uint64
-	// from and to are the layers, to exclusive.
+	// from is the first layer.
 	from int
-	to   int
+	// to is the layer after the last one.
+	to int
 }
 
-// maxSlots bounds what a backend server may say of its places: some hundred times what any
+// maxSlots bounds the slots that a backend server may report: about a hundred times what any server
 // has.
 const maxSlots = 1 << 14
 
-// Validate tells what is odd about what a backend server says of itself. Another program may
-// write entries of its own, and what those name is no backend server to use.
+// Validate returns an error if the registration is malformed. Another program may write such
+// entries, which must not be used as backend servers.
 func (r Registration) Validate() error {
 	address, err := netip.ParseAddrPort(r.address)
 	switch {
 	case r.incarnation == "" || r.service == "":
-		return failure.New(failure.BadRequest, "incarnation %q, service %q: neither may be missing", r.incarnation, r.service)
+		return failure.New(failure.BadRequest, "incarnation %q, service %q: both are required", r.incarnation, r.service)
 	case err != nil || address.Port() == 0 || address.Addr().IsUnspecified():
 		return failure.New(failure.BadRequest, "address %q is not IP:PORT", r.address)
 	case r.slots < 1 || r.slots > maxSlots:
-		return failure.New(failure.BadRequest, "slots %d are not from 1 to %d", r.slots, maxSlots)
+		return failure.New(failure.BadRequest, "slots %d: must be from 1 to %d", r.slots, maxSlots)
 	}
 	return nil
 }
 
-// AsGone returns the word that the backend server has left, with all its starts up to one
-// at the earliest.
-func (r Registration) AsGone(born uint64) Registration {
+// AsGone returns the registration with state Gone, for all starts up to the given time or its own
+// start, whichever is later.
+func (r Registration) AsGone(startedAt uint64) Registration {
 	r.state = Gone
-	r.startedAt = max(r.startedAt, born)
+	r.startedAt = max(r.startedAt, startedAt)
 	return r
 }
 
-// Supersedes tells whether a word may take the place of an earlier one of its incarnation:
-// it is of a later start, or of the same and not older. Leaving is final for a start. Words
-// of followers come in any order, and those that a cut held up after those of a later
+// Supersedes reports whether r may replace an earlier registration of its incarnation: it is of a
+// later start, or of the same start and not older. Gone is final for a start. Registrations from
+// other nodes arrive in any order, and a partition can delay them until after those of a later
 // start.
 func (r Registration) Supersedes(old Registration) bool {
 	switch {
 	case r.state == Gone && old.state == Gone:
-		// Nodes tell each other again: what is known by then must not seem heard of anew.
+		// Nodes send these to each other repeatedly: a known one must not count as received anew.
 		return r.startedAt > old.startedAt
 	case r.state == Gone:
 		return r.startedAt == 0 || r.startedAt >= old.startedAt
@@ -123,9 +124,8 @@
 	return old.state != Gone && (r.state == Draining || old.state != Draining)
 }
 
-// Version returns the one version of a model that covers all layers, or 0.
-// A layers value of 0 means that the number of layers is not known; any
-// holding counts then.
+// Version returns the version of a model if all holdings have the same one and cover all layers,
+// else 0. If layers is 0, the number of layers is not known, and any holding is enough.
 func (r Registration) Version(model string, layers int) uint64 {
 	covered := 0
 	var version uint64
@@ -145,7 +145,7 @@
 	return version
 }
 
-// hasSameContent tells whether followers would learn nothing new from o.
+// hasSameContent reports whether followers would learn nothing new from o.
 func (r Registration) hasSameContent(o Registration) bool {
 	if r.startedAt != o.startedAt || r.service != o.service || r.address != o.address || r.domain != o.domain ||
 		r.slots != o.slots || r.state != o.state || len(r.holdings) != len(o.holdings) {
--- a/pkg/registry/table.go
+++ b/pkg/registry/table.go
@@ -1,9 +1,9 @@
 // ================================================================
-// The table of registrations, in shards by incarnation, each under its own
-// lock: heartbeats of many backend servers arrive at the same time.
+// The table of registrations, sharded by incarnation with a lock for each shard, because heartbeats
+// of many backend servers arrive concurrently.
 //
-// A word is taken where it is of a later start than the one held, or of the same and its
-// sequence not below. Leaving is final for a start: a late heartbeat never brings it back.
+// A registration is accepted if it is of a later start than the stored one, or of the same start
+// and its sequence is not lower. Gone is final for a start: a late heartbeat does not revert it.
 // ================================================================
 
 package registry
@@ -18,11 +18,11 @@
 
 const shardCount = 16
 
-// entry is a registration and when it was last heard.
+// entry is a registration and the time at which it was last received.
 type entry struct {
 	registration Registration
 	receivedAt   time.Time
-	relayed      bool // another node told of it: its heartbeats do not come here
+	relayed      bool // received from another node, not from the backend server itself
 }
 
 type shard struct {
@@ -30,14 +30,13 @@
 	entries map[string]entry
 }
 
-// Table holds the newest word of each incarnation. It is safe for concurrent
-// use.
+// Table holds the latest registration of each incarnation. It is safe for concurrent use.
 type Table struct {
 	now    func() time.Time
 	shards [shardCount]shard
 }
 
-// NewTable returns an empty table; now is the clock, time.Now when nil.
+// NewTable returns an empty table. The clock is time.Now if now is nil.
 func NewTable(now func() time.Time) *Table {
 	if now == nil {
 		now = time.Now
@@ -53,29 +52,28 @@
 	return &t.shards[xxhash.Sum64String(incarnation)%shardCount]
 }
 
-// Receive takes a word of a backend server itself and tells whether others have to
-// hear of it: it is new, it differs, or the words between went to another node.
+// Receive stores a registration from the backend server itself, and reports whether it must be
+// forwarded: it is new, it differs, or reports in between went to another node.
 func (t *Table) Receive(r Registration) (changed bool) {
-	old, known, taken := t.store(r, false)
-	before := old.registration
-	return taken && (!known || old.relayed || !r.hasSameContent(before) || r.sequence > before.sequence+1)
+	old, known, stored := t.store(r, false)
+	previous := old.registration
+	return stored && (!known || old.relayed || !r.hasSameContent(previous) || r.sequence > previous.sequence+1)
 }
 
-// ReceiveRelayed takes a word that another node told, and returns what others have to
-// hear: r where it is new or differs, or the word held where r calls a backend
-// server silent whose heartbeats come here. Unlike the backend server's own word it
-// says nothing of when the next one is due.
-func (t *Table) ReceiveRelayed(r Registration) (word Registration, tell bool) {
-	old, known, taken := t.store(r, true)
-	if !taken {
-		held := old.registration
-		return held, r.state == Silent && held.state == Ready && !old.relayed
+// ReceiveRelayed stores a registration from another node, and returns what must be forwarded: r if
+// it is new or differs, or the stored registration if r reports a backend server as silent whose
+// heartbeats arrive here. A relayed registration does not tell when the next one is due.
+func (t *Table) ReceiveRelayed(r Registration) (forward Registration, ok bool) {
+	old, known, stored := t.store(r, true)
+	if !stored {
+		current := old.registration
+		return current, r.state == Silent && current.state == Ready && !old.relayed
 	}
 	return r, !known || !r.hasSameContent(old.registration)
 }
 
-// store takes a word unless the one held goes before it.
-func (t *Table) store(r Registration, relayed bool) (old entry, known, taken bool) {
+// store stores a registration unless the existing one supersedes it.
+func (t *Table) store(r Registration, relayed bool) (old entry, known, stored bool) {
 	s := t.shard(r.incarnation)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -87,26 +85,26 @@
 		r = r.AsGone(old.registration.startedAt)
 	}
 	if known && relayed && r.sequence == old.registration.sequence && r.hasSameContent(old.registration) {
-		// The same word again: who hears the heartbeats goes on doing so.
+		// The same registration again does not change who receives the heartbeats.
 		relayed = old.relayed
 	}
 	s.entries[r.incarnation] = entry{r, t.now(), relayed}
 	return old, known, true
 }
 
-// maxClockSkew is how far clocks may differ. A backend server that leaves does not say which
-// start it is of, so the word is of all that began by the time here, less this. One that
-// starts again does so seconds later, and is not kept out by a clock that is ahead.
+// maxClockSkew is how far clocks may differ. A backend server that leaves does not report its start
+// time, so the leave applies to all starts before the local time less this. A server that restarts
+// does so seconds later, so a skewed clock does not keep it out.
 const maxClockSkew = 10 * time.Second
 
-// Leave marks an incarnation as gone and returns its last word. A start that is known is
-// gone whenever it began.
+// Leave marks an incarnation as gone, and returns its last registration and whether it was not gone
+// before. A known start is gone whatever its start time is.
 func (t *Table) Leave(incarnation string) (Registration, bool) {
 	s := t.shard(incarnation)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	held, known := s.entries[incarnation]
-	r := held.registration
+	current, known := s.entries[incarnation]
+	r := current.registration
 	r.incarnation = incarnation
 	changed := !known || r.state != Gone
 	r = r.AsGone(uint64(max(t.now().Add(-maxClockSkew).UnixMilli(), 0)))
@@ -114,50 +112,51 @@
 	return r, changed
 }
 
-// Get returns the word of an incarnation.
+// Get returns the registration of an incarnation.
 func (t *Table) Get(incarnation string) (Registration, bool) {
 	s := t.shard(incarnation)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	held, known := s.entries[incarnation]
-	return held.registration, known
+	current, known := s.entries[incarnation]
+	return current.registration, known
 }
 
-// Direct returns the words of the backend servers whose heartbeats come here.
+// Direct returns the registrations of the backend servers whose heartbeats arrive at this node.
 func (t *Table) Direct() []Registration {
 	return t.filter(func(e entry) bool { return !e.relayed })
 }
 
-// All returns every word, sorted by incarnation.
+// All returns every registration, sorted by incarnation.
 func (t *Table) All() []Registration { return t.filter(func(entry) bool { return true }) }
 
-func (t *Table) filter(want func(entry) bool) []Registration {
-	var picked []Registration
+func (t *Table) filter(match func(entry) bool) []Registration {
+	var matches []Registration
 	for i := range t.shards {
 		s := &t.shards[i]
 		s.mu.Lock()
 		for _, e := range s.entries {
-			if want(e) {
-				picked = append(picked, e.registration)
+			if match(e) {
+				matches = append(matches, e.registration)
 			}
 		}
 		s.mu.Unlock()
 	}
-	sort.Slice(picked, func(i, j int) bool { return picked[i].incarnation < picked[j].incarnation })
-	return picked
+	sort.Slice(matches, func(i, j int) bool { return matches[i].incarnation < matches[j].incarnation })
+	return matches
 }
 
-// Timeouts is how long a table waits for the next word.
+// Timeouts are the times after which a registration that is not renewed changes its state or
+// expires.
 type Timeouts struct {
-	// Direct is how long a backend server may say nothing here, and Relayed how
-	// long another node may say nothing of it, until it is silent.
+	// Direct is the time without a heartbeat, and Relayed the time without a registration from
+	// another node, until a ready backend server is marked silent.
 	Direct, Relayed time.Duration
-	// Forget is when a word is forgotten.
+	// Forget is the time after which a registration is removed.
 	Forget time.Duration
 }
 
-// Sweep marks what was not heard in time as silent, forgets what was not heard
-// for long, and returns the words that changed.
+// Sweep marks overdue registrations as silent, removes expired ones, and returns those that it
+// marked.
 func (t *Table) Sweep(p Timeouts) []Registration {
 	var changed []Registration
 	now := t.now()
--- a/pkg/registry/table_test.go
+++ b/pkg/registry/table_test.go
@@ -26,20 +26,20 @@
 	table.Leave("i-1")
 	table.Receive(newTestRegistration(9, Ready))
 	if r, _ := table.Get("i-1"); r.State() != Gone {
-		t.Fatalf("a heartbeat after the leave brought it back as %s", r.State())
+		t.Fatalf("a heartbeat after the leave set the state to %s", r.State())
 	}
 }
 
-// A backend server that talked to another node in between must be told again:
-// that node will soon call it silent.
+// A backend server that sent reports to another node in between must be forwarded again: that node
+// will soon report it as silent.
 func TestGapInSequenceIsAChange(t *testing.T) {
 	table := NewTable(nil)
 	table.Receive(newTestRegistration(1, Ready))
 	if table.Receive(newTestRegistration(2, Ready)) {
-		t.Fatal("the next heartbeat is no change")
+		t.Fatal("the next heartbeat counts as a change")
 	}
 	if !table.Receive(newTestRegistration(7, Ready)) {
-		t.Fatal("a gap in the sequence is a change")
+		t.Fatal("a gap in the sequence does not count as a change")
 	}
 }
 
@@ -49,96 +49,97 @@
 	table.Receive(newTestRegistration(1, Ready))
 	now = now.Add(6 * time.Second)
 	if changed := table.Sweep(Timeouts{Direct: 5 * time.Second, Relayed: 30 * time.Second, Forget: time.Minute}); len(changed) != 1 || changed[0].State() != Silent {
-		t.Fatalf("swept %v", changed)
+		t.Fatalf("Sweep changed %v", changed)
 	}
 	if !table.Receive(newTestRegistration(2, Ready)) {
-		t.Fatal("a heartbeat after silence is a change")
+		t.Fatal("a heartbeat after silence does not count as a change")
 	}
 }
 
-// A backend server whose heartbeats go to another node is not silent because none
-// come here.
+// A backend server whose heartbeats go to another node must not be marked silent because none
+// arrive here.
 func TestRelayedRegistrationUsesRelayedTimeout(t *testing.T) {
 	now := time.Unix(100, 0)
 	table := NewTable(func() time.Time { return now })
-	patience := Timeouts{Direct: 5 * time.Second, Relayed: 30 * time.Second, Forget: time.Minute}
-	if _, tell := table.ReceiveRelayed(newTestRegistration(1, Ready)); !tell {
-		t.Fatal("a new backend server is news")
+	timeouts := Timeouts{Direct: 5 * time.Second, Relayed: 30 * time.Second, Forget: time.Minute}
+	if _, forwarded := table.ReceiveRelayed(newTestRegistration(1, Ready)); !forwarded {
+		t.Fatal("a new backend server is not forwarded")
 	}
 	now = now.Add(10 * time.Second)
-	if changed := table.Sweep(patience); len(changed) != 0 {
-		t.Fatalf("swept %v", changed)
+	if changed := table.Sweep(timeouts); len(changed) != 0 {
+		t.Fatalf("Sweep changed %v", changed)
 	}
-	if _, tell := table.ReceiveRelayed(newTestRegistration(9, Ready)); tell {
-		t.Fatal("the same word of a later time is no news")
+	if _, forwarded := table.ReceiveRelayed(newTestRegistration(9, Ready)); forwarded {
+		t.Fatal("an unchanged registration is forwarded")
 	}
 	if !table.Receive(newTestRegistration(10, Ready)) {
-		t.Fatal("the node that told of it has to hear that its heartbeats come here now")
+		t.Fatal("the first direct heartbeat is not forwarded to the node that relayed the registration before")
 	}
 	now = now.Add(6 * time.Second)
-	if changed := table.Sweep(patience); len(changed) != 1 {
-		t.Fatalf("swept %v", changed)
+	if changed := table.Sweep(timeouts); len(changed) != 1 {
+		t.Fatalf("Sweep changed %v", changed)
 	}
 }
 
-// The node that a backend server called before calls it silent; the one that it
-// calls now sets that right.
+// The node that a backend server used before reports it as silent; the node that it uses now
+// corrects this.
 func TestSilentStateFromOtherNodeIsCorrected(t *testing.T) {
 	table := NewTable(nil)
 	table.Receive(newTestRegistration(57, Ready))
 	table.Receive(newTestRegistration(58, Ready))
-	held, tell := table.ReceiveRelayed(newTestRegistration(57, Silent))
-	if !tell || held.State() != Ready || held.Sequence() != 58 {
-		t.Fatalf("told %v: %s, %d", tell, held.State(), held.Sequence())
+	current, forwarded := table.ReceiveRelayed(newTestRegistration(57, Silent))
+	if !forwarded || current.State() != Ready || current.Sequence() != 58 {
+		t.Fatalf("forwarded %v: %s, %d", forwarded, current.State(), current.Sequence())
 	}
 	if r, _ := table.Get("i-1"); r.State() != Ready {
 		t.Fatalf("state is %s", r.State())
 	}
 }
 
-// A word that comes back from another node leaves the heartbeats here.
+// A registration that another node sends back must not mark the backend server as relayed.
 func TestOwnRegistrationRelayedBack(t *testing.T) {
 	now := time.Unix(100, 0)
 	table := NewTable(func() time.Time { return now })
 	table.Receive(newTestRegistration(3, Ready))
 	table.ReceiveRelayed(newTestRegistration(3, Ready))
 	if direct := table.Direct(); len(direct) != 1 {
-		t.Fatalf("direct %v", direct)
+		t.Fatalf("direct registrations %v", direct)
 	}
-	if _, tell := table.ReceiveRelayed(newTestRegistration(4, Gone)); !tell {
-		t.Fatal("a departure is news")
+	if _, forwarded := table.ReceiveRelayed(newTestRegistration(4, Gone)); !forwarded {
+		t.Fatal("a leave is not forwarded")
 	}
-	if _, tell := table.ReceiveRelayed(newTestRegistration(5, Ready)); tell {
-		t.Fatal("nothing brings it back")
+	if _, forwarded := table.ReceiveRelayed(newTestRegistration(5, Ready)); forwarded {
+		t.Fatal("a later heartbeat is accepted after the leave")
 	}
 }
 
-// registrationOfStart is a word of one start of a backend server that keeps its incarnation.
-func registrationOfStart(born, sequence uint64, state State, holdings ...Holding) Registration {
-	return NewRegistration("i-1", "menu", "10.0.0.1:80", "north", "v1", 16, state, 0, holdings, sequence, born)
+// registrationOfStart returns a registration of one start of a backend server that keeps its
+// incarnation.
+func registrationOfStart(startedAt, sequence uint64, state State, holdings ...Holding) Registration {
+	return NewRegistration("i-1", "menu", "10.0.0.1:80", "north", "v1", 16, state, 0, holdings, sequence, startedAt)
 }
 
-// A backend server that starts again under its incarnation counts anew and holds nothing.
+// A backend server that restarts under its incarnation restarts its sequence and has no holdings.
 func TestLaterStartReplacesEarlierStart(t *testing.T) {
 	for _, state := range []State{Ready, Silent, Draining} {
 		table := NewTable(nil)
 		table.Receive(registrationOfStart(1000, 40, state, NewHolding("menu", 3, 0, 16)))
 		if !table.Receive(registrationOfStart(2000, 1, Ready)) {
-			t.Errorf("after %s the later start is no change", state)
+			t.Errorf("after %s the later start does not count as a change", state)
 		}
 		if r, _ := table.Get("i-1"); r.State() != Ready || r.Sequence() != 1 || len(r.Holdings()) != 0 {
-			t.Errorf("after %s it is %v", state, r)
+			t.Errorf("after %s the registration is %v", state, r)
 		}
 		if table.Receive(registrationOfStart(1000, 41, Ready, NewHolding("menu", 3, 0, 16))) {
-			t.Errorf("after %s a word of the earlier start was taken", state)
+			t.Errorf("after %s a heartbeat of the earlier start was accepted", state)
 		}
 		if r, _ := table.Get("i-1"); len(r.Holdings()) != 0 {
-			t.Errorf("it holds what the earlier start did: %v", r)
+			t.Errorf("it has the holdings of the earlier start: %v", r)
 		}
 	}
 }
 
-// A leave is of all starts until then; one that comes later is there again.
+// A leave applies to all starts until then; a later start is valid again.
 func TestLeaveCoversStartsUntilThen(t *testing.T) {
 	now := time.UnixMilli(1_000_000)
 	for _, known := range []bool{true, false} {
@@ -148,31 +149,30 @@
 		}
 		gone, _ := table.Leave("i-1")
 		if table.Receive(registrationOfStart(900_000, 41, Ready)) {
-			t.Errorf("known %t: a late heartbeat brought it back", known)
+			t.Errorf("known %t: a late heartbeat was accepted after the leave", known)
 		}
 		if !table.Receive(registrationOfStart(1_003_000, 1, Ready)) {
-			t.Errorf("known %t: the next start is not there", known)
+			t.Errorf("known %t: the next start was not accepted", known)
 		}
 		other := NewTable(nil)
 		other.Receive(registrationOfStart(1_003_000, 1, Ready))
-		if _, tell := other.ReceiveRelayed(gone); tell {
-			t.Errorf("known %t: the leave of an earlier start ended the next one at another node", known)
+		if _, forwarded := other.ReceiveRelayed(gone); forwarded {
+			t.Errorf("known %t: the leave of an earlier start was applied to the next one at another node", known)
 		}
 	}
 }
 
-// A start that has only just begun by another clock is gone when it leaves.
+// A start time that is ahead because of clock skew must not prevent the leave.
 func TestLeaveOfAStartWithClockAhead(t *testing.T) {
 	table := NewTable(func() time.Time { return time.UnixMilli(1_000_000) })
 	table.Receive(registrationOfStart(1_004_000, 2, Ready))
 	table.Leave("i-1")
 	if r, _ := table.Get("i-1"); r.State() != Gone {
-		t.Errorf("it is %s", r.State())
+		t.Errorf("state is %s", r.State())
 	}
 }
 
-// Two nodes that both took the leave tell each other of it again and again: it is forgotten
-// all the same.
+// Two nodes that both received the leave send it to each other repeatedly. It must still expire.
 func TestGoneExpiresDespiteResends(t *testing.T) {
 	now := time.UnixMilli(1_000_000)
 	clock := func() time.Time { return now }
@@ -181,19 +181,19 @@
 		n.Receive(registrationOfStart(900_000, 4, Ready))
 		n.Leave("i-1")
 	}
-	patience := Timeouts{Direct: time.Hour, Relayed: time.Hour, Forget: 2 * time.Minute}
+	timeouts := Timeouts{Direct: time.Hour, Relayed: time.Hour, Forget: 2 * time.Minute}
 	for range 12 {
 		now = now.Add(30 * time.Second)
 		for i, n := range nodes {
 			for _, r := range n.Direct() {
 				nodes[1-i].ReceiveRelayed(r)
 			}
-			n.Sweep(patience)
+			n.Sweep(timeouts)
 		}
 	}
 	for i, n := range nodes {
 		if _, known := n.Get("i-1"); known {
-			t.Errorf("node %d still knows of it", i)
+			t.Errorf("node %d still has the registration", i)
 		}
 	}
 }
--- a/pkg/registry/wire_generated.go
+++ b/pkg/registry/wire_generated.go
@@ -19,10 +19,10 @@
 // Version is the version of its weights.
 func (h Holding) Version() uint64 { return h.version }
 
-// From and to are the layers, to exclusive.
+// From is the first layer.
 func (h Holding) From() int { return h.from }
 
-// To returns the field of that name.
+// To is the layer after the last one.
 func (h Holding) To() int { return h.to }
 
 // EncodeMsgpack writes the fields in order, as one array.
@@ -58,13 +58,13 @@
 	return Registration{incarnation: incarnation, service: service, address: address, domain: domain, software: software, slots: slots, state: state, warmupLeft: warmupLeft, holdings: holdings, sequence: sequence, startedAt: startedAt}
 }
 
-// Incarnation is the identity of the backend server.
+// Incarnation identifies the backend server.
 func (r Registration) Incarnation() string { return r.incarnation }
 
 // Service is the service that it belongs to.
 func (r Registration) Service() string { return r.service }
 
-// Address is where it takes requests, IP:PORT.
+// Address is where it accepts requests, IP:PORT.
 func (r Registration) Address() string { return r.address }
 
 // Domain is its failure domain.
@@ -73,24 +73,25 @@
 // Software is the version of its program.
 func (r Registration) Software() string { return r.software }
 
-// Slots is how many requests it works on at one time.
+// Slots is the number of requests that it runs concurrently.
 func (r Registration) Slots() int { return r.slots }
 
-// State is where it stands in its life.
+// State is its lifecycle state.
 func (r Registration) State() State { return r.state }
 
-// WarmupLeft is how much longer it is slow from its start.
+// WarmupLeft is the remaining time for which it is slow after its start.
 func (r Registration) WarmupLeft() time.Duration { return r.warmupLeft }
 
 // Holdings are the weights that it serves.
 func (r Registration) Holdings() []Holding { return r.holdings }
 
-// Sequence rises with each word of one start.
+// Sequence increases with each report of one start.
 func (r Registration) Sequence() uint64 { return r.sequence }
 
-// StartedAt is when the backend server started, in Unix milliseconds; 0 when it does not
-// say. One that starts again may keep its incarnation, and counts and holds anew. In a
-// word that one is gone it is the latest start that the word may be of.
+// StartedAt is when the backend server started, in Unix milliseconds; 0 if it does not report
+// it. A server that restarts may keep its incarnation, and then restarts its sequence without
+// holdings. In a registration with state Gone it is the latest start that the leave may refer
+// to.
 func (r Registration) StartedAt() uint64 { return r.startedAt }
 
 // EncodeMsgpack writes the fields in order, as one array.
