--- a/pkg/gateway/attempt.go
+++ b/pkg/gateway/attempt.go
@@ -81,8 +81,8 @@
 	defer b.end(work)
 	defer b.begun(x.began, false)
 	q.lapse.bounds = x.mayInterrupt(interruptDeadline, x.stage(false), time.Now())
-	x.listening = g.listen(x, breakOff)
-	defer g.silences.end(x.listening)
+	x.listening = g.monitorAttempt(x, breakOff)
+	defer g.silences.remove(x.listening)
 	stop := context.AfterFunc(q.ctx, conn.Abort)
 	defer stop()
 	return x.run()
@@ -98,7 +98,7 @@
 	started time.Time
 	began   *waiting
 	// listening is how it shows when its connection falls silent.
-	listening *listening
+	listening *attemptMonitor
 	permit    *permit // nil where the backend server names no limit
 	isLast    bool    // it may go to no other backend server afterwards
 	resumes   bool    // its caller has part of the stream already
@@ -110,7 +110,7 @@
 // takeBack ends an attempt that waits at a backend server which seems out of reach.
 func (x *exchange) takeBack() {
 	if stage := x.stage(false); x.mayInterrupt(interruptUnreachable, stage, time.Now()) {
-		x.gateway.noteInterrupted(x.request, interruptUnreachable, stage)
+		x.gateway.recordInterrupted(x.request, interruptUnreachable, stage)
 		x.conn.Abort()
 	}
 }
@@ -125,8 +125,8 @@
 	if err != nil {
 		return x.broken("no answer", err)
 	}
-	x.watch.progress()
-	x.listening.hear(time.Now())
+	x.watch.recordProgress()
+	x.listening.receivedBytes(time.Now())
 	told := x.gateway.protocol.ReadAnswer(answer.StatusCode, answer.Header)
 	if told.ID != "" && told.ID != q.call.ID {
 		return x.broken("an answer to request "+told.ID, nil)
@@ -142,7 +142,7 @@
 	if isStream(q, answer) {
 		return x.stream(answer)
 	}
-	x.listening.answered(time.Now())
+	x.listening.receivedAnswer(time.Now())
 	return x.plain(answer)
 }
 
@@ -176,19 +176,19 @@
 	switch {
 	case q.ctx.Err() != nil:
 	case x.watch.lapsed.Load() || q.hasLapsed():
-		if x.listening.ranWhenLost() {
-			x.gateway.noteInterrupted(q, interruptDeadline, stageStreaming)
+		if x.listening.hasStreamed() {
+			x.gateway.recordInterrupted(q, interruptDeadline, stageStreaming)
 			q.sawRun(&x.gateway.silences, time.Now(), time.Since(x.started))
 		}
 		q.mayGoBackTo(x.backend)
 		x.gateway.note(q, attemptLapsed, fmt.Sprintf("the version of the weights there lapses; %s; taken back %s late", why, time.Duration(x.watch.lateBy.Load())))
-	case x.listening.found.Load() != nil:
+	case x.listening.detected.Load() != nil:
 		// The backend server works: the request may go on there, and it is no failure.
 		delete(q.tried, x.backend)
-		if x.listening.ranWhenLost() {
+		if x.listening.hasStreamed() {
 			q.lostAt = time.Now()
 		}
-		seen := x.listening.found.Load().String()
+		seen := x.listening.detected.Load().String()
 		if x.conn.NothingAcknowledged() {
 			x.gateway.uncount(q)
 			seen += "; nothing of it was acknowledged"
@@ -199,7 +199,7 @@
 		x.gateway.note(q, attemptCut, why)
 	default:
 		x.backend.failed(time.Now())
-		if x.watch.barked.Load() || q.sign == signLives {
+		if x.watch.fired.Load() || q.sign == signLives {
 			// It may only have been slow, or was given an order that is not heard of here yet.
 			q.mayGoBackTo(x.backend)
 		}
--- a/pkg/gateway/backend.go
+++ b/pkg/gateway/backend.go
@@ -41,7 +41,7 @@
 	address string
 	heardAt moment      // of the last bytes from it
 	dialing atomic.Bool // somebody finds out whether it can be reached
-	reached reached     // by dials
+	reached dialTimes   // by dials
 	ends    endLooks    // dials after breaks
 
 	mu           sync.Mutex
@@ -159,7 +159,7 @@
 func (b *backend) isHeardOf(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return now.Sub(b.told.at) < silentAfter
+	return now.Sub(b.told.at) < backendSilenceLimit
 }
 
 // begin notes work under way that waits for its first event; end takes it off.
--- a/pkg/gateway/cut_by_order_test.go
+++ b/pkg/gateway/cut_by_order_test.go
@@ -18,13 +18,13 @@
 // had its own order before it, was cut there too, and had no attempt left. Cause: the
 // choice knew that the version of an engine lapses and not that the order which ends it
 // comes before. Proved by the lines of the soak's gateways, and here.
-func TestStreamThatAnOrderCutGoesOnWhereNoneComes(t *testing.T) {
+func TestStreamCutByAnOrderResumesWhereNoOrderIsDue(t *testing.T) {
 	cut := newStandIn(t, "i-cut", func(w *bufio.Writer, r *http.Request) bool {
 		writeEvents(w, r, 1, 1)
 		return false
 	})
-	before := newStandIn(t, "i-before-its-order", streamBehind(1))
-	after := newStandIn(t, "i-after-its-order", streamBehind(1))
+	before := newStandIn(t, "i-before-its-order", streamAfter(1))
+	after := newStandIn(t, "i-after-its-order", streamAfter(1))
 	f := newFixture(t, serviceconfig.Stream, true)
 	f.gateway.index.Raise(engineDocument(t))
 	f.hearVersion(cut, 1)
@@ -41,8 +41,8 @@
 	}
 }
 
-// streamBehind is a script that writes what follows an event, up to the third.
-func streamBehind(last int) exchangeScript {
+// streamAfter is a script that writes what follows an event, up to the third.
+func streamAfter(last int) exchangeScript {
 	return func(w *bufio.Writer, r *http.Request) bool {
 		writeEvents(w, r, last+1, 3)
 		_, _ = w.WriteString("0\r\n\r\n")
@@ -55,14 +55,14 @@
 // an attempt that was silent before its first event, though no other might follow, and the
 // caller had half an answer. Cause: it asked whether a stream may go on elsewhere only once
 // events of that attempt had come. Proved here: the engine begins after the longest patience.
-func TestLastAttemptOfAStreamIsNotGivenUp(t *testing.T) {
+func TestSilentLastAttemptOfAStreamIsNotInterrupted(t *testing.T) {
 	cut := newStandIn(t, "i-cut", func(w *bufio.Writer, r *http.Request) bool {
 		writeEvents(w, r, 1, 1)
 		return false
 	})
 	slow := newStandIn(t, "i-slow", func(w *bufio.Writer, r *http.Request) bool {
-		<-time.After(patience + 2*lookAfter)
-		return streamBehind(1)(w, r)
+		<-time.After(maxAttemptSilence + 2*watchdogInterval)
+		return streamAfter(1)(w, r)
 	})
 	f := newLapsingOf(t, cut, slow)
 	status, _, body, err := f.do(t, f.draft(t))
@@ -74,23 +74,23 @@
 // The order that cut a stream at its engine is carried out while the stream is cut by that
 // of the next engine, too. It goes back: a route bounds the servers that a request is sent
 // to, and not how often.
-func TestStreamThatTwoOrdersCutGoesBack(t *testing.T) {
+func TestStreamCutByTwoOrdersReturnsToItsFirstServer(t *testing.T) {
 	var f *fixture
 	var old, next *standIn
-	tell := func(s *standIn, version uint64, busy bool) {
+	reportLoad := func(s *standIn, version uint64, busy bool) {
 		f.gateway.backends.hearLoad(feed.NewLoad("menu", s.listener.Addr().String(), "menu", version, 1, 0, 1, busy, false))
 	}
 	old = newStandIn(t, "i-old", func(w *bufio.Writer, r *http.Request) bool {
 		if len(old.requests()) > 1 {
-			return streamBehind(2)(w, r)
+			return streamAfter(2)(w, r)
 		}
-		tell(old, 1, true)
+		reportLoad(old, 1, true)
 		writeEvents(w, r, 1, 1)
 		return false
 	})
 	next = newStandIn(t, "i-next", func(w *bufio.Writer, r *http.Request) bool {
-		tell(old, 2, false)
-		tell(next, 1, true)
+		reportLoad(old, 2, false)
+		reportLoad(next, 1, true)
 		writeEvents(w, r, 2, 2)
 		return false
 	})
@@ -110,11 +110,11 @@
 // whether a stream may go back to its server was asked of what was heard before the cut.
 // Proved by the stamps of the stager's line `order given` and of the gateway's `attempt`, and
 // here: the server lives, and nothing is heard of it.
-func TestStreamThatALivingServerBreaksOffGoesBack(t *testing.T) {
+func TestStreamBrokenByALiveServerRetriesIt(t *testing.T) {
 	var alone *standIn
 	alone = newStandIn(t, "i-alone", func(w *bufio.Writer, r *http.Request) bool {
 		if len(alone.requests()) > 1 {
-			return streamBehind(1)(w, r)
+			return streamAfter(1)(w, r)
 		}
 		writeEvents(w, r, 1, 1)
 		return false
@@ -127,7 +127,7 @@
 }
 
 // A server that broke a stream off and has ended is not gone back to.
-func TestStreamOfAServerThatEndedDoesNotGoBack(t *testing.T) {
+func TestStreamDoesNotRetryAnEndedServer(t *testing.T) {
 	var alone *standIn
 	alone = newStandIn(t, "i-alone", func(w *bufio.Writer, r *http.Request) bool {
 		writeEvents(w, r, 1, 1)
--- a/pkg/gateway/distrust.go
+++ b/pkg/gateway/distrust.go
@@ -11,44 +11,44 @@
 	"github.com/go-kit/log/level"
 )
 
-// lookForSilence looks for silent connections and gives them up.
-func (g *Gateway) lookForSilence(now time.Time) {
-	defer g.silences.lookAgain(func() { g.lookForSilence(time.Now()) })
-	under, all := g.silences.hearings(now)
-	everywhere, isNew, suspected := g.silences.silentEverywhere(now, all)
+// checkSilence looks for silent connections and gives them up.
+func (g *Gateway) checkSilence(now time.Time) {
+	defer g.silences.scheduleNext(func() { g.checkSilence(time.Now()) })
+	under, all := g.silences.snapshots(now)
+	everywhere, isNew, suspected := g.silences.globalSilence(now, all)
 	if !suspected.IsZero() {
 		g.dialSilent(now, suspected, all)
 	}
 	if isNew {
 		_ = level.Warn(g.process.Logger).Log("msg", "connections everywhere are silent", "silent_ms", now.Sub(everywhere).Milliseconds(),
-			"usual_quiet_ms", g.silences.usualQuiet(now).Milliseconds(), "attempts", len(under))
-		g.backends.each(func(b *backend, _ string) { g.distrust(b, everywhere, now, evidenceMany) })
+			"usual_quiet_ms", g.silences.recentQuiet(now).Milliseconds(), "attempts", len(under))
+		g.backends.each(func(b *backend, _ string) { g.closeSilentIdle(b, everywhere, now, evidenceManyAddresses) })
 	}
-	found := judge(now, everywhere, all)
+	found := detectSilent(now, everywhere, all)
 	var waits, flows []func()
 	for _, f := range found {
 		l, h := under[f.index], all[f.index]
 		b := l.exchange.backend
-		if !h.isOneOf(everywhere) {
-			g.distrust(b, h.since.Add(leastSilence), now, f.evidence)
+		if !h.connSilentSince(everywhere) {
+			g.closeSilentIdle(b, h.silentSince.Add(minSilence), now, f.evidence)
 		}
-		if f.dial && b.reached.mayDial(now, everywhere) {
+		if f.dial && b.reached.needsDial(now, everywhere) {
 			g.doubt(b)
 		}
-		if f.evidence == evidenceSuspected || l.breakOff == nil || l.found.Load() != nil {
+		if f.evidence == evidenceSuspected || l.abort == nil || l.detected.Load() != nil {
 			continue
 		}
-		why, stage := reasonOf(now, f.evidence, h, all), l.exchange.stage(h.flows)
+		why, stage := silenceReason(now, f.evidence, h, all), l.exchange.stage(h.streaming)
 		if !l.exchange.mayInterrupt(why, stage, now) {
 			continue
 		}
-		g.noteInterrupted(l.exchange.request, why, stage)
-		l.found.Store(&silence{f.evidence, h.silent(now), h.due})
+		g.recordInterrupted(l.exchange.request, why, stage)
+		l.detected.Store(&detectedSilence{f.evidence, h.silentFor(now), h.silenceLimit})
 		g.metrics.distrusted.WithLabelValues(string(f.evidence)).Inc()
-		if h.flows {
-			flows = append(flows, l.breakOff)
+		if h.streaming {
+			flows = append(flows, l.abort)
 		} else {
-			waits = append(waits, l.breakOff)
+			waits = append(waits, l.abort)
 		}
 	}
 	// Repeats have a budget: those that can still be in time come first.
@@ -57,29 +57,29 @@
 	}
 }
 
-// reasonOf is why an attempt with a silent connection is interrupted, by what newer ones show.
-func reasonOf(now time.Time, e evidence, h hearing, all []hearing) interruption {
+// silenceReason is why an attempt with a silent connection is interrupted, by what newer ones show.
+func silenceReason(now time.Time, e evidence, h attemptSnapshot, all []attemptSnapshot) interruption {
 	switch {
-	case e == evidenceNewer || newerSpeaks(h, all):
+	case e == evidenceNewerConn || newerConnStreams(h, all):
 		return interruptSilence
-	case newerWait(now, h, all):
-		return interruptNobodyAnswers
+	case newerConnsWait(now, h, all):
+		return interruptNewerSilent
 	}
 	return interruptAllSilent
 }
 
 // dialSilent dials the backend servers whose connections may be silent since a moment.
-func (g *Gateway) dialSilent(now, since time.Time, all []hearing) {
+func (g *Gateway) dialSilent(now, since time.Time, all []attemptSnapshot) {
 	for _, h := range all {
-		if h.tellsOf(now, since) && h.backend.reached.mayDial(now, since) {
+		if h.isEvidenceOf(now, since) && h.backend.reached.needsDial(now, since) {
 			g.doubt(h.backend)
 		}
 	}
 }
 
-// distrust closes the resting connections to a backend server that nothing has come on
+// closeSilentIdle closes the resting connections to a backend server that nothing has come on
 // since some moment.
-func (g *Gateway) distrust(b *backend, since, now time.Time, e evidence) {
+func (g *Gateway) closeSilentIdle(b *backend, since, now time.Time, e evidence) {
 	closed := b.pool.Distrust(since)
 	if closed == 0 {
 		return
@@ -92,24 +92,24 @@
 // ----------------------------------------------------------------
 // Dials that were answered
 
-// reached is when dials of a backend server were answered. The zero value is never.
-type reached struct {
-	at    moment // of the last one's beginning
-	quick moment // the same of one that was answered at once
+// dialTimes is when dials of a backend server were answered. The zero value is never.
+type dialTimes struct {
+	lastAnswered moment // of the last one's beginning
+	lastQuick    moment // the same of one that was answered at once
 }
 
-func (b *backend) sawReached(dialed time.Time, took time.Duration) {
-	b.reached.at.set(dialed)
-	if took <= quickDial {
-		b.reached.quick.set(dialed)
+func (b *backend) recordDial(dialed time.Time, took time.Duration) {
+	b.reached.lastAnswered.set(dialed)
+	if took <= maxQuickDial {
+		b.reached.lastQuick.set(dialed)
 	}
 }
 
-// quickly returns when a dial began that was answered at once.
-func (r *reached) quickly() time.Time { return r.quick.time() }
+// lastQuickDial returns when a dial began that was answered at once.
+func (r *dialTimes) lastQuickDial() time.Time { return r.lastQuick.time() }
 
-// mayDial tells whether no dial was answered since some moment, or none lately.
-func (r *reached) mayDial(now, since time.Time) bool {
-	at := r.at.time()
+// needsDial tells whether no dial was answered since some moment, or none lately.
+func (r *dialTimes) needsDial(now, since time.Time) bool {
+	at := r.lastAnswered.time()
 	return at.Before(since) || now.Sub(at) > dialAgain
 }
--- a/pkg/gateway/ending.go
+++ b/pkg/gateway/ending.go
@@ -71,7 +71,7 @@
 // for its stop is over, which breaks connections to both sides, and else as it seems.
 func (g *Gateway) cutOr(q *request, o outcome, why string) (outcome, string) {
 	if g.stop.isOver() {
-		g.noteInterrupted(q, interruptStop, stageStreaming)
+		g.recordInterrupted(q, interruptStop, stageStreaming)
 		return outcomeStopped, errStopOver.Error()
 	}
 	return o, why
--- a/pkg/gateway/gateway.go
+++ b/pkg/gateway/gateway.go
@@ -79,7 +79,7 @@
 	// mayLogLimit bounds the log lines on limits of backend servers.
 	mayLogLimit *rate.Limiter
 	returning   returning
-	silences    silences
+	silences    silenceDetector
 	// heardDemands returns the requests for engines that come to all gateways a
 	// second, by failure domain.
 	heardDemands func() map[string]float64
--- a/pkg/gateway/handler.go
+++ b/pkg/gateway/handler.go
@@ -282,7 +282,7 @@
 		w.only = q.ranAt
 	}
 	if q.begun {
-		w.begins = g.silences.slowestBegin(q.service.Name(), time.Now())
+		w.begins = g.silences.longestResponseWait(q.service.Name(), time.Now())
 	}
 	if q.model != "" {
 		w.model, w.layers = q.model, max(w.engine.Layers(), 1)
--- a/pkg/gateway/interrupt.go
+++ b/pkg/gateway/interrupt.go
@@ -27,17 +27,17 @@
 	// interruptAllSilent are connections that seem silent everywhere, at an address where no newer
 	// one has proved it yet: servers that become slow together look alike.
 	interruptAllSilent interruption = "silent connections everywhere, not proved"
-	// interruptNobodyAnswers are such connections while newer ones to other servers, or the same, are
+	// interruptNewerSilent are such connections while newer ones to other servers, or the same, are
 	// not answered on either: the servers stand still.
-	interruptNobodyAnswers interruption = "silent connections everywhere, newer ones too"
+	interruptNewerSilent interruption = "silent connections everywhere, newer ones too"
 	// interruptUnreachable is a backend server that answers no dials.
 	interruptUnreachable interruption = "unreachable server"
 	// interruptStop is the end of the time for a planned stop.
 	interruptStop interruption = "stop deadline"
 )
 
-// placesAsked bounds the servers that are asked for a place before an answer is interrupted.
-const placesAsked = 3
+// maxReservations bounds the servers that are asked for a place before an answer is interrupted.
+const maxReservations = 3
 
 // answerStage is how far the answer to a request is.
 type answerStage int
@@ -50,11 +50,11 @@
 	stageResuming
 	// stageStreaming is an attempt whose events come.
 	stageStreaming
-	answerStages
+	answerStageCount
 )
 
-// condition is what must hold before an attempt is interrupted.
-type condition struct {
+// interruptCondition is what must hold before an attempt is interrupted.
+type interruptCondition struct {
 	name  string
 	holds func(x *exchange, now time.Time) bool
 	// resumes says that the request is to go on elsewhere: it is interrupted only with the
@@ -63,57 +63,57 @@
 }
 
 var (
-	always = condition{name: "always", holds: func(*exchange, time.Time) bool { return true }}
-	never  = condition{name: "never", holds: func(*exchange, time.Time) bool { return false }}
-	// mayRunOnce holds where no break can take the request back.
-	mayRunOnce = condition{name: "may run once, and should be over before the version ends", holds: (*exchange).needsVersionDeadline}
+	always = interruptCondition{name: "always", holds: func(*exchange, time.Time) bool { return true }}
+	never  = interruptCondition{name: "never", holds: func(*exchange, time.Time) bool { return false }}
+	// singleRun holds where no break can take the request back.
+	singleRun = interruptCondition{name: "may run once, and should be over before the version ends", holds: (*exchange).needsVersionDeadline}
 	// stalledAlone does not hold where all others stand still as well, as behind an overloaded
 	// link or on a machine short of processor time: the answer would stand still again.
-	stalledAlone = condition{name: "granted a free place elsewhere, and others make progress", holds: (*exchange).isStalledAlone, resumes: true}
-	// resumableAnywhere counts the attempt's own server, which works.
-	resumableAnywhere = condition{name: "resumable here or elsewhere", holds: (*exchange).beginsInTime, resumes: true}
-	overdueAnywhere   = condition{name: "overdue, and resumable here or elsewhere", holds: (*exchange).isOverdue, resumes: true}
-	longSilent        = condition{name: "silent for as long as a stall, and resumable at a free place", holds: (*exchange).isLongSilent, resumes: true}
-	notLastServer     = condition{name: "not the last server", holds: func(x *exchange, _ time.Time) bool { return !x.isLast }, resumes: true}
+	stalledAlone = interruptCondition{name: "granted a free place elsewhere, and others make progress", holds: (*exchange).isStalledAlone, resumes: true}
+	// resumable counts the attempt's own server, which works.
+	resumable        = interruptCondition{name: "resumable here or elsewhere", holds: (*exchange).resumesInTime, resumes: true}
+	overdueResumable = interruptCondition{name: "overdue, and resumable here or elsewhere", holds: (*exchange).isOverdue, resumes: true}
+	longSilent       = interruptCondition{name: "silent for as long as a stall, and resumable at a free place", holds: (*exchange).isSilentAsStall, resumes: true}
+	notLastServer    = interruptCondition{name: "not the last server", holds: func(x *exchange, _ time.Time) bool { return !x.isLast }, resumes: true}
 )
 
 // interruptRule says for one reason what must hold at each stage, and what follows.
 type interruptRule struct {
 	reason  interruption
-	stages  [answerStages]condition
-	follows string
+	stages  [answerStageCount]interruptCondition
+	outcome string
 }
 
 // interruptRules is the whole table.
 var interruptRules = []interruptRule{
-	{interruptDeadline, [...]condition{mayRunOnce, mayRunOnce, mayRunOnce}, "the server ends it"},
-	{interruptExpiry, [...]condition{always, always, never}, "another server; a resumed answer waits for one as long as its caller does"},
-	{interruptStall, [...]condition{always, stalledAlone, stalledAlone}, "another server, with the repeat that was taken"},
-	{interruptSilence, [...]condition{always, resumableAnywhere, resumableAnywhere}, "any server, with the repeat that was taken"},
-	{interruptAllSilent, [...]condition{always, overdueAnywhere, longSilent}, "any server, with the repeat that was taken"},
-	{interruptNobodyAnswers, [...]condition{always, never, never}, "any server"},
-	{interruptUnreachable, [...]condition{always, notLastServer, never}, "another server, with the repeat that was taken"},
-	{interruptStop, [...]condition{always, always, always}, "the answer ends"},
+	{interruptDeadline, [...]interruptCondition{singleRun, singleRun, singleRun}, "the server ends it"},
+	{interruptExpiry, [...]interruptCondition{always, always, never}, "another server; a resumed answer waits for one as long as its caller does"},
+	{interruptStall, [...]interruptCondition{always, stalledAlone, stalledAlone}, "another server, with the repeat that was taken"},
+	{interruptSilence, [...]interruptCondition{always, resumable, resumable}, "any server, with the repeat that was taken"},
+	{interruptAllSilent, [...]interruptCondition{always, overdueResumable, longSilent}, "any server, with the repeat that was taken"},
+	{interruptNewerSilent, [...]interruptCondition{always, never, never}, "any server"},
+	{interruptUnreachable, [...]interruptCondition{always, notLastServer, never}, "another server, with the repeat that was taken"},
+	{interruptStop, [...]interruptCondition{always, always, always}, "the answer ends"},
 }
 
-// interruptRuleOf returns the rule of a reason.
-func interruptRuleOf(why interruption) interruptRule {
+// interruptRuleFor returns the rule of a reason.
+func interruptRuleFor(why interruption) interruptRule {
 	for _, r := range interruptRules {
 		if r.reason == why {
 			return r
 		}
 	}
-	return interruptRule{reason: why, stages: [...]condition{never, never, never}}
+	return interruptRule{reason: why, stages: [...]interruptCondition{never, never, never}}
 }
 
 // mayInterrupt tells whether the attempt may be interrupted now, and takes the repeat that the
 // request needs to be resumed.
 func (x *exchange) mayInterrupt(why interruption, stage answerStage, now time.Time) bool {
-	c := interruptRuleOf(why).stages[stage]
+	c := interruptRuleFor(why).stages[stage]
 	if !c.holds(x, now) {
 		return false
 	}
-	if c.resumes && !x.takeRepeatToResume() {
+	if c.resumes && !x.takeRetryToResume() {
 		x.request.reserved.Store(nil)
 		return false
 	}
@@ -131,9 +131,9 @@
 	return stageWaiting
 }
 
-// noteInterrupted counts an answer that was under way when it was interrupted, and has its next log
+// recordInterrupted counts an answer that was under way when it was interrupted, and has its next log
 // line say why.
-func (g *Gateway) noteInterrupted(q *request, why interruption, stage answerStage) {
+func (g *Gateway) recordInterrupted(q *request, why interruption, stage answerStage) {
 	if stage == stageWaiting {
 		return
 	}
@@ -150,9 +150,9 @@
 	return nil
 }
 
-// takeRepeatToResume takes the repeat that a request needs to go on. Without one it would end,
+// takeRetryToResume takes the repeat that a request needs to go on. Without one it would end,
 // while on a busy machine all servers stand still for a moment and go on.
-func (x *exchange) takeRepeatToResume() bool {
+func (x *exchange) takeRetryToResume() bool {
 	q := x.request
 	if q.repeatTaken.Load() {
 		return true
@@ -167,21 +167,21 @@
 	return true
 }
 
-// reservesPlace tells whether a backend server that satisfies what is wanted grants a place, which the
+// reserveCandidate tells whether a backend server that satisfies what is wanted grants a place, which the
 // next attempt then takes. Where no stager answers, one that could take the request as far as is known
 // will do. It waits for answers, so it is for the attempt's own looks and not for those at all attempts.
-func (x *exchange) reservesPlace(w wanted, now time.Time) bool {
+func (x *exchange) reserveCandidate(w wanted, now time.Time) bool {
 	g, q := x.gateway, x.request
 	if w.engine.Slots() == 0 {
-		return x.hasPlace(w)
+		return x.hasCandidate(w)
 	}
 	w.tried = maps.Clone(w.tried)
-	for range placesAsked {
-		b := x.place(w)
+	for range maxReservations {
+		b := x.candidate(w)
 		if b == nil {
 			return false
 		}
-		switch o := g.reserve(q, b, 0, now.Add(placesAsked*reserveTimeout)); {
+		switch o := g.reserve(q, b, 0, now.Add(maxReservations*reserveTimeout)); {
 		case o.granted:
 			q.reserved.Store(b)
 			return true
@@ -193,12 +193,12 @@
 	return false
 }
 
-// hasPlace tells whether a backend server that satisfies what is wanted could take the request
+// hasCandidate tells whether a backend server that satisfies what is wanted could take the request
 // now, as far as is known without a question.
-func (x *exchange) hasPlace(w wanted) bool { return x.place(w) != nil }
+func (x *exchange) hasCandidate(w wanted) bool { return x.candidate(w) != nil }
 
-// place returns the backend server that hasPlace tells of; nil for none.
-func (x *exchange) place(w wanted) *backend {
+// candidate returns the backend server that hasPlace tells of; nil for none.
+func (x *exchange) candidate(w wanted) *backend {
 	g, q := x.gateway, x.request
 	b, _ := g.choose(w)
 	if b == nil && g.mayRunOn(q) {
@@ -207,24 +207,24 @@
 	return b
 }
 
-// beginsInTime tells whether some backend server, its own too, has a place where the request would
+// resumesInTime tells whether some backend server, its own too, has a place where the request would
 // begin before the version there lapses.
-func (x *exchange) beginsInTime(now time.Time) bool {
-	return x.hasPlace(x.hereOrElsewhere(x.elsewhereAsSlow(now)))
+func (x *exchange) resumesInTime(now time.Time) bool {
+	return x.hasCandidate(x.includeOwnServer(x.elsewhereWithRecentWait(now)))
 }
 
-// hereOrElsewhere also allows the attempt's own server.
-func (x *exchange) hereOrElsewhere(w wanted) wanted {
+// includeOwnServer also allows the attempt's own server.
+func (x *exchange) includeOwnServer(w wanted) wanted {
 	w.tried = maps.Clone(w.tried)
 	delete(w.tried, x.backend)
 	return w
 }
 
-// elsewhereAsSlow is what another backend server must satisfy where the request begins no sooner
+// elsewhereWithRecentWait is what another backend server must satisfy where the request begins no sooner
 // than those of its service did of late.
-func (x *exchange) elsewhereAsSlow(now time.Time) wanted {
+func (x *exchange) elsewhereWithRecentWait(now time.Time) wanted {
 	w := x.elsewhere
-	w.begins = x.gateway.silences.slowestBegin(x.request.service.Name(), now)
+	w.begins = x.gateway.silences.longestResponseWait(x.request.service.Name(), now)
 	return w
 }
 
@@ -236,15 +236,15 @@
 
 // isOverdue tells whether an attempt has waited for longer than is usual, and can be resumed.
 func (x *exchange) isOverdue(now time.Time) bool {
-	return x.listening.hearing().overdue(now) && x.beginsInTime(now)
+	return x.listening.snapshot().overdue(now) && x.resumesInTime(now)
 }
 
-// isLongSilent tells whether an attempt has been silent for as long as one that stalls, and a server
+// isSilentAsStall tells whether an attempt has been silent for as long as one that stalls, and a server
 // has a free place where it is resumed before its caller gives up.
-func (x *exchange) isLongSilent(now time.Time) bool {
-	w, silent := x.hereOrElsewhere(x.elsewhereAsSlow(now)), x.listening.hearing().silent(now)
+func (x *exchange) isSilentAsStall(now time.Time) bool {
+	w, silent := x.includeOwnServer(x.elsewhereWithRecentWait(now)), x.listening.snapshot().silentFor(now)
 	w.wait, w.begins = noWait, max(w.begins, goesOnWithin)
-	return silent > x.longestPause() && !x.outlastsCaller(w, silent) && x.hasPlace(w)
+	return silent > x.longestEventGap() && !x.outlastsCaller(w, silent) && x.hasCandidate(w)
 }
 
 // isStalledAlone tells whether an answer without progress would fare better elsewhere: at a free
@@ -253,14 +253,14 @@
 // out of reach any place will do.
 func (x *exchange) isStalledAlone(now time.Time) bool {
 	if x.backend.load(now).lost {
-		return !x.isLast && x.hasPlace(x.elsewhere)
+		return !x.isLast && x.hasCandidate(x.elsewhere)
 	}
-	w, silent := x.elsewhereAsSlow(now), x.watch.silentFor(now)
+	w, silent := x.elsewhereWithRecentWait(now), x.watch.silentFor(now)
 	w.wait = noWait
 	// A caller who is there for longer than is known of callers gets nothing by waiting on.
 	tooLate := silent < x.gateway.patienceOf(x.request) && x.outlastsCaller(w, silent)
-	if x.isLast || tooLate || x.gateway.silences.areAllSilent(x.listening) {
+	if x.isLast || tooLate || x.gateway.silences.allStreamsSilent(x.listening) {
 		return false
 	}
-	return x.reservesPlace(w, now)
+	return x.reserveCandidate(w, now)
 }
--- a/pkg/gateway/interrupt_test.go
+++ b/pkg/gateway/interrupt_test.go
@@ -21,7 +21,7 @@
 			}
 			b.WriteString("\n")
 		}
-		_, _ = fmt.Fprintf(&b, "  then      %s\n", r.follows)
+		_, _ = fmt.Fprintf(&b, "  then      %s\n", r.outcome)
 	}
 	const golden = "testdata/interruptions.txt"
 	if os.Getenv("TIDEPOST_UPDATE") != "" {
--- a/pkg/gateway/lapse.go
+++ b/pkg/gateway/lapse.go
@@ -89,19 +89,19 @@
 
 // sawRun learns from a request that ran for a time: until its end, or until its deadline
 // cut it.
-func (q *request) sawRun(s *silences, now time.Time, took time.Duration) {
+func (q *request) sawRun(s *silenceDetector, now time.Time, took time.Duration) {
 	if q.run > 0 {
 		took = took * time.Second / q.run
 	}
-	s.learn(usualKey{q.service.Name(), usualRun}, now, took)
+	s.record(timingKey{q.service.Name(), timingRun}, now, took)
 }
 
 // longestRun is how long a request runs at the most: at an engine by its size and by how
 // long those of late ran for theirs, elsewhere as long as those of late; 0 where that is not
 // known. Engines on VMs that are short of processor time take several times what the
 // configuration says of them.
-func (q *request) longestRun(s *silences, now time.Time) time.Duration {
-	ofLate := s.due(usualKey{q.service.Name(), usualRun}, now)
+func (q *request) longestRun(s *silenceDetector, now time.Time) time.Duration {
+	ofLate := s.recentLimit(timingKey{q.service.Name(), timingRun}, now)
 	if q.run == 0 {
 		return ofLate
 	}
@@ -128,7 +128,7 @@
 // known now of the version where it waits; false while that does not lapse.
 func (w *watchdog) untilTakenBack() (time.Duration, bool) {
 	q := w.exchange.request
-	l := w.exchange.gateway.lapseOf(q, w.exchange.backend, w.served)
+	l := w.exchange.gateway.lapseOf(q, w.exchange.backend, w.servedVersion)
 	return time.Until(l.at) - l.back, l.lapses()
 }
 
@@ -139,11 +139,11 @@
 	if !lapses || left > 0 {
 		return false
 	}
-	stage := w.exchange.stage(w.flowing.Load())
+	stage := w.exchange.stage(w.streaming.Load())
 	if !w.exchange.mayInterrupt(interruptExpiry, stage, time.Now()) {
 		return false
 	}
-	w.exchange.gateway.noteInterrupted(w.exchange.request, interruptExpiry, stage)
+	w.exchange.gateway.recordInterrupted(w.exchange.request, interruptExpiry, stage)
 	w.lapsed.Store(true)
 	w.lateBy.Store(int64(-left))
 	w.exchange.conn.Abort()
--- a/pkg/gateway/lapse_test.go
+++ b/pkg/gateway/lapse_test.go
@@ -94,7 +94,7 @@
 }
 
 // lapsed counts the attempts that were taken back for their version.
-func (f *fixture) lapsed(t *testing.T) float64 { return f.ends(t, attemptLapsed) }
+func (f *fixture) lapsed(t *testing.T) float64 { return f.countEnds(t, attemptLapsed) }
 
 // waitsUntilBroken is an engine that says nothing until its connection breaks.
 func waitsUntilBroken(came chan<- *http.Request) exchangeScript {
@@ -245,20 +245,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &watchdog{exchange: &exchange{gateway: f.gateway, request: q, backend: old, conn: &hold{Connection: conn}}, served: 1}
-	if pause := w.untilLook(); pause != lookAfter {
+	w := &watchdog{exchange: &exchange{gateway: f.gateway, request: q, backend: old, conn: &hold{Connection: conn}}, servedVersion: 1}
+	if pause := w.untilNextCheck(); pause != watchdogInterval {
 		t.Fatalf("next look after %s where nothing lapses", pause)
 	}
-	f.hearNamed(lapseMargin + lookAfter/2)
-	if pause := w.untilLook(); pause > lookAfter/2 || w.takeBackLapsed() {
-		t.Fatalf("next look after %s, taken back %v, %s before", pause, w.lapsed.Load(), lookAfter/2)
+	f.hearNamed(lapseMargin + watchdogInterval/2)
+	if pause := w.untilNextCheck(); pause > watchdogInterval/2 || w.takeBackLapsed() {
+		t.Fatalf("next look after %s, taken back %v, %s before", pause, w.lapsed.Load(), watchdogInterval/2)
 	}
 	f.hearNamed(lapseMargin)
-	w.flows()
+	w.startStreaming()
 	if w.takeBackLapsed() {
 		t.Fatal("a stream that has begun was taken back")
 	}
-	w.flowing.Store(false)
+	w.streaming.Store(false)
 	if !w.takeBackLapsed() || !w.lapsed.Load() {
 		t.Fatal("not taken back when the version lapses")
 	}
@@ -285,7 +285,7 @@
 	w.stop()
 	f.hearNamed(0)
 	f.gateway.waiting.lookNow()
-	w.look() // would break a connection that is not there
+	w.check() // would break a connection that is not there
 }
 
 // A request that may run once can't be taken back, so its engine has to drop it.
@@ -318,7 +318,7 @@
 // much longer it takes than was thought: a deadline set to that end broke it off there.
 func TestStreamRunsOnPastTheEndOfItsVersion(t *testing.T) {
 	const left = 1600 * time.Millisecond
-	old := newStandIn(t, "i-old", runsFor(left+lookAfter, 1, 3))
+	old := newStandIn(t, "i-old", endsAtDeadline(left+watchdogInterval, 1, 3))
 	f := newLapsingOf(t, old, newStandIn(t, "i-young", wholeStream))
 	f.hearNamed(left)
 	status, _, body, err := f.do(t, f.draft(t))
@@ -395,7 +395,7 @@
 	q.estimate()
 	left := 4 * q.run
 	f.hearNamed(left)
-	for range fewestValues {
+	for range minSamples {
 		q.sawRun(&f.gateway.silences, time.Now(), 5*q.run)
 	}
 	if status, _, _, err := f.do(t, f.draft(t)); status != http.StatusOK || err != nil {
--- a/pkg/gateway/lend_test.go
+++ b/pkg/gateway/lend_test.go
@@ -20,7 +20,7 @@
 		writeEvents(w, r, 1, 1)
 		return false
 	})
-	next := newStandIn(t, "i-next", streamBehind(1))
+	next := newStandIn(t, "i-next", streamAfter(1))
 	f := newFixture(t, serviceconfig.Stream, true, cut, next)
 	lender := newGateway(t, testSettings)
 	f.gateway.budget = settledBudget(0, 0, 10*time.Second)
--- a/pkg/gateway/listening.go
+++ b/pkg/gateway/listening.go
@@ -13,106 +13,106 @@
 	"time"
 )
 
-// listening is one attempt under way.
-type listening struct {
-	silences *silences
-	exchange *exchange
-	made     time.Time
-	sent     time.Time
-	breakOff func() // nil where the request may not run again
-
-	// found is how its connection was found to be silent.
-	found atomic.Pointer[silence]
-
-	mu    sync.Mutex
-	heard time.Time // the last bytes, or the sending
-	due   time.Duration
-	spoke bool
-	flows bool
+// attemptMonitor is one attempt under way.
+type attemptMonitor struct {
+	detector    *silenceDetector
+	exchange    *exchange
+	connectedAt time.Time
+	sentAt      time.Time
+	abort       func() // nil where the request may not run again
+
+	// detected is how its connection was found to be silent.
+	detected atomic.Pointer[detectedSilence]
+
+	mu           sync.Mutex
+	lastReceived time.Time // the last bytes, or the sending
+	silenceLimit time.Duration
+	received     bool
+	streaming    bool
 }
 
-// silence is how a connection was found to be silent.
-type silence struct {
-	evidence    evidence
-	lasted, due time.Duration // how long it lasted, and how long is usual
+// detectedSilence is how a connection was found to be silent.
+type detectedSilence struct {
+	evidence      evidence
+	lasted, limit time.Duration // how long it lasted, and how long is usual
 }
 
-func (s silence) String() string {
-	return fmt.Sprintf("its connection was silent for %d ms, usual are %d; evidence: %s", s.lasted.Milliseconds(), s.due.Milliseconds(), s.evidence)
+func (s detectedSilence) String() string {
+	return fmt.Sprintf("its connection was silent for %d ms, usual are %d; evidence: %s", s.lasted.Milliseconds(), s.limit.Milliseconds(), s.evidence)
 }
 
-// listen begins to listen to an attempt that is about to be sent.
-func (g *Gateway) listen(x *exchange, breakOff func()) *listening {
+// monitorAttempt begins to listen to an attempt that is about to be sent.
+func (g *Gateway) monitorAttempt(x *exchange, breakOff func()) *attemptMonitor {
 	now := time.Now()
-	l := &listening{silences: &g.silences, exchange: x, made: x.conn.Made(), sent: now, heard: now, breakOff: breakOff}
-	g.silences.begin(l, func() { g.lookForSilence(time.Now()) })
+	l := &attemptMonitor{detector: &g.silences, exchange: x, connectedAt: x.conn.Made(), sentAt: now, lastReceived: now, abort: breakOff}
+	g.silences.add(l, func() { g.checkSilence(time.Now()) })
 	return l
 }
 
-// hear notes that bytes came.
-func (l *listening) hear(now time.Time) {
+// receivedBytes notes that bytes came.
+func (l *attemptMonitor) receivedBytes(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.heard, l.spoke = now, true
+	l.lastReceived, l.received = now, true
 }
 
-// event notes that an event of a stream came; the first one ends the wait.
-func (l *listening) event(now time.Time) {
+// receivedEvent notes that an event of a stream came; the first one ends the wait.
+func (l *attemptMonitor) receivedEvent(now time.Time) {
 	l.mu.Lock()
-	before, first := l.heard, !l.flows
-	l.heard, l.spoke, l.flows = now, true, true
+	before, first := l.lastReceived, !l.streaming
+	l.lastReceived, l.received, l.streaming = now, true, true
 	l.mu.Unlock()
 	if first {
-		l.waited(now)
+		l.recordWait(now)
 	}
-	l.setDue(l.silences.event(l, now, before, first))
+	l.setSilenceLimit(l.detector.recordEvent(l, now, before, first))
 }
 
-// answered notes that an answer that is no stream has begun. How long the rest of it
+// receivedAnswer notes that an answer that is no stream has begun. How long the rest of it
 // takes is not known.
-func (l *listening) answered(now time.Time) {
-	l.waited(now)
-	l.setDue(0)
+func (l *attemptMonitor) receivedAnswer(now time.Time) {
+	l.recordWait(now)
+	l.setSilenceLimit(0)
 }
 
-func (l *listening) setDue(due time.Duration) {
+func (l *attemptMonitor) setSilenceLimit(due time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.due = due
+	l.silenceLimit = due
 }
 
-// ranWhenLost tells whether the backend server was at work on the attempt, and goes on with
+// hasStreamed tells whether the backend server was at work on the attempt, and goes on with
 // it where it does not hear of the silence.
-func (l *listening) ranWhenLost() bool {
+func (l *attemptMonitor) hasStreamed() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.flows
+	return l.streaming
 }
 
-// waited learns how long the attempt waited.
-func (l *listening) waited(now time.Time) {
+// recordWait learns how long the attempt waited.
+func (l *attemptMonitor) recordWait(now time.Time) {
 	q := l.exchange.request
-	l.silences.learn(q.waitKey(), now, now.Sub(l.sent)-q.forecast)
+	l.detector.record(q.waitTimingKey(), now, now.Sub(l.sentAt)-q.forecast)
 }
 
-// waitKey says what the wait of a request is compared with.
-func (q *request) waitKey() usualKey {
+// waitTimingKey says what the wait of a request is compared with.
+func (q *request) waitTimingKey() timingKey {
 	if q.forecast > 0 {
-		return usualKey{q.service.Name(), usualLateness}
+		return timingKey{q.service.Name(), timingLateness}
 	}
-	return usualKey{q.service.Name(), usualWait}
+	return timingKey{q.service.Name(), timingWait}
 }
 
 // domain is the failure domain of the attempt's backend server.
-func (l *listening) domain() string { return l.exchange.backend.word().Domain() }
+func (l *attemptMonitor) domain() string { return l.exchange.backend.word().Domain() }
 
-// hearing returns what was heard so far.
-func (l *listening) hearing() hearing {
+// snapshot returns what was heard so far.
+func (l *attemptMonitor) snapshot() attemptSnapshot {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	b := l.exchange.backend
-	return hearing{
-		address: b.address, made: l.made, since: l.heard, due: l.due, spoke: l.spoke, flows: l.flows,
-		engine: l.exchange.request.service.Engine().Slots() > 0, reached: b.reached.quickly(), backend: b,
+	return attemptSnapshot{
+		address: b.address, connectedAt: l.connectedAt, silentSince: l.lastReceived, silenceLimit: l.silenceLimit, received: l.received, streaming: l.streaming,
+		engine: l.exchange.request.service.Engine().Slots() > 0, dialAnswered: b.reached.lastQuickDial(), backend: b,
 	}
 }
--- a/pkg/gateway/outrun_test.go
+++ b/pkg/gateway/outrun_test.go
@@ -26,8 +26,8 @@
 //
 // The tests here are of its causes, each by itself.
 
-// runsFor is an engine that ends a stream at its deadline, and else completes it after a time.
-func runsFor(takes time.Duration, first, last int) exchangeScript {
+// endsAtDeadline is an engine that ends a stream at its deadline, and else completes it after a time.
+func endsAtDeadline(takes time.Duration, first, last int) exchangeScript {
 	return func(w *bufio.Writer, r *http.Request) bool {
 		writeEvents(w, r, first, first)
 		left, _ := strconv.Atoi(r.Header.Get(headerDeadline))
@@ -55,8 +55,8 @@
 		writeEvents(w, r, 1, 1)
 		return false
 	})
-	old := newStandIn(t, "i-old", runsFor(2*time.Second, 2, 3))
-	f := newServingOld(t, cut, old)
+	old := newStandIn(t, "i-old", endsAtDeadline(2*time.Second, 2, 3))
+	f := newOldVersionFixture(t, cut, old)
 	f.hearNamed(1600 * time.Millisecond)
 	status, _, body, err := f.do(t, f.draft(t))
 	if status != http.StatusOK || body != events(1, 3) || err != nil {
@@ -64,8 +64,8 @@
 	}
 }
 
-// newServingOld is a gateway before two engines that serve version 1, the first preferred.
-func newServingOld(t *testing.T, first, second *standIn) *fixture {
+// newOldVersionFixture is a gateway before two engines that serve version 1, the first preferred.
+func newOldVersionFixture(t *testing.T, first, second *standIn) *fixture {
 	t.Helper()
 	f := newFixture(t, serviceconfig.Stream, true)
 	f.gateway.index.Raise(engineDocument(t))
@@ -75,14 +75,14 @@
 	return f
 }
 
-// hearLoadOf has the gateway know what an engine serves now.
-func (f *fixture) hearLoadOf(s *standIn, version uint64) {
+// reportVersion has the gateway know what an engine serves now.
+func (f *fixture) reportVersion(s *standIn, version uint64) {
 	f.gateway.backends.hearLoad(feed.NewLoad("menu", s.listener.Addr().String(), "menu", version, 0, 0, 1, false, false))
 }
 
 // Where the budget holds no repeat for it, nothing could follow either.
-func TestStreamWithoutARepeatIsNotBoundByItsVersion(t *testing.T) {
-	f := newLapsing(t, runsFor(2*time.Second, 1, 3), wholeStream)
+func TestStreamWithoutARetryIsNotBoundByItsVersion(t *testing.T) {
+	f := newLapsing(t, endsAtDeadline(2*time.Second, 1, 3), wholeStream)
 	f.gateway.budget = settledBudget(0, 0, 10*time.Second)
 	f.hearNamed(1600 * time.Millisecond)
 	status, _, body, err := f.do(t, f.draft(t))
@@ -94,10 +94,10 @@
 // Seen too: `attempt broken: the stream stood still`, then `no other backend server`, or a
 // second attempt that stood still as well. On a machine that is that busy all engines stand
 // still together, and go on together.
-func TestStreamsThatStandStillTogetherAreLeft(t *testing.T) {
-	const pause = gapPatience + 2*lookAfter
+func TestStreamsStalledTogetherAreNotMoved(t *testing.T) {
+	const pause = maxEventGap + 2*watchdogInterval
 	began := make(chan bool, 4)
-	standsStill := func(w *bufio.Writer, r *http.Request) bool {
+	stalls := func(w *bufio.Writer, r *http.Request) bool {
 		writeEvents(w, r, 1, 1)
 		began <- true
 		<-time.After(pause)
@@ -106,7 +106,7 @@
 	f := newFixture(t, serviceconfig.Stream, true)
 	f.gateway.index.Raise(engineDocument(t))
 	for incarnation, domain := range map[string]string{"i-near": "hall-a", "i-far": "hall-b"} {
-		f.hearIn(newStandIn(t, incarnation, standsStill), domain)
+		f.addEngineIn(newStandIn(t, incarnation, stalls), domain)
 	}
 	bodies := make(chan string, 2)
 	ask := func(id string) {
@@ -126,32 +126,32 @@
 			t.Errorf("a caller got %q", body)
 		}
 	}
-	if broken := f.ends(t, attemptBroken); broken > 0 {
+	if broken := f.countEnds(t, attemptBroken); broken > 0 {
 		t.Errorf("%.0f attempts were broken off though all engines stood still", broken)
 	}
 }
 
-// hearIn makes an engine of a failure domain known that serves version 1.
-func (f *fixture) hearIn(s *standIn, domain string) {
+// addEngineIn makes an engine of a failure domain known that serves version 1.
+func (f *fixture) addEngineIn(s *standIn, domain string) {
 	f.gateway.backends.hear(registry.NewRegistration(s.incarnation, "menu", s.listener.Addr().String(), domain, "v1", 16, registry.Ready, 0,
 		[]registry.Holding{registry.NewHolding("menu", 1, 0, 1)}, 1, 0))
 }
 
 // Where those that stand still are all of one failure domain, streams are moved. Which server
 // takes the second of two that move at one moment is left to the choice.
-func TestStreamsOfAFrozenDomainAreMoved(t *testing.T) {
+func TestStreamsOfAStalledDomainAreMoved(t *testing.T) {
 	began := make(chan bool, 4)
-	frozen := func(w *bufio.Writer, r *http.Request) bool {
+	stalled := func(w *bufio.Writer, r *http.Request) bool {
 		writeEvents(w, r, 1, 1)
 		began <- true
-		<-time.After(gapPatience + 2*lookAfter)
+		<-time.After(maxEventGap + 2*watchdogInterval)
 		return false
 	}
 	f := newFixture(t, serviceconfig.Stream, true)
 	f.gateway.index.Raise(engineDocument(t))
-	f.hearIn(newStandIn(t, "i-near", frozen), "hall-a")
-	f.hearIn(newStandIn(t, "i-next", frozen), "hall-a")
-	f.hearIn(newStandIn(t, "i-far", streamBehind(1)), "hall-b")
+	f.addEngineIn(newStandIn(t, "i-near", stalled), "hall-a")
+	f.addEngineIn(newStandIn(t, "i-next", stalled), "hall-a")
+	f.addEngineIn(newStandIn(t, "i-far", streamAfter(1)), "hall-b")
 	whole := make(chan bool, 2)
 	for _, id := range []string{"a", "b"} {
 		r := f.draft(t)
@@ -165,18 +165,18 @@
 	if first, second := <-whole, <-whole; !first && !second {
 		t.Error("neither stream went on in the other failure domain")
 	}
-	if moved := f.ends(t, attemptBroken); moved < 2 {
+	if moved := f.countEnds(t, attemptBroken); moved < 2 {
 		t.Errorf("%.0f streams were moved", moved)
 	}
 }
 
 // A stream that stands still by itself goes on elsewhere, as before.
-func TestStreamThatStandsStillAloneGoesOnElsewhere(t *testing.T) {
+func TestStreamStalledAloneIsMoved(t *testing.T) {
 	f := newLapsing(t, func(w *bufio.Writer, r *http.Request) bool {
 		writeEvents(w, r, 1, 1)
-		<-time.After(gapPatience + 2*lookAfter)
+		<-time.After(maxEventGap + 2*watchdogInterval)
 		return false
-	}, func(w *bufio.Writer, r *http.Request) bool { return streamBehind(1)(w, r) })
+	}, func(w *bufio.Writer, r *http.Request) bool { return streamAfter(1)(w, r) })
 	status, _, body, err := f.do(t, f.draft(t))
 	if status != http.StatusOK || body != events(1, 3) || err != nil {
 		t.Fatalf("%d %q %v", status, body, err)
@@ -185,10 +185,10 @@
 
 // One that nobody else could take over is left where it is: a repeat that finds no place
 // ends it.
-func TestStreamThatStandsStillStaysWhereNoOtherServes(t *testing.T) {
+func TestStalledStreamStaysWithoutAnotherServer(t *testing.T) {
 	f := newLapsing(t, func(w *bufio.Writer, r *http.Request) bool {
 		writeEvents(w, r, 1, 1)
-		<-time.After(gapPatience + 2*lookAfter)
+		<-time.After(maxEventGap + 2*watchdogInterval)
 		return writeRest(w, 2, 3)
 	}, breakOff)
 	f.gateway.backends.depart("i-young", 0)
@@ -202,8 +202,8 @@
 // still` 0.72 s before the version lapsed everywhere, then `attempt lapsed ... no answer; taken
 // back` 0.11 s later, then `no other backend server`. First events came after 1.0 to 1.8 s at that
 // time. Where the stream stood still it might have run on past the end of the version.
-func TestStreamThatStandsStillStaysWhereNoOtherBeginsInTime(t *testing.T) {
-	const left = gapPatience + 2*lookAfter + time.Second
+func TestStalledStreamStaysIfNoServerResumesInTime(t *testing.T) {
+	const left = maxEventGap + 2*watchdogInterval + time.Second
 	for name, c := range map[string]struct {
 		wait  time.Duration
 		moves bool
@@ -214,17 +214,17 @@
 		t.Run(name, func(t *testing.T) {
 			first := newStandIn(t, "i-first", func(w *bufio.Writer, r *http.Request) bool {
 				writeEvents(w, r, 1, 1)
-				<-time.After(gapPatience + 3*lookAfter)
+				<-time.After(maxEventGap + 3*watchdogInterval)
 				return writeRest(w, 2, 3)
 			})
-			second := newStandIn(t, "i-second", streamBehind(1))
+			second := newStandIn(t, "i-second", streamAfter(1))
 			f := newFixture(t, serviceconfig.Stream, true)
 			f.gateway.index.Raise(engineDocument(t))
-			f.hearIn(first, "hall-a")
-			f.hearIn(second, "hall-b")
+			f.addEngineIn(first, "hall-a")
+			f.addEngineIn(second, "hall-b")
 			f.hearNamed(left)
-			for range fewestValues {
-				f.gateway.silences.learn(usualKey{"menu", usualWait}, time.Now(), c.wait)
+			for range minSamples {
+				f.gateway.silences.record(timingKey{"menu", timingWait}, time.Now(), c.wait)
 			}
 			status, _, body, err := f.do(t, f.draft(t))
 			if status != http.StatusOK || body != events(1, 3) || err != nil {
@@ -240,8 +240,8 @@
 // Seen too, one stream at a time: `attempt broken: the stream stood still`, `attempt refused: 503`,
 // then `the budget of repeats is used up`. The engine that it was moved to was full, and said so,
 // and the one where it had stood still went on a moment later.
-func TestStreamThatStandsStillStaysWhereOthersAreFull(t *testing.T) {
-	const pause = gapPatience + lookAfter
+func TestStalledStreamStaysIfOthersAreFull(t *testing.T) {
+	const pause = maxEventGap + watchdogInterval
 	first := newStandIn(t, "i-first", func(w *bufio.Writer, r *http.Request) bool {
 		writeEvents(w, r, 1, 1)
 		<-time.After(pause)
@@ -250,8 +250,8 @@
 	second := newStandIn(t, "i-second", answerWith("503 Service Unavailable", "full"))
 	f := newFixture(t, serviceconfig.Stream, true)
 	f.gateway.index.Raise(engineDocument(t))
-	f.hearIn(first, "hall-a")
-	f.hearIn(second, "hall-b")
+	f.addEngineIn(first, "hall-a")
+	f.addEngineIn(second, "hall-b")
 	over := make(chan bool)
 	defer close(over)
 	go func() {
@@ -260,7 +260,7 @@
 			select {
 			case <-over:
 				return
-			case <-time.After(lookAfter / 4):
+			case <-time.After(watchdogInterval / 4):
 			}
 		}
 	}()
@@ -275,8 +275,8 @@
 
 // An engine that is heard of, and gives none of its streams an event, reads the prompts of
 // others: its streams are left longer than those of one that says nothing.
-func TestStreamOfAnEngineThatReadsIsLeft(t *testing.T) {
-	const pause = gapPatience + lookAfter
+func TestStreamOfAnEngineReadingPromptsStays(t *testing.T) {
+	const pause = maxEventGap + watchdogInterval
 	began := make(chan bool, 1)
 	f := newLapsing(t, func(w *bufio.Writer, r *http.Request) bool {
 		writeEvents(w, r, 1, 1)
@@ -284,19 +284,19 @@
 		<-time.After(pause)
 		return writeRest(w, 2, 3)
 	}, breakOff)
-	f.gateway.protocol.Patience = func(time.Duration, time.Duration) time.Duration { return pause + lookAfter + leaveWithin }
+	f.gateway.protocol.Patience = func(time.Duration, time.Duration) time.Duration { return pause + watchdogInterval + resumeMargin }
 	go func() {
 		<-began
-		for range int(pause / lookAfter) {
+		for range int(pause / watchdogInterval) {
 			f.gateway.backends.hearLoad(feed.NewLoad("menu", f.backend("i-old").address, "menu", 1, 1, 3, 1, false, false))
-			<-time.After(lookAfter)
+			<-time.After(watchdogInterval)
 		}
 	}()
 	status, _, body, err := f.do(t, f.draft(t))
 	if status != http.StatusOK || body != events(1, 3) || err != nil {
 		t.Fatalf("%d %q %v", status, body, err)
 	}
-	if broken := f.ends(t, attemptBroken); broken > 0 {
+	if broken := f.countEnds(t, attemptBroken); broken > 0 {
 		t.Errorf("%.0f attempts were broken off", broken)
 	}
 }
@@ -304,24 +304,24 @@
 // Seen too: `attempt broken: the stream stood still`, `attempt lapsed: ...; no answer; taken back
 // 1ms late`, then `all 2 attempts are used up`. The second attempt waited at an engine whose own version was about to lapse. It is taken
 // back, and the stream goes back to where it was before, which serves the next version by now.
-func TestStreamTakenBackForItsVersionGoesBack(t *testing.T) {
+func TestStreamReturnsToItsServerAfterVersionExpiry(t *testing.T) {
 	var f *fixture
 	var first, second *standIn
 	first = newStandIn(t, "i-first", func(w *bufio.Writer, r *http.Request) bool {
 		if len(first.requests()) > 1 {
-			return streamBehind(1)(w, r)
+			return streamAfter(1)(w, r)
 		}
 		writeEvents(w, r, 1, 1)
-		<-time.After(gapPatience + 2*lookAfter)
+		<-time.After(maxEventGap + 2*watchdogInterval)
 		return false
 	})
 	second = newStandIn(t, "i-second", func(w *bufio.Writer, r *http.Request) bool {
-		f.hearLoadOf(first, 2)
-		f.gateway.take("10.0.0.9:7700", f.namedUpdate(lapseMargin+lookAfter/2))
-		<-time.After(2 * lookAfter)
+		f.reportVersion(first, 2)
+		f.gateway.take("10.0.0.9:7700", f.namedUpdate(lapseMargin+watchdogInterval/2))
+		<-time.After(2 * watchdogInterval)
 		return false
 	})
-	f = newServingOld(t, first, second)
+	f = newOldVersionFixture(t, first, second)
 	f.gateway.protocol.Patience = func(time.Duration, time.Duration) time.Duration { return time.Minute }
 	status, _, body, err := f.do(t, f.draft(t))
 	if status != http.StatusOK || body != events(1, 3) || err != nil {
@@ -335,26 +335,26 @@
 // Seen too: `attempt broken: no answer: use of closed network connection`, as a dial of the
 // server failed on a busy machine. All that wait at a server which seems lost are taken back,
 // but for a stream under way that has no other attempt.
-func TestLastAttemptOfAStreamStaysWhereItsServerSeemsLost(t *testing.T) {
+func TestLastAttemptOfAStreamStaysAtAnUnreachableServer(t *testing.T) {
 	var f *fixture
 	cut := newStandIn(t, "i-cut", func(w *bufio.Writer, r *http.Request) bool {
 		writeEvents(w, r, 1, 1)
 		return false
 	})
-	seemsLost := newStandIn(t, "i-seems-lost", func(w *bufio.Writer, r *http.Request) bool {
+	unreachable := newStandIn(t, "i-seems-lost", func(w *bufio.Writer, r *http.Request) bool {
 		f.backend("i-seems-lost").setLost(true)
-		<-time.After(lookAfter)
-		return streamBehind(1)(w, r)
+		<-time.After(watchdogInterval)
+		return streamAfter(1)(w, r)
 	})
-	f = newLapsingOf(t, cut, seemsLost)
+	f = newLapsingOf(t, cut, unreachable)
 	status, _, body, err := f.do(t, f.draft(t))
 	if status != http.StatusOK || body != events(1, 3) || err != nil {
 		t.Fatalf("%d %q %v", status, body, err)
 	}
 }
 
-// ends counts the attempts that ended so.
-func (f *fixture) ends(t *testing.T, end attemptEnd) float64 {
+// countEnds counts the attempts that ended so.
+func (f *fixture) countEnds(t *testing.T, end attemptEnd) float64 {
 	var m dto.Metric
 	if err := f.gateway.metrics.attempts.WithLabelValues(string(end)).Write(&m); err != nil {
 		t.Fatal(err)
--- a/pkg/gateway/plain.go
+++ b/pkg/gateway/plain.go
@@ -136,7 +136,7 @@
 func (r *progressReader) Read(p []byte) (int, error) {
 	n, err := r.Reader.Read(p)
 	if n > 0 {
-		r.watch.flows()
+		r.watch.startStreaming()
 	}
 	if err != io.EOF {
 		r.err = err
--- a/pkg/gateway/reach.go
+++ b/pkg/gateway/reach.go
@@ -49,7 +49,7 @@
 		dialed := time.Now()
 		if b.pool.Reaches(g.running, dialTimeout) {
 			b.setLost(false)
-			b.sawReached(dialed, time.Since(dialed))
+			b.recordDial(dialed, time.Since(dialed))
 			return
 		}
 		if b.setLost(true) {
--- a/pkg/gateway/reserve.go
+++ b/pkg/gateway/reserve.go
@@ -108,7 +108,7 @@
 	}
 	if q.begun && !q.eventAt.IsZero() {
 		// What engines forecast is off by as much as of late.
-		within = min(within, g.patienceLeft(q, time.Now())-g.silences.latestBegin(q.service.Name(), time.Now()))
+		within = min(within, g.patienceLeft(q, time.Now())-g.silences.maxForecastError(q.service.Name(), time.Now()))
 	}
 	if best.begins > within || !g.isPermitted(q, best.backend) {
 		return nil
--- a/pkg/gateway/resume_test.go
+++ b/pkg/gateway/resume_test.go
@@ -36,11 +36,11 @@
 		<-time.After(left)
 		return false
 	})
-	next := newStandIn(t, "i-next", streamBehind(1))
+	next := newStandIn(t, "i-next", streamAfter(1))
 	f := newResuming(t, old)
 	f.hearNamed(left)
-	for range fewestValues {
-		f.gateway.silences.learn(usualKey{"menu", usualWait}, time.Now(), left)
+	for range minSamples {
+		f.gateway.silences.record(timingKey{"menu", timingWait}, time.Now(), left)
 	}
 	go func() {
 		<-time.After(3 * yieldLook)
@@ -88,7 +88,7 @@
 			writeAnswer(w, r, "503 Service Unavailable", headerNotRun+": 1\r\n", "full")
 			return true
 		}
-		return streamBehind(1)(w, r)
+		return streamAfter(1)(w, r)
 	})
 	f := newResuming(t, other)
 	status, _, body, err := f.do(t, f.draft(t))
--- a/pkg/gateway/silence.go
+++ b/pkg/gateway/silence.go
@@ -32,66 +32,70 @@
 import "time"
 
 const (
-	// leastSilence is for how long any connection may be silent: an engine that reads
+	// minSilence is for how long any connection may be silent: an engine that reads
 	// a prompt pauses all its streams for up to some 100 ms.
-	leastSilence = 120 * time.Millisecond
-	// fewestAddresses that are silent at once are evidence for silent connections.
-	fewestAddresses = 3
-	// quickDial is how long a dial may take that shows that the way is free: ways take
+	minSilence = 120 * time.Millisecond
+	// minSilentAddresses that are silent at once are evidence for silent connections.
+	minSilentAddresses = 3
+	// maxQuickDial is how long a dial may take that shows that the way is free: ways take
 	// some ms each, and behind chunks or losses a dial takes longer.
-	quickDial = 100 * time.Millisecond
-	// quietFactor / quietPart of the longest time of late in which nothing came from
+	maxQuickDial = 100 * time.Millisecond
+	// quietNumerator / quietPart of the longest time of late in which nothing came from
 	// anywhere is out of the usual.
-	quietFactor, quietPart = 3, 2
-	// reachedPart / reachedFactor of the addresses must answer dials.
-	reachedPart, reachedFactor = 3, 4
-	// evidenceLife is for how long attempts that have ended count as evidence, and what
+	quietNumerator, quietDenominator = 3, 2
+	// reachedNumerator / reachedFactor of the addresses must answer dials.
+	reachedNumerator, reachedDenominator = 3, 4
+	// evidenceTTL is for how long attempts that have ended count as evidence, and what
 	// was found by them stays so.
-	evidenceLife = 2 * time.Second
+	evidenceTTL = 2 * time.Second
 )
 
 // evidence is why connections are taken to be silent.
 type evidence string
 
 const (
-	evidenceSuspected evidence = "suspected" // closes resting connections only
-	evidenceNewer     evidence = "newer"
-	evidenceMany      evidence = "many"
+	evidenceSuspected     evidence = "suspected" // closes resting connections only
+	evidenceNewerConn     evidence = "newer"
+	evidenceManyAddresses evidence = "many"
 )
 
-// hearing is an attempt as far as it was heard, at some moment.
-type hearing struct {
-	address string
-	made    time.Time     // its connection
-	since   time.Time     // it is silent: its last bytes, or its sending
-	due     time.Duration // for how long silence is usual; 0 where none is judged
-	spoke   bool          // bytes came over its connection
-	flows   bool          // its first event came
-	engine  bool          // at an engine, which gives all their events in turn
-	reached time.Time     // when a dial that was answered at once began, at its address
-	over    time.Time     // when it ended; zero while it is under way
-	backend *backend      // where it is
+// attemptSnapshot is an attempt as far as it was heard, at some moment.
+type attemptSnapshot struct {
+	address      string
+	connectedAt  time.Time     // its connection
+	silentSince  time.Time     // it is silent: its last bytes, or its sending
+	silenceLimit time.Duration // for how long silence is usual; 0 where none is judged
+	received     bool          // bytes came over its connection
+	streaming    bool          // its first event came
+	engine       bool          // at an engine, which gives all their events in turn
+	dialAnswered time.Time     // when a dial that was answered at once began, at its address
+	endedAt      time.Time     // when it ended; zero while it is under way
+	backend      *backend      // where it is
 }
 
-// silent returns for how long an attempt has been silent.
-func (h hearing) silent(now time.Time) time.Duration {
+// silentFor returns for how long an attempt has been silent.
+func (h attemptSnapshot) silentFor(now time.Time) time.Duration {
 	if h.ended() {
-		now = h.over
+		now = h.endedAt
 	}
-	return now.Sub(h.since)
+	return now.Sub(h.silentSince)
 }
 
-func (h hearing) ended() bool { return !h.over.IsZero() }
+func (h attemptSnapshot) ended() bool { return !h.endedAt.IsZero() }
 
 // overdue tells whether it has been silent for longer than is usual.
-func (h hearing) overdue(now time.Time) bool { return h.due > 0 && h.silent(now) > h.due }
+func (h attemptSnapshot) overdue(now time.Time) bool {
+	return h.silenceLimit > 0 && h.silentFor(now) > h.silenceLimit
+}
 
-// isFlowing tells whether it is a stream under way that has begun.
-func (h hearing) isFlowing() bool { return h.flows && !h.ended() }
+// isStreaming tells whether it is a stream under way that has begun.
+func (h attemptSnapshot) isStreaming() bool { return h.streaming && !h.ended() }
 
-// stoodStillBefore tells whether it was overdue at some moment already: then it has
+// overdueBefore tells whether it was overdue at some moment already: then it has
 // another cause than what began at that moment.
-func (h hearing) stoodStillBefore(t time.Time) bool { return h.since.Add(h.due).Before(t) }
+func (h attemptSnapshot) overdueBefore(t time.Time) bool {
+	return h.silentSince.Add(h.silenceLimit).Before(t)
+}
 
 // finding is what is found about one attempt.
 type finding struct {
@@ -100,105 +104,105 @@
 	dial     bool // its address is to be dialed before more can be said
 }
 
-// judge finds the attempts whose connections are suspect or silent. everywhere is since
+// detectSilent finds the attempts whose connections are suspect or silent. everywhere is since
 // when connections everywhere are silent; zero where they are not.
-func judge(now, everywhere time.Time, all []hearing) (found []finding) {
+func detectSilent(now, everywhere time.Time, all []attemptSnapshot) (found []finding) {
 	for i, h := range all {
-		if h.ended() || h.due == 0 {
+		if h.ended() || h.silenceLimit == 0 {
 			continue
 		}
 		switch {
-		case h.isOneOf(everywhere) && h.silent(now) > leastSilence:
-			if h.reached.After(everywhere) {
-				found = append(found, finding{i, evidenceMany, false})
+		case h.connSilentSince(everywhere) && h.silentFor(now) > minSilence:
+			if h.dialAnswered.After(everywhere) {
+				found = append(found, finding{i, evidenceManyAddresses, false})
 			} else {
 				found = append(found, finding{i, evidenceSuspected, true})
 			}
 		case !h.overdue(now):
-		case newerSpeaks(h, all):
-			found = append(found, finding{i, evidenceNewer, false})
-		case !heardSince(h.since.Add(leastSilence), h.since, h.address, all):
+		case newerConnStreams(h, all):
+			found = append(found, finding{i, evidenceNewerConn, false})
+		case !receivedSince(h.silentSince.Add(minSilence), h.silentSince, h.address, all):
 			found = append(found, finding{i, evidenceSuspected, false})
 		}
 	}
 	return found
 }
 
-// isOneOf tells whether its connection is one of those that are silent since a moment.
-func (h hearing) isOneOf(everywhere time.Time) bool {
-	return !everywhere.IsZero() && !h.made.After(everywhere) && !(h.spoke && h.since.After(everywhere))
+// connSilentSince tells whether its connection is one of those that are silent since a moment.
+func (h attemptSnapshot) connSilentSince(everywhere time.Time) bool {
+	return !everywhere.IsZero() && !h.connectedAt.After(everywhere) && !(h.received && h.silentSince.After(everywhere))
 }
 
-// silentEverywhere tells since when nothing comes any more over connections of a time,
+// globalSilenceSince tells since when nothing comes any more over connections of a time,
 // from anywhere, the earliest that holds; zero where something does. usualQuiet is the
 // longest time of late in which nothing came.
-func silentEverywhere(now time.Time, usualQuiet time.Duration, all []hearing) (since time.Time) {
+func globalSilenceSince(now time.Time, usualQuiet time.Duration, all []attemptSnapshot) (since time.Time) {
 	for _, h := range all {
-		if !h.isFlowing() && !h.overdue(now) || now.Sub(h.since) <= leastSilence {
+		if !h.isStreaming() && !h.overdue(now) || now.Sub(h.silentSince) <= minSilence {
 			continue
 		}
-		if !since.IsZero() && !h.since.Before(since) || heardSince(h.since, h.since, "", all) {
+		if !since.IsZero() && !h.silentSince.Before(since) || receivedSince(h.silentSince, h.silentSince, "", all) {
 			continue
 		}
-		if streamsAreSilent(now, h.since, usualQuiet, all) || attemptsAreOverdue(now, h.since, all) {
-			since = h.since
+		if streamsAreSilent(now, h.silentSince, usualQuiet, all) || attemptsAreOverdue(now, h.silentSince, all) {
+			since = h.silentSince
 		}
 	}
 	return since
 }
 
-// isReached tells whether nearly all addresses with connections that are silent since a
+// mostAddressesReached tells whether nearly all addresses with connections that are silent since a
 // moment have answered dials since.
-func isReached(now, since time.Time, all []hearing) bool {
+func mostAddressesReached(now, since time.Time, all []attemptSnapshot) bool {
 	silent, reached := map[string]bool{}, map[string]bool{}
 	for _, h := range all {
-		if !h.tellsOf(now, since) {
+		if !h.isEvidenceOf(now, since) {
 			continue
 		}
 		silent[h.address] = true
-		if h.reached.After(since) {
+		if h.dialAnswered.After(since) {
 			reached[h.address] = true
 		}
 	}
-	return len(reached) >= fewestAddresses && reachedFactor*len(reached) >= reachedPart*len(silent)
+	return len(reached) >= minSilentAddresses && reachedDenominator*len(reached) >= reachedNumerator*len(silent)
 }
 
-// tellsOf tells whether an attempt is one by which connections are found to be silent
+// isEvidenceOf tells whether an attempt is one by which connections are found to be silent
 // since a moment.
-func (h hearing) tellsOf(now, since time.Time) bool {
-	return h.isOneOf(since) && !h.stoodStillBefore(since) && (h.isFlowing() || h.overdue(now))
+func (h attemptSnapshot) isEvidenceOf(now, since time.Time) bool {
+	return h.connSilentSince(since) && !h.overdueBefore(since) && (h.isStreaming() || h.overdue(now))
 }
 
 // streamsAreSilent tells whether the streams of a time have been silent for longer than
 // is usual of all of them together, at several addresses. Streams over newer connections
 // must be fewer: few of a time may be silent by chance.
-func streamsAreSilent(now, since time.Time, usualQuiet time.Duration, all []hearing) bool {
-	if now.Sub(since) <= max(leastSilence, quietFactor*usualQuiet/quietPart) {
+func streamsAreSilent(now, since time.Time, usualQuiet time.Duration, all []attemptSnapshot) bool {
+	if now.Sub(since) <= max(minSilence, quietNumerator*usualQuiet/quietDenominator) {
 		return false
 	}
 	silent, newer := 0, 0
 	addresses := map[string]bool{}
 	for _, h := range all {
 		switch {
-		case !h.isFlowing() || h.stoodStillBefore(since):
-		case h.made.After(since):
+		case !h.isStreaming() || h.overdueBefore(since):
+		case h.connectedAt.After(since):
 			newer++
 		default:
 			silent++
 			addresses[h.address] = true
 		}
 	}
-	return silent > newer && len(addresses) >= fewestAddresses
+	return silent > newer && len(addresses) >= minSilentAddresses
 }
 
 // attemptsAreOverdue tells whether attempts of a time are overdue at several addresses,
 // and at most of them: where they are at a few, the others may not have had to say
 // anything yet. Those that were given up lately count, so it is seen too where one
 // request comes after the other.
-func attemptsAreOverdue(now, since time.Time, all []hearing) bool {
+func attemptsAreOverdue(now, since time.Time, all []attemptSnapshot) bool {
 	overdue, addresses := map[string]bool{}, map[string]bool{}
 	for _, h := range all {
-		if h.made.After(since) || h.due == 0 || h.stoodStillBefore(since) {
+		if h.connectedAt.After(since) || h.silenceLimit == 0 || h.overdueBefore(since) {
 			continue
 		}
 		if h.overdue(now) {
@@ -208,46 +212,46 @@
 			addresses[h.address] = true
 		}
 	}
-	return len(overdue) >= fewestAddresses && 2*len(overdue) >= len(addresses)
+	return len(overdue) >= minSilentAddresses && 2*len(overdue) >= len(addresses)
 }
 
-// heardSince tells whether bytes came since a moment over a connection made before
+// receivedSince tells whether bytes came since a moment over a connection made before
 // another, to an address or, with "", to any.
-func heardSince(since, madeBefore time.Time, address string, all []hearing) bool {
+func receivedSince(since, madeBefore time.Time, address string, all []attemptSnapshot) bool {
 	for _, h := range all {
-		if h.spoke && (address == "" || h.address == address) && !h.made.After(madeBefore) && h.since.After(since) {
+		if h.received && (address == "" || h.address == address) && !h.connectedAt.After(madeBefore) && h.silentSince.After(since) {
 			return true
 		}
 	}
 	return false
 }
 
-// newerWait tells whether attempts over connections made since one fell silent wait as well, and
+// newerConnsWait tells whether attempts over connections made since one fell silent wait as well, and
 // none of them was answered.
-func newerWait(now time.Time, silent hearing, all []hearing) bool {
+func newerConnsWait(now time.Time, silent attemptSnapshot, all []attemptSnapshot) bool {
 	wait := false
 	for _, h := range all {
-		if !h.made.After(silent.since) {
+		if !h.connectedAt.After(silent.silentSince) {
 			continue
 		}
-		if h.spoke {
+		if h.received {
 			return false
 		}
-		wait = wait || h.silent(now) > leastSilence
+		wait = wait || h.silentFor(now) > minSilence
 	}
 	return wait
 }
 
-// newerSpeaks tells whether a connection to the same address, made since a stream fell
+// newerConnStreams tells whether a connection to the same address, made since a stream fell
 // silent, is answered on although that stream is overdue: an engine gives all streams their
 // events in turn. Requests that wait are no evidence: more urgent ones overtake them, and
 // plain ones take each their own time.
-func newerSpeaks(silent hearing, all []hearing) bool {
-	if !silent.flows {
+func newerConnStreams(silent attemptSnapshot, all []attemptSnapshot) bool {
+	if !silent.streaming {
 		return false
 	}
 	for _, h := range all {
-		if h.address == silent.address && h.flows && h.made.After(silent.since) && h.since.Sub(silent.since) > silent.due {
+		if h.address == silent.address && h.streaming && h.connectedAt.After(silent.silentSince) && h.silentSince.Sub(silent.silentSince) > silent.silenceLimit {
 			return true
 		}
 	}
--- a/pkg/gateway/silence_test.go
+++ b/pkg/gateway/silence_test.go
@@ -29,8 +29,8 @@
 // one after the other.
 
 const (
-	// silencedServers are enough for silence at several addresses at once.
-	silencedServers = 4
+	// silencedServerCount are enough for silence at several addresses at once.
+	silencedServerCount = 4
 	// streamEvents and eventPause make streams of a second.
 	streamEvents = 100
 	eventPause   = 10 * time.Millisecond
@@ -43,8 +43,8 @@
 	proxies []*faultproxy.Proxy
 }
 
-// redirected is a listener that is reached at another address.
-type redirected struct {
+// redirectedListener is a listener that is reached at another address.
+type redirectedListener struct {
 	net.Listener
 	addr net.Addr
 }
@@ -59,7 +59,7 @@
 func (a address) String() string { return string(a) }
 
 // Addr returns where it is reached.
-func (r redirected) Addr() net.Addr { return r.addr }
+func (r redirectedListener) Addr() net.Addr { return r.addr }
 
 func newSilencedFixture(t *testing.T, kind serviceconfig.Kind, scripts ...exchangeScript) *silencedFixture {
 	t.Helper()
@@ -73,7 +73,7 @@
 		}
 		t.Cleanup(p.Close)
 		f.servers, f.proxies = append(f.servers, server), append(f.proxies, p)
-		reached = append(reached, &standIn{incarnation: server.incarnation, listener: redirected{server.listener, address(p.Address())}})
+		reached = append(reached, &standIn{incarnation: server.incarnation, listener: redirectedListener{server.listener, address(p.Address())}})
 	}
 	f.fixture = newFixture(t, kind, true, reached...)
 	// The stand-ins are to share the requests.
@@ -98,8 +98,8 @@
 	}
 }
 
-// ends returns how many attempts ended in a way.
-func (f *silencedFixture) ends(t *testing.T, end attemptEnd) int {
+// countEnds returns how many attempts ended in a way.
+func (f *silencedFixture) countEnds(t *testing.T, end attemptEnd) int {
 	t.Helper()
 	var m dto.Metric
 	if err := f.gateway.metrics.attempts.WithLabelValues(string(end)).Write(&m); err != nil {
@@ -108,8 +108,8 @@
 	return int(m.GetCounter().GetValue())
 }
 
-// timesOf returns a script for each of several servers.
-func timesOf(n int, script exchangeScript) []exchangeScript {
+// repeatScript returns a script for each of several servers.
+func repeatScript(n int, script exchangeScript) []exchangeScript {
 	scripts := make([]exchangeScript, n)
 	for i := range scripts {
 		scripts[i] = script
@@ -117,9 +117,9 @@
 	return scripts
 }
 
-// flowingStream writes events in two halves each, from behind the last one that the
+// splitEventStream writes events in two halves each, from behind the last one that the
 // caller has.
-func flowingStream(w *bufio.Writer, r *http.Request) bool {
+func splitEventStream(w *bufio.Writer, r *http.Request) bool {
 	last, _ := strconv.Atoi(r.Header.Get(headerLastEvent))
 	writeEvents(w, r, last+1, last)
 	for i := last + 1; i <= streamEvents; i++ {
@@ -134,21 +134,21 @@
 	return err == nil
 }
 
-// streamed is what a caller got of a stream.
-type streamed struct {
+// streamResult is what a caller got of a stream.
+type streamResult struct {
 	body string
 	err  error
 }
 
 // streams has callers read streams at the same time; begun is called once each of them
 // has some events.
-func (f *silencedFixture) streams(t *testing.T, callers int, begun func()) []streamed {
+func (f *silencedFixture) streams(t *testing.T, callers int, onStarted func()) []streamResult {
 	t.Helper()
-	const some = 10
+	const beginAfter = 10
 	var began, ended sync.WaitGroup
 	began.Add(callers)
 	ended.Add(callers)
-	got := make([]streamed, callers)
+	got := make([]streamResult, callers)
 	for i := range callers {
 		r := f.request(t, http.MethodPost, fmt.Sprintf("s-%d", i), "draft")
 		go func() {
@@ -169,7 +169,7 @@
 				if line == "\n" {
 					events++
 				}
-				if events >= some {
+				if events >= beginAfter {
 					started()
 				}
 				if err != nil {
@@ -182,16 +182,16 @@
 		}()
 	}
 	began.Wait()
-	begun()
+	onStarted()
 	ended.Wait()
 	return got
 }
 
 // Streams whose connections fall silent in the middle of an event go on over new
 // connections, whole and in order; and so again when those fall silent.
-func TestStreamsLeaveSilentConnections(t *testing.T) {
+func TestStreamsResumeAfterConnectionsFallSilent(t *testing.T) {
 	const callers = 12
-	f := newSilencedFixture(t, serviceconfig.Stream, timesOf(silencedServers, flowingStream)...)
+	f := newSilencedFixture(t, serviceconfig.Stream, repeatScript(silencedServerCount, splitEventStream)...)
 	f.streams(t, callers, func() {})
 	for times := 1; times <= 2; times++ {
 		for i, got := range f.streams(t, callers, f.silence) {
@@ -199,15 +199,15 @@
 				t.Errorf("stream %d: %d lines, %v", i, strings.Count(got.body, "\n"), got.err)
 			}
 		}
-		if silent, broken := f.ends(t, attemptSilent), f.ends(t, attemptBroken); silent != times*callers || broken != 0 {
+		if silent, broken := f.countEnds(t, attemptSilent), f.countEnds(t, attemptBroken); silent != times*callers || broken != 0 {
 			t.Errorf("%d attempts ended as silent and %d as broken, after %d times %d streams", silent, broken, times, callers)
 		}
 	}
 }
 
-// fill has so many requests under way at once that each server keeps connections, and
+// fillPool has so many requests under way at once that each server keeps connections, and
 // then lets them rest.
-func (f *silencedFixture) fill(t *testing.T, requests int) {
+func (f *silencedFixture) fillPool(t *testing.T, requests int) {
 	t.Helper()
 	var all sync.WaitGroup
 	for i := range requests {
@@ -223,8 +223,8 @@
 	all.Wait()
 }
 
-// together is a script that answers once a number of requests are there.
-func together(requests int) exchangeScript {
+// answerTogether is a script that answers once a number of requests are there.
+func answerTogether(requests int) exchangeScript {
 	var all sync.WaitGroup
 	all.Add(requests)
 	var mu sync.Mutex
@@ -247,13 +247,13 @@
 
 // Requests that take resting connections which have fallen silent are sent again over
 // new ones, and the resting ones that are left are never used.
-func TestRestingSilentConnectionsAreNotUsed(t *testing.T) {
+func TestSilentIdleConnectionsAreNotReused(t *testing.T) {
 	const requests = 16
-	f := newSilencedFixture(t, serviceconfig.Repeatable, timesOf(silencedServers, together(requests))...)
-	f.fill(t, requests)
+	f := newSilencedFixture(t, serviceconfig.Repeatable, repeatScript(silencedServerCount, answerTogether(requests))...)
+	f.fillPool(t, requests)
 	f.silence()
 	var all sync.WaitGroup
-	for i := range 2 * silencedServers {
+	for i := range 2 * silencedServerCount {
 		r := f.request(t, http.MethodPost, fmt.Sprintf("a-%d", i), "")
 		all.Go(func() {
 			answer, err := http.DefaultTransport.RoundTrip(r)
@@ -269,24 +269,24 @@
 		})
 	}
 	all.Wait()
-	before := f.ends(t, attemptSilent)
-	for i := range 2 * silencedServers {
+	before := f.countEnds(t, attemptSilent)
+	for i := range 2 * silencedServerCount {
 		id := fmt.Sprintf("b-%d", i)
 		if status, _, body, err := f.do(t, f.request(t, http.MethodPost, id, "")); status != 200 || body != "answer to "+id || err != nil {
 			t.Errorf("%s: %d %q %v", id, status, body, err)
 		}
 	}
-	if silent, broken := f.ends(t, attemptSilent), f.ends(t, attemptBroken); before == 0 || silent != before || broken != 0 {
+	if silent, broken := f.countEnds(t, attemptSilent), f.countEnds(t, attemptBroken); before == 0 || silent != before || broken != 0 {
 		t.Errorf("%d attempts ended as silent, then %d, and %d as broken", before, silent, broken)
 	}
 }
 
 // A request that may run once waits on its silent connection, and is not sent again;
 // the next ones take new connections.
-func TestOnceRequestsLeaveRestingSilentConnections(t *testing.T) {
+func TestNonIdempotentRequestIsNotResentAfterSilence(t *testing.T) {
 	const requests = 4
-	f := newSilencedFixture(t, serviceconfig.Once, together(requests))
-	f.fill(t, requests)
+	f := newSilencedFixture(t, serviceconfig.Once, answerTogether(requests))
+	f.fillPool(t, requests)
 	f.silence()
 	first := f.request(t, http.MethodPost, "first", "")
 	first.Header.Set(headerDeadline, "1000")
@@ -307,19 +307,19 @@
 
 // A backend server that stands still, while others work, is not taken for one with
 // silent connections: what it works on is left there as long as ever.
-func TestServerThatStandsStillKeepsItsRequests(t *testing.T) {
+func TestStalledServerKeepsItsRequests(t *testing.T) {
 	const callers = 12
-	stop, goOn := make(chan struct{}), make(chan struct{})
-	defer close(goOn)
-	stands := func(w *bufio.Writer, r *http.Request) bool {
+	stop, resume := make(chan struct{}), make(chan struct{})
+	defer close(resume)
+	stallingStream := func(w *bufio.Writer, r *http.Request) bool {
 		if r.Header.Get(headerLastEvent) != "" {
-			return flowingStream(w, r)
+			return splitEventStream(w, r)
 		}
 		writeEvents(w, r, 1, 10)
 		for i := 11; i <= streamEvents; i++ {
 			select {
 			case <-stop:
-				<-goOn
+				<-resume
 				return false
 			case <-time.After(eventPause):
 				writeChunk(w, event(i))
@@ -328,14 +328,14 @@
 		_, err := w.WriteString("0\r\n\r\n")
 		return err == nil
 	}
-	f := newSilencedFixture(t, serviceconfig.Stream, append(timesOf(silencedServers-1, flowingStream), stands)...)
+	f := newSilencedFixture(t, serviceconfig.Stream, append(repeatScript(silencedServerCount-1, splitEventStream), stallingStream)...)
 	f.streams(t, callers, func() {})
 	for i, got := range f.streams(t, callers, func() { close(stop) }) {
 		if got.err != nil || got.body != events(1, streamEvents) {
 			t.Errorf("stream %d: %d lines, %v", i, strings.Count(got.body, "\n"), got.err)
 		}
 	}
-	if silent, broken := f.ends(t, attemptSilent), f.ends(t, attemptBroken); silent != 0 || broken == 0 {
+	if silent, broken := f.countEnds(t, attemptSilent), f.countEnds(t, attemptBroken); silent != 0 || broken == 0 {
 		t.Errorf("%d attempts ended as silent and %d as broken", silent, broken)
 	}
 }
@@ -345,12 +345,12 @@
 // taken for silent on a busy machine, 385 ms without an event, while the version lapsed at all
 // engines sooner than streams began there. Proved by the lines' order, and here by whether the
 // stream stays.
-func TestStreamLeavesSilenceOnlyWhereItBeginsInTime(t *testing.T) {
+func TestSilentStreamMovesOnlyIfResumedInTime(t *testing.T) {
 	const left = 1500 * time.Millisecond
 	for name, c := range map[string]struct {
-		wait   time.Duration
-		newest bool // an engine serves the version that is due next
-		leaves bool
+		wait             time.Duration
+		newVersionServed bool // an engine serves the version that is due next
+		moves            bool
 	}{
 		"requests begin at once":       {50 * time.Millisecond, false, true},
 		"they begin when it is late":   {left, false, false},
@@ -362,21 +362,21 @@
 			own := newStandIn(t, "i-own", breakOff)
 			f.hearVersion(own, 1)
 			f.hearVersion(newStandIn(t, "i-other", breakOff), 1)
-			if c.newest {
+			if c.newVersionServed {
 				f.hearVersion(newStandIn(t, "i-newest", breakOff), 2)
 			}
 			f.hearNamed(left)
 			now := time.Now()
-			for range fewestValues {
-				f.gateway.silences.learn(usualKey{"menu", usualWait}, now, c.wait)
+			for range minSamples {
+				f.gateway.silences.record(timingKey{"menu", timingWait}, now, c.wait)
 			}
 			route, _ := f.gateway.index.Load().Route("menus.example", "/draft/x")
 			service, _ := f.gateway.index.Load().Service("menu")
 			b := f.backend("i-own")
 			q := &request{route: route, service: service, model: "menu", sent: 1, tried: map[*backend]bool{b: true}, run: left}
 			x := &exchange{gateway: f.gateway, request: q, backend: b, elsewhere: f.gateway.wantedFor(q)}
-			if x.mayInterrupt(interruptSilence, stageStreaming, now) != c.leaves {
-				t.Errorf("it leaves: %t", !c.leaves)
+			if x.mayInterrupt(interruptSilence, stageStreaming, now) != c.moves {
+				t.Errorf("it leaves: %t", !c.moves)
 			}
 			if !q.tried[b] {
 				t.Error("the look changed where the request was sent to")
@@ -386,7 +386,7 @@
 }
 
 // A stream under way whose repeats are spent waits for one as long as its caller does.
-func TestStreamUnderWayWaitsForARepeat(t *testing.T) {
+func TestActiveStreamWaitsForARetry(t *testing.T) {
 	f := newFixture(t, serviceconfig.Stream, true)
 	route, _ := f.gateway.index.Load().Route("menus.example", "/draft/x")
 	service, _ := f.gateway.index.Load().Service("menu")
@@ -411,7 +411,7 @@
 
 // A stream under way whose connection seems silent is broken off only where it may go on
 // elsewhere, and the repeat that it needs for that is taken once.
-func TestStreamIsBrokenOffOnlyWhereItGoesOn(t *testing.T) {
+func TestStreamIsInterruptedOnlyIfItCanResume(t *testing.T) {
 	f := newFixture(t, serviceconfig.Stream, true)
 	route, _ := f.gateway.index.Load().Route("menus.example", "/draft/x")
 	service, _ := f.gateway.index.Load().Service("menu")
@@ -423,17 +423,17 @@
 		t.Error("the last attempt is broken off")
 	}
 	x := &exchange{gateway: f.gateway, request: q}
-	if !x.takeRepeatToResume() || !q.repeatTaken.Load() {
+	if !x.takeRetryToResume() || !q.repeatTaken.Load() {
 		t.Fatal("no repeat was taken")
 	}
-	if !x.takeRepeatToResume() {
+	if !x.takeRetryToResume() {
 		t.Error("a repeat that is in hand is asked for again")
 	}
 	if refused := f.gateway.mayTry(q, 1); refused != nil {
 		t.Errorf("the repeat that was taken is asked for again: %v", refused)
 	}
 	q.repeatTaken.Store(false) // it was sent
-	if x.takeRepeatToResume() {
+	if x.takeRetryToResume() {
 		t.Error("it is broken off without a repeat")
 	}
 }
--- a/pkg/gateway/silent_links_test.go
+++ b/pkg/gateway/silent_links_test.go
@@ -27,43 +27,43 @@
 	"github.com/tidepost/tidepost/pkg/vm"
 )
 
-// linksPatience ends a test that waits for what does not come.
-const linksPatience = 20 * time.Second
+// linkTestTimeout ends a test that waits for what does not come.
+const linkTestTimeout = 20 * time.Second
 
-// silentLinks are links to stagers that can go silent: those that are open lose what
+// silencedLinks are links to stagers that can go silent: those that are open lose what
 // they carry, both ways. New ones work, unless the stagers are dead.
-type silentLinks struct {
+type silencedLinks struct {
 	silenced.Conns
-	mu    sync.Mutex
-	dials int
-	dead  bool
-	asked atomic.Int64 // questions that came to a stager
+	mu           sync.Mutex
+	dials        int
+	dialsHang    bool
+	reservations atomic.Int64 // questions that came to a stager
 }
 
 // silence silences every link that is open; dead stagers take no new ones.
-func (s *silentLinks) silence(dead bool) {
+func (s *silencedLinks) silence(dialsHang bool) {
 	s.mu.Lock()
-	s.dead = dead
+	s.dialsHang = dialsHang
 	s.mu.Unlock()
 	s.Silence()
 }
 
-// newLinked returns a gateway whose stagers are asked over links.
-func newLinked(t *testing.T) (*Gateway, *request, *silentLinks) {
+// newLinkedGateway returns a gateway whose stagers are asked over links.
+func newLinkedGateway(t *testing.T) (*Gateway, *request, *silencedLinks) {
 	t.Helper()
 	g, q := newReserving(t, &stagerStandIn{})
-	s := &silentLinks{}
+	s := &silencedLinks{}
 	stager := link.NewEndpoint(link.Config{
 		Own: vm.NewIdentity("stager", 1, "", "", ""), Clock: clocks.NewClock(time.Now), Logger: log.NewNopLogger(),
 		// Pings come too late to help, here and below.
 		KeepAlive: time.Hour, Unanswered: time.Hour,
 	})
 	stager.Handle(link.KindReserve, func(_ context.Context, stream *link.Stream) error {
-		var ask reservation.Ask
-		if err := stream.Receive(&ask); err != nil {
+		var request reservation.Ask
+		if err := stream.Receive(&request); err != nil {
 			return err
 		}
-		s.asked.Add(1)
+		s.reservations.Add(1)
 		return stream.Send(reservation.NewAnswer(true, 0, feed.NewLoad("menu", "", "menu", 1, 3, 0, 1, false, false)))
 	})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -77,10 +77,10 @@
 		KeepAlive: time.Hour, Unanswered: time.Hour,
 		Dial: func(ctx context.Context, _ string) (net.Conn, error) {
 			s.mu.Lock()
-			dead := s.dead
+			dialsHang := s.dialsHang
 			s.dials++
 			s.mu.Unlock()
-			if dead {
+			if dialsHang {
 				<-ctx.Done()
 				return nil, ctx.Err()
 			}
@@ -95,10 +95,10 @@
 	})
 	g.askStager = g.callStager
 	// All stagers are linked, as they are in a gateway that has served for a while.
-	late := time.Now().Add(linksPatience)
+	deadline := time.Now().Add(linkTestTimeout)
 	for _, b := range g.backends.of("menu") {
-		for !g.reserve(q, b, 0, time.Now().Add(linksPatience)).granted {
-			if time.Now().After(late) {
+		for !g.reserve(q, b, 0, time.Now().Add(linkTestTimeout)).granted {
+			if time.Now().After(deadline) {
 				t.Fatal("a stager that is well does not answer")
 			}
 			b.hearLoadNow(feed.NewLoad("menu", b.address, "menu", 1, 3, 0, 1, false, false))
@@ -110,8 +110,8 @@
 	return g, q, s
 }
 
-// tellLoads has the gateway hear of each engine, as it does from control nodes.
-func tellLoads(g *Gateway) {
+// reportFreeSlots has the gateway hear of each engine, as it does from control nodes.
+func reportFreeSlots(g *Gateway) {
 	// All demand comes here, so a share is all places.
 	g.demand.add(time.Now())
 	for _, b := range g.backends.of("menu") {
@@ -121,24 +121,24 @@
 
 // Every stager is asked again, twice in a row, and nobody is refused meanwhile.
 func TestStagersBehindSilentLinksAreAskedAgain(t *testing.T) {
-	g, q, s := newLinked(t)
+	g, q, s := newLinkedGateway(t)
 	for range 2 {
 		s.silence(false)
-		before, late := s.asked.Load(), time.Now().Add(linksPatience)
-		for s.asked.Load() == before {
-			if time.Now().After(late) {
-				t.Fatalf("no stager was asked within %s", linksPatience)
+		before, deadline := s.reservations.Load(), time.Now().Add(linkTestTimeout)
+		for s.reservations.Load() == before {
+			if time.Now().After(deadline) {
+				t.Fatalf("no stager was asked within %s", linkTestTimeout)
 			}
 			q.started, q.tried = time.Now(), map[*backend]bool{}
-			tellLoads(g)
+			reportFreeSlots(g)
 			if b, refused := g.pick(q); b == nil {
 				t.Fatalf("refused with %v while engines have places", refused)
 			}
 		}
 		for _, b := range g.backends.of("menu") {
-			for !b.mayBeAsked(time.Now()) || !g.reserve(q, b, 0, time.Now().Add(linksPatience)).granted {
-				if time.Now().After(late) {
-					t.Fatalf("%s is not asked within %s", b.address, linksPatience)
+			for !b.mayBeAsked(time.Now()) || !g.reserve(q, b, 0, time.Now().Add(linkTestTimeout)).granted {
+				if time.Now().After(deadline) {
+					t.Fatalf("%s is not asked within %s", b.address, linkTestTimeout)
 				}
 				<-time.After(5 * time.Millisecond)
 			}
@@ -148,11 +148,11 @@
 
 // A dead stager looks like one behind a silent link until no new connection to it
 // comes up. It is left alone for a while, and its engine is shared.
-func TestDeadStagersAreLeftAlone(t *testing.T) {
-	g, q, s := newLinked(t)
+func TestDeadStagersAreNotAskedAgain(t *testing.T) {
+	g, q, s := newLinkedGateway(t)
 	s.silence(true)
 	for _, b := range g.backends.of("menu") {
-		if o := g.reserve(q, b, 0, time.Now().Add(linksPatience)); !o.unanswered || b.mayBeAsked(time.Now()) {
+		if o := g.reserve(q, b, 0, time.Now().Add(linkTestTimeout)); !o.unanswered || b.mayBeAsked(time.Now()) {
 			t.Errorf("%s: %+v, asked again at once", b.address, o)
 		}
 	}
--- a/pkg/gateway/stall_test.go
+++ b/pkg/gateway/stall_test.go
@@ -10,8 +10,8 @@
 	"github.com/tidepost/tidepost/pkg/serviceconfig"
 )
 
-// newStalled is a stream under way at the first of two engines, without an event for a time.
-func newStalled(t *testing.T, silent time.Duration) (f *fixture, x *exchange) {
+// newStalledStream is a stream under way at the first of two engines, without an event for a time.
+func newStalledStream(t *testing.T, silent time.Duration) (f *fixture, x *exchange) {
 	t.Helper()
 	f = newFixture(t, serviceconfig.Stream, true)
 	f.gateway.index.Raise(engineDocument(t))
@@ -24,18 +24,18 @@
 	now := time.Now()
 	x = &exchange{gateway: f.gateway, request: q, backend: b, elsewhere: f.gateway.wantedFor(q), started: now.Add(-silent)}
 	x.watch = &watchdog{exchange: x}
-	x.listening = &listening{silences: &f.gateway.silences, exchange: x, made: x.started, sent: x.started, heard: x.started, due: leastSilence, spoke: true, flows: true}
+	x.listening = &attemptMonitor{detector: &f.gateway.silences, exchange: x, connectedAt: x.started, sentAt: x.started, lastReceived: x.started, silenceLimit: minSilence, received: true, streaming: true}
 	return f, x
 }
 
 // A stream without progress is left where it would begin elsewhere after its caller has given it
 // up, and where no other server has a free place: on such a move it was refused, and lost.
-func TestStalledStreamMovesOnlyWhereItsCallerGetsMore(t *testing.T) {
-	const stalled = gapPatience + lookAfter/2
+func TestStalledStreamMovesOnlyIfCallerBenefits(t *testing.T) {
+	const stalled = maxEventGap + watchdogInterval/2
 	for name, c := range map[string]struct {
-		silent, begins time.Duration
-		full           bool
-		moves          bool
+		silent, firstEvent time.Duration
+		full               bool
+		moves              bool
 	}{
 		"a free place":                {stalled, 50 * time.Millisecond, false, true},
 		"others are full":             {stalled, 50 * time.Millisecond, true, false},
@@ -43,9 +43,9 @@
 		"its caller should have left": {stalled + time.Second, 1500 * time.Millisecond, false, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f, x := newStalled(t, c.silent)
-			for range fewestValues {
-				f.gateway.silences.learn(usualKey{"menu", usualWait}, time.Now(), c.begins)
+			f, x := newStalledStream(t, c.silent)
+			for range minSamples {
+				f.gateway.silences.record(timingKey{"menu", timingWait}, time.Now(), c.firstEvent)
 			}
 			if c.full {
 				other := f.backend("i-other")
@@ -60,10 +60,10 @@
 
 // A stream without progress stays until a server has granted a place, and takes that one: moved by a
 // report alone it found all places taken.
-func TestStalledStreamMovesToTheGrantedPlace(t *testing.T) {
+func TestStalledStreamMovesToTheReservedSlot(t *testing.T) {
 	for name, granted := range map[string]bool{"granted": true, "refused": false} {
 		t.Run(name, func(t *testing.T) {
-			f, x := newStalled(t, gapPatience+lookAfter/2)
+			f, x := newStalledStream(t, maxEventGap+watchdogInterval/2)
 			asked := 0
 			f.gateway.askStager = func(context.Context, string, reservation.Ask) (reservation.Answer, error) {
 				asked++
@@ -85,34 +85,34 @@
 // Servers that become slow together look like connections that are silent everywhere. A stream
 // leaves its connection when a newer one to the same server is answered on, or after as long as one
 // that stalls: streams of slow servers were all sent anew at one moment, and found them full.
-func TestStreamLeavesSilenceEverywhereOnlyWhenProved(t *testing.T) {
-	const slow = 400 * time.Millisecond
+func TestStreamLeavesGlobalSilenceOnlyWithEvidence(t *testing.T) {
+	const slowEvent = 400 * time.Millisecond
 	for name, c := range map[string]struct {
-		silent  time.Duration
-		newer   bool // connections are there
-		answers bool // they are answered on
-		leaves  bool
+		silent      time.Duration
+		newer       bool // connections are there
+		answers     bool // they are answered on
+		interrupted bool
 	}{
-		"not proved":              {slow, false, false, false},
-		"proved by a newer one":   {slow, true, true, true},
-		"as long as one stalls":   {gapPatience + 3*leastSilence, false, false, true},
-		"newer ones wait as well": {gapPatience + 3*leastSilence, true, false, false},
+		"not proved":              {slowEvent, false, false, false},
+		"proved by a newer one":   {slowEvent, true, true, true},
+		"as long as one stalls":   {maxEventGap + 3*minSilence, false, false, true},
+		"newer ones wait as well": {maxEventGap + 3*minSilence, true, false, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f, x := newStalled(t, c.silent)
-			f.gateway.protocol.Patience = func(time.Duration, time.Duration) time.Duration { return 2 * gapPatience }
-			f.gateway.silences.learn(usualKey{"menu", usualWait}, time.Now(), leastSilence)
-			h := x.listening.hearing()
-			all := []hearing{h}
+			f, x := newStalledStream(t, c.silent)
+			f.gateway.protocol.Patience = func(time.Duration, time.Duration) time.Duration { return 2 * maxEventGap }
+			f.gateway.silences.record(timingKey{"menu", timingWait}, time.Now(), minSilence)
+			h := x.listening.snapshot()
+			all := []attemptSnapshot{h}
 			if c.newer {
 				newer := h
-				newer.made, newer.since = h.since.Add(leastSilence/2), h.since.Add(2*leastSilence)
-				newer.spoke, newer.flows = c.answers, c.answers
+				newer.connectedAt, newer.silentSince = h.silentSince.Add(minSilence/2), h.silentSince.Add(2*minSilence)
+				newer.received, newer.streaming = c.answers, c.answers
 				all = append(all, newer)
 			}
-			why := reasonOf(time.Now(), evidenceMany, h, all)
-			if leaves := x.mayInterrupt(why, stageStreaming, time.Now()); leaves != c.leaves {
-				t.Errorf("it leaves as %q: %t", why, leaves)
+			why := silenceReason(time.Now(), evidenceManyAddresses, h, all)
+			if interrupted := x.mayInterrupt(why, stageStreaming, time.Now()); interrupted != c.interrupted {
+				t.Errorf("it leaves as %q: %t", why, interrupted)
 			}
 		})
 	}
--- a/pkg/gateway/stop_test.go
+++ b/pkg/gateway/stop_test.go
@@ -98,9 +98,9 @@
 				answer = answerWith("200 OK", "whole")
 			}
 			f := newFixture(t, c.kind, c.kind == serviceconfig.Stream, newStandIn(t, "i-1", answer))
-			for range fewestValues {
+			for range minSamples {
 				if c.ofLate > 0 {
-					f.gateway.silences.learn(usualKey{"menu", usualRun}, time.Now(), c.ofLate)
+					f.gateway.silences.record(timingKey{"menu", timingRun}, time.Now(), c.ofLate)
 				}
 			}
 			f.stopping(c.since, c.left)
@@ -121,8 +121,8 @@
 	})
 	second := newStandIn(t, "i-2", wholeStream)
 	f = newFixture(t, serviceconfig.Stream, true, first, second)
-	for range fewestValues {
-		f.gateway.silences.learn(usualKey{"menu", usualRun}, time.Now(), time.Second)
+	for range minSamples {
+		f.gateway.silences.record(timingKey{"menu", timingRun}, time.Now(), time.Second)
 	}
 	if status, _, _, err := f.do(t, f.request(t, http.MethodPost, "a", "draft")); status != http.StatusBadGateway || err != nil {
 		t.Errorf("status %d, %v", status, err)
--- a/pkg/gateway/stream.go
+++ b/pkg/gateway/stream.go
@@ -26,15 +26,15 @@
 			return x.streamBroken(err)
 		}
 		if pace.count == 0 {
-			x.watch.flows()
+			x.watch.startStreaming()
 			x.backend.begun(x.began, true)
 			x.backend.less(q.prefill)
 			defer x.backend.less(-q.prefill)
 		} else {
-			x.watch.progress()
+			x.watch.recordProgress()
 		}
 		pace.saw()
-		x.listening.event(time.Now())
+		x.listening.receivedEvent(time.Now())
 		q.sawEvents(time.Now())
 		if err := q.passOn(answer, events); err != nil {
 			x.conn.Abort()
@@ -63,7 +63,7 @@
 }
 
 func (x *exchange) streamBroken(err error) bool {
-	if x.watch.barked.Load() {
+	if x.watch.fired.Load() {
 		return x.broken("the stream stood still", nil)
 	}
 	return x.broken("the stream broke off", err)
--- a/pkg/gateway/stream_callers_test.go
+++ b/pkg/gateway/stream_callers_test.go
@@ -16,79 +16,79 @@
 )
 
 const (
-	// callerWaits is a caller's deadline.
-	callerWaits = 6 * time.Second
+	// callerTimeout is a caller's deadline.
+	callerTimeout = 6 * time.Second
 	// callerPause lies between two requests of a caller.
 	callerPause = 200 * time.Millisecond
-	// endNear is how early before a deadline an end counts as due to it.
-	endNear = 100 * time.Millisecond
+	// deadlineTolerance is how early before a deadline an end counts as due to it.
+	deadlineTolerance = 100 * time.Millisecond
 )
 
-// virtualAsk is one request of a caller.
-type virtualAsk struct {
-	id      string
-	sent    time.Time
-	last    int // event
-	gateway *Gateway
-	mu      sync.Mutex
-	header  http.Header
-	status  int
-	body    bytes.Buffer
-	isOver  bool
-	whole   bool
-	endedAt time.Time
+// simRequest is one request of a caller.
+type simRequest struct {
+	id        string
+	sentAt    time.Time
+	lastEvent int // event
+	gateway   *Gateway
+	mu        sync.Mutex
+	header    http.Header
+	status    int
+	body      bytes.Buffer
+	ended     bool
+	complete  bool
+	endedAt   time.Time
 }
 
-func (a *virtualAsk) Header() http.Header { return a.header }
+func (a *simRequest) Header() http.Header { return a.header }
 
-func (a *virtualAsk) WriteHeader(status int) {
+func (a *simRequest) WriteHeader(status int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.status = status
 }
 
-func (a *virtualAsk) Write(b []byte) (int, error) {
+func (a *simRequest) Write(b []byte) (int, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.body.Write(b)
 }
 
 // Flush is there since streams are flushed.
-func (a *virtualAsk) Flush() {}
+func (a *simRequest) Flush() {}
 
-// waits tells whether the caller still waits.
-func (a *virtualAsk) waits() bool {
+// isWaiting tells whether the caller still waits.
+func (a *simRequest) isWaiting() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return !a.isOver && time.Since(a.sent) < callerWaits-endNear
+	return !a.ended && time.Since(a.sentAt) < callerTimeout-deadlineTolerance
 }
 
 // deadline is until when the caller waits.
-func (a *virtualAsk) deadline() time.Time { return a.sent.Add(callerWaits) }
+func (a *simRequest) deadline() time.Time { return a.sentAt.Add(callerTimeout) }
 
 // caller sends one request after the other to a gateway until the context ends.
-func (w *streamWorld) caller(ctx context.Context, m *streamGateway, name string) {
-	time.Sleep(w.between(0, time.Second))
+func (w *streamSim) caller(ctx context.Context, member *simGateway, name string) {
+	time.Sleep(w.randomDuration(0, time.Second))
 	for i := 0; ctx.Err() == nil; i++ {
-		w.ask(m, fmt.Sprintf("%s-%d", name, i))
+		w.send(member, fmt.Sprintf("%s-%d", name, i))
 		time.Sleep(callerPause)
 	}
 }
 
-// ask sends one request, and notes what became of it.
-func (w *streamWorld) ask(m *streamGateway, id string) {
-	prompt, tokens := int(w.between(100, 3880)), int(w.between(40, 480))
-	ctx, cancel := context.WithTimeout(context.Background(), callerWaits)
+// send sends one request, and notes what became of it.
+func (w *streamSim) send(m *simGateway, id string) {
+	prompt, tokens := int(w.randomDuration(100, 3880)), int(w.randomDuration(40, 480))
+	ctx, cancel := context.WithTimeout(context.Background(), callerTimeout)
 	defer cancel()
 	r := httptest.NewRequestWithContext(ctx, http.MethodPost, "http://menus.example/draft/x", strings.NewReader("draft"))
 	r.Header.Set(headerID, id)
 	r.Header.Set(headerKey, "k1")
 	r.Header.Set(headerModel, "menu")
-	r.Header.Set(headerDeadline, fmt.Sprint(callerWaits.Milliseconds()))
+	r.Header.Set(headerDeadline, fmt.Sprint(callerTimeout.Milliseconds()))
 	r.Header.Set(headerTokens, fmt.Sprintf("%d,%d", prompt, tokens))
-	a := &virtualAsk{id: id, sent: time.Now(), last: eventsOfTokens(tokens), gateway: m.process(), header: http.Header{}}
+	a := &simRequest{id: id, sentAt: time.Now(), lastEvent: eventsOfTokens(tokens), gateway: m.process(), header: http.Header{}}
 	w.mu.Lock()
-	w.asks[id] = a
+	w.requests[id] = a
 	w.mu.Unlock()
 	func() {
 		defer func() {
@@ -98,39 +98,39 @@
 		}()
 		a.gateway.ServeHTTP(a, r)
 	}()
-	w.judge(a)
+	w.classify(a)
 }
 
-func (w *streamWorld) askOf(id string) *virtualAsk {
+func (w *streamSim) requestOf(id string) *simRequest {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.asks[id]
+	return w.requests[id]
 }
 
-// judge counts how a request ended.
-func (w *streamWorld) judge(a *virtualAsk) {
+// classify counts how a request ended.
+func (w *streamSim) classify(a *simRequest) {
 	a.mu.Lock()
-	a.isOver, a.endedAt = true, time.Now()
-	a.whole = a.body.String() == events(1, a.last)
+	a.ended, a.endedAt = true, time.Now()
+	a.complete = a.body.String() == events(1, a.lastEvent)
 	a.mu.Unlock()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	v := &w.verdict
-	v.asked++
+	v := &w.result
+	v.sent++
 	switch {
-	case a.whole:
-		v.whole++
-	case !a.endedAt.Before(a.deadline().Add(-endNear)):
+	case a.complete:
+		v.complete++
+	case !a.endedAt.Before(a.deadline().Add(-deadlineTolerance)):
 		v.late++
 	case a.status != http.StatusOK:
 		v.refused++
 	case a.gateway.stop.isOver():
 	default:
-		v.lost = append(v.lost, w.line(a))
+		v.lost = append(v.lost, w.describe(a))
 	}
 }
 
-// line is what a finding says of a request, for whoever holds the lock.
-func (w *streamWorld) line(a *virtualAsk) string {
-	return fmt.Sprintf("%s sent at %s, now %s", a.id, a.sent.Sub(w.started).Round(time.Millisecond), time.Since(w.started).Round(time.Millisecond))
+// describe is what a finding says of a request, for whoever holds the lock.
+func (w *streamSim) describe(a *simRequest) string {
+	return fmt.Sprintf("%s sent at %s, now %s", a.id, a.sentAt.Sub(w.started).Round(time.Millisecond), time.Since(w.started).Round(time.Millisecond))
 }
--- a/pkg/gateway/stream_engine_test.go
+++ b/pkg/gateway/stream_engine_test.go
@@ -23,68 +23,68 @@
 )
 
 const (
-	// engineWaiting is how many requests an engine queues.
-	engineWaiting = 6
-	// engineLoads is how long an engine takes to load weights.
-	engineLoads = 400 * time.Millisecond
-	// withdrawLasts and withdrawPlaces bound the wait before an order cuts what runs.
-	withdrawLasts  = 3 * time.Second
-	withdrawPlaces = 0.2
+	// engineQueueSize is how many requests an engine queues.
+	engineQueueSize = 6
+	// engineLoadTime is how long an engine takes to load weights.
+	engineLoadTime = 400 * time.Millisecond
+	// withdrawTimeout and withdrawPlaces bound the wait before an order cuts what runs.
+	withdrawTimeout   = 3 * time.Second
+	withdrawOccupancy = 0.2
 	// headerTokens is the prompt and the answer of a request, in tokens.
 	headerTokens = "X-Test-Tokens"
 )
 
-// fleetEngine is what the configuration says of the engines.
-var fleetEngine = serviceconfig.NewEngine(12, []string{"menu"}, 1, 96, 24576, 9270*time.Microsecond, 23*time.Microsecond, 20700, 800, 80, 0, 5)
+// simEngineConfig is what the configuration says of the engines.
+var simEngineConfig = serviceconfig.NewEngine(12, []string{"menu"}, 1, 96, 24576, 9270*time.Microsecond, 23*time.Microsecond, 20700, 800, 80, 0, 5)
 
-// virtualRun is one request at an engine.
-type virtualRun struct {
-	ask        *virtualAsk
-	prompt     int
-	first      int // event
-	next, last int
-	until      time.Time // its deadline
-	events     chan int
-	hasLeft    atomic.Bool // its connection has closed
-	hasBegun   bool
-	isOver     atomic.Bool // the engine has ended it
-	ending     *sync.Once
+// simRun is one request at an engine.
+type simRun struct {
+	request              *simRequest
+	prompt               int
+	firstEvent           int // event
+	nextEvent, lastEvent int
+	deadline             time.Time // its deadline
+	events               chan int
+	disconnected         atomic.Bool // its connection has closed
+	started              bool
+	ended                atomic.Bool // the engine has ended it
+	endOnce              *sync.Once
 }
 
 // end ends the run without a whole answer.
-func (r *virtualRun) end() {
-	r.ending.Do(func() {
-		r.isOver.Store(true)
+func (r *simRun) end() {
+	r.endOnce.Do(func() {
+		r.ended.Store(true)
 		close(r.events)
 	})
 }
 
-// virtualEngine is one engine, and the stager beside it.
-type virtualEngine struct {
-	world           *streamWorld
+// simEngine is one engine, and the stager beside it.
+type simEngine struct {
+	sim             *streamSim
 	address, domain string
-	book            reservation.Book
+	reservations    reservation.Book
 	wake            chan struct{}
 
-	mu          sync.Mutex
-	version     uint64
-	withdrawn   bool
-	pace        float64
-	stillUntil  time.Time
-	stoodStill  time.Time     // when it stood still last
-	linkDelay   time.Duration // of requests and resets, behind chunks; 0 where there are none
-	queued, own []*virtualRun
+	mu              sync.Mutex
+	version         uint64
+	withdrawn       bool
+	slowdown        float64
+	stalledUntil    time.Time
+	lastStall       time.Time     // when it stood still last
+	linkDelay       time.Duration // of requests and resets, behind chunks; 0 where there are none
+	queued, running []*simRun
 }
 
-func newVirtualEngine(w *streamWorld, i int) *virtualEngine {
-	return &virtualEngine{
-		world: w, address: fmt.Sprintf("127.9.%d.%d:9000", i/200, i%200+1), domain: fmt.Sprintf("hall-%c", 'a'+i%3),
-		wake: make(chan struct{}, 1), version: 1, pace: 1,
+func newSimEngine(w *streamSim, i int) *simEngine {
+	return &simEngine{
+		sim: w, address: fmt.Sprintf("127.9.%d.%d:9000", i/200, i%200+1), domain: fmt.Sprintf("hall-%c", 'a'+i%3),
+		wake: make(chan struct{}, 1), version: 1, slowdown: 1,
 	}
 }
 
 // run works in passes until the context ends.
-func (e *virtualEngine) run(ctx context.Context) {
+func (e *simEngine) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		took := e.beginPass()
 		if took == 0 {
@@ -95,144 +95,144 @@
 			continue
 		}
 		time.Sleep(took)
-		for still := e.standsStill(); still > 0; still = e.standsStill() {
+		for still := e.stalledFor(); still > 0; still = e.stalledFor() {
 			time.Sleep(still)
 		}
 		e.endPass()
 	}
-	e.cut()
+	e.abortAll()
 }
 
-func (e *virtualEngine) standsStill() time.Duration {
+func (e *simEngine) stalledFor() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return time.Until(e.stillUntil)
+	return time.Until(e.stalledUntil)
 }
 
 // beginPass takes in those that wait, and returns how long the pass takes; 0 for no work.
-func (e *virtualEngine) beginPass() time.Duration {
+func (e *simEngine) beginPass() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.dropOver()
-	var reads time.Duration
-	for len(e.queued) > 0 && len(e.own) < fleetEngine.Slots() {
+	e.dropEnded()
+	var readTime time.Duration
+	for len(e.queued) > 0 && len(e.running) < simEngineConfig.Slots() {
 		r := e.queued[0]
 		e.queued = e.queued[1:]
-		reads += fleetEngine.Reading(r.prompt)
-		e.own = append(e.own, r)
-		r.hasBegun = true
-		e.world.begins(r, e.version)
+		readTime += simEngineConfig.Reading(r.prompt)
+		e.running = append(e.running, r)
+		r.started = true
+		e.sim.runStarted(r, e.version)
 	}
-	if len(e.own) == 0 {
+	if len(e.running) == 0 {
 		return 0
 	}
-	step := fleetEngine.Step() + time.Duration(len(e.own))*fleetEngine.PerSequence()
-	return time.Duration(e.pace * float64(time.Duration(fleetEngine.Stride())*step+reads))
+	step := simEngineConfig.Step() + time.Duration(len(e.running))*simEngineConfig.PerSequence()
+	return time.Duration(e.slowdown * float64(time.Duration(simEngineConfig.Stride())*step+readTime))
 }
 
 // endPass writes one event for each request that runs.
-func (e *virtualEngine) endPass() {
+func (e *simEngine) endPass() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.dropOver()
-	var still []*virtualRun
-	for _, r := range e.own {
-		r.events <- r.next
-		r.next++
-		if r.next > r.last {
+	e.dropEnded()
+	var still []*simRun
+	for _, r := range e.running {
+		r.events <- r.nextEvent
+		r.nextEvent++
+		if r.nextEvent > r.lastEvent {
 			r.end()
 			continue
 		}
 		still = append(still, r)
 	}
-	e.own = still
+	e.running = still
 }
 
-// dropOver drops requests whose caller has left or whose deadline has passed.
-func (e *virtualEngine) dropOver() {
+// dropEnded drops requests whose caller has left or whose deadline has passed.
+func (e *simEngine) dropEnded() {
 	now := time.Now()
-	kept := func(all []*virtualRun) (rest []*virtualRun) {
+	kept := func(all []*simRun) (rest []*simRun) {
 		for _, r := range all {
-			if !r.hasLeft.Load() && now.Before(r.until) {
+			if !r.disconnected.Load() && now.Before(r.deadline) {
 				rest = append(rest, r)
 				continue
 			}
-			if r.hasBegun && !r.hasLeft.Load() {
-				e.world.endsByDeadline(r)
+			if r.started && !r.disconnected.Load() {
+				e.sim.runHitDeadline(r)
 			}
 			r.end()
 		}
 		return rest
 	}
-	e.queued, e.own = kept(e.queued), kept(e.own)
+	e.queued, e.running = kept(e.queued), kept(e.running)
 }
 
-// cut breaks off all requests.
-func (e *virtualEngine) cut() {
+// abortAll breaks off all requests.
+func (e *simEngine) abortAll() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for _, r := range append(e.queued, e.own...) {
+	for _, r := range append(e.queued, e.running...) {
 		r.end()
 	}
-	e.queued, e.own = nil, nil
+	e.queued, e.running = nil, nil
 }
 
-// order has the engine take a version: it takes nothing new, lets most of what runs end, and
+// loadVersion has the engine take a version: it takes nothing new, lets most of what runs end, and
 // loads the weights.
-func (e *virtualEngine) order(version uint64) {
+func (e *simEngine) loadVersion(version uint64) {
 	e.set(func() { e.withdrawn = true })
-	e.world.reportLoads(e)
-	for began := time.Now(); time.Since(began) < withdrawLasts; time.Sleep(40 * time.Millisecond) {
-		if running, queued := e.counts(); float64(running+queued) <= withdrawPlaces*float64(fleetEngine.Slots()) {
+	e.sim.reportLoads(e)
+	for began := time.Now(); time.Since(began) < withdrawTimeout; time.Sleep(40 * time.Millisecond) {
+		if running, queued := e.requestCounts(); float64(running+queued) <= withdrawOccupancy*float64(simEngineConfig.Slots()) {
 			break
 		}
 	}
-	e.cut()
-	time.Sleep(engineLoads)
+	e.abortAll()
+	time.Sleep(engineLoadTime)
 	e.set(func() { e.withdrawn, e.version = false, version })
-	e.world.reportLoads(e)
+	e.sim.reportLoads(e)
 }
 
-func (e *virtualEngine) set(do func()) {
+func (e *simEngine) set(do func()) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	do()
 }
 
-// counts returns how many requests run and how many wait.
-func (e *virtualEngine) counts() (running, queued int) {
+// requestCounts returns how many requests run and how many wait.
+func (e *simEngine) requestCounts() (running, queued int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return len(e.own), len(e.queued)
+	return len(e.running), len(e.queued)
 }
 
 // load is what the stager reports.
-func (e *virtualEngine) load() feed.Load {
-	running, queued := e.counts()
+func (e *simEngine) load() feed.Load {
+	running, queued := e.requestCounts()
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return feed.NewLoad("menu", e.address, "menu", e.version, running, queued, 1, e.withdrawn, e.linkDelay > 0)
 }
 
-// answerPlace is the stager's answer to a request for a place.
-func (e *virtualEngine) answerPlace(a reservation.Ask) reservation.Answer {
+// answerReservation is the stager's answer to a request for a place.
+func (e *simEngine) answerReservation(a reservation.Ask) reservation.Answer {
 	l := e.load()
 	if l.Busy() {
 		return reservation.NewAnswer(false, time.Second, l)
 	}
-	granted, begins, _ := e.book.Decide(time.Now(), fleetEngine, reservation.Work{Running: l.Running(), Queued: l.Queued(), Pace: 1}, a)
+	granted, begins, _ := e.reservations.Decide(time.Now(), simEngineConfig, reservation.Work{Running: l.Running(), Queued: l.Queued(), Pace: 1}, a)
 	return reservation.NewAnswer(granted, begins, l)
 }
 
 // dial makes a connection to the engine.
-func (e *virtualEngine) dial(context.Context, string, string) (net.Conn, error) {
-	here, there := net.Pipe()
-	go e.serve(there)
-	return here, nil
+func (e *simEngine) dial(context.Context, string, string) (net.Conn, error) {
+	clientSide, serverSide := net.Pipe()
+	go e.serve(serverSide)
+	return clientSide, nil
 }
 
 // serve answers the requests of one connection.
-func (e *virtualEngine) serve(conn net.Conn) {
+func (e *simEngine) serve(conn net.Conn) {
 	defer conn.Close()
 	reader := bufio.NewReader(conn)
 	for {
@@ -242,56 +242,56 @@
 		}
 		_, _ = io.Copy(io.Discard, request.Body)
 		time.Sleep(e.delay())
-		r := e.take(request)
-		read := make(chan struct{})
+		r := e.enqueue(request)
+		disconnected := make(chan struct{})
 		go func() {
-			defer close(read)
+			defer close(disconnected)
 			if _, err := reader.Peek(1); err != nil {
 				time.Sleep(e.delay())
-				e.leave(r)
+				e.disconnect(r)
 			}
 		}()
 		if !e.answer(conn, request, r) {
 			return
 		}
-		<-read
+		<-disconnected
 	}
 }
 
-func (e *virtualEngine) delay() time.Duration {
+func (e *simEngine) delay() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.linkDelay
 }
 
-// leave notes that the connection of a run has closed.
-func (e *virtualEngine) leave(r *virtualRun) {
+// disconnect notes that the connection of a run has closed.
+func (e *simEngine) disconnect(r *simRun) {
 	if r == nil {
 		return
 	}
-	r.hasLeft.Store(true)
+	r.disconnected.Store(true)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if r.next > r.first && !r.isOver.Load() {
-		e.world.interrupted(r, e.stoodStill)
+	if r.nextEvent > r.firstEvent && !r.ended.Load() {
+		e.sim.runInterrupted(r, e.lastStall)
 	}
 }
 
-// take queues a request; nil where the engine takes none.
-func (e *virtualEngine) take(request *http.Request) *virtualRun {
+// enqueue queues a request; nil where the engine takes none.
+func (e *simEngine) enqueue(request *http.Request) *simRun {
 	h := request.Header
 	var prompt, tokens int
 	_, _ = fmt.Sscanf(h.Get(headerTokens), "%d,%d", &prompt, &tokens)
 	left, _ := strconv.Atoi(h.Get(headerDeadline))
 	after, _ := strconv.Atoi(h.Get(headerLastEvent))
 	last := eventsOfTokens(tokens)
-	r := &virtualRun{
-		ask: e.world.askOf(h.Get(headerID)), prompt: prompt, first: after + 1, next: after + 1, last: last, ending: &sync.Once{},
-		until: time.Now().Add(time.Duration(left) * time.Millisecond), events: make(chan int, max(last-after, 0)),
+	r := &simRun{
+		request: e.sim.requestOf(h.Get(headerID)), prompt: prompt, firstEvent: after + 1, nextEvent: after + 1, lastEvent: last, endOnce: &sync.Once{},
+		deadline: time.Now().Add(time.Duration(left) * time.Millisecond), events: make(chan int, max(last-after, 0)),
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.withdrawn || len(e.queued) >= engineWaiting {
+	if e.withdrawn || len(e.queued) >= engineQueueSize {
 		return nil
 	}
 	e.queued = append(e.queued, r)
@@ -304,11 +304,11 @@
 
 // eventsOfTokens is how many events an answer has.
 func eventsOfTokens(tokens int) int {
-	return (tokens + fleetEngine.Stride() - 1) / fleetEngine.Stride()
+	return (tokens + simEngineConfig.Stride() - 1) / simEngineConfig.Stride()
 }
 
 // answer writes the answer of a run, and tells whether the connection is kept.
-func (e *virtualEngine) answer(conn net.Conn, request *http.Request, r *virtualRun) (keep bool) {
+func (e *simEngine) answer(conn net.Conn, request *http.Request, r *simRun) (keep bool) {
 	w := bufio.NewWriter(conn)
 	if r == nil {
 		writeAnswer(w, request, "503 Service Unavailable", headerNotRun+": 1\r\n", "full")
@@ -324,11 +324,11 @@
 		writeChunk(w, event(number))
 	}
 	switch {
-	case r.next > r.last:
+	case r.nextEvent > r.lastEvent:
 		_, _ = w.WriteString("0\r\n\r\n")
 	case begun:
 		return false
-	case time.Now().Before(r.until):
+	case time.Now().Before(r.deadline):
 		writeAnswer(w, request, "503 Service Unavailable", headerNotRun+": 1\r\n", "withdrawn")
 	default:
 		writeAnswer(w, request, "503 Service Unavailable", headerNotRun+": 1\r\n", "late")
--- a/pkg/gateway/stream_fleet_test.go
+++ b/pkg/gateway/stream_fleet_test.go
@@ -14,17 +14,17 @@
 var streamScenarios = []struct {
 	name  string
 	seeds int // that are played where none are asked for
-	streamScenario
+	simScenario
 }{
-	{"2 gateways, slow engines", 3, streamScenario{gateways: 2, engines: 3, load: 0.7, slow: 3, lasts: 25 * time.Second}},
-	{"4 gateways, slow engines, stops", 3, streamScenario{gateways: 4, engines: 5, load: 0.7, slow: 4, stops: true, lasts: 25 * time.Second}},
-	{"4 gateways, links full of chunks", 3, streamScenario{gateways: 4, engines: 5, load: 0.6, slow: 3, chunks: 600 * time.Millisecond, lasts: 25 * time.Second}},
-	{"4 gateways, stalls, stops", 3, streamScenario{gateways: 4, engines: 6, load: 0.6, slow: 3, stalls: true, stops: true, lasts: 25 * time.Second}},
-	{"149 gateways", 1, streamScenario{gateways: 149, engines: 60, load: 0.6, slow: 3, chunks: 300 * time.Millisecond, lasts: 14 * time.Second}},
+	{"2 gateways, slow engines", 3, simScenario{gateways: 2, engines: 3, load: 0.7, slowFactor: 3, duration: 25 * time.Second}},
+	{"4 gateways, slow engines, stops", 3, simScenario{gateways: 4, engines: 5, load: 0.7, slowFactor: 4, stops: true, duration: 25 * time.Second}},
+	{"4 gateways, links full of chunks", 3, simScenario{gateways: 4, engines: 5, load: 0.6, slowFactor: 3, chunkDelay: 600 * time.Millisecond, duration: 25 * time.Second}},
+	{"4 gateways, stalls, stops", 3, simScenario{gateways: 4, engines: 6, load: 0.6, slowFactor: 3, stalls: true, stops: true, duration: 25 * time.Second}},
+	{"149 gateways", 1, simScenario{gateways: 149, engines: 60, load: 0.6, slowFactor: 3, chunkDelay: 300 * time.Millisecond, duration: 14 * time.Second}},
 }
 
-// seeds returns the seeds to play: some, or as many as TIDEPOST_SEEDS says.
-func seeds(t *testing.T, usual int) (all []uint64) {
+// seedsToRun returns the seeds to play: some, or as many as TIDEPOST_SEEDS says.
+func seedsToRun(t *testing.T, count int) (all []uint64) {
 	t.Helper()
 	from := uint64(1)
 	if text := os.Getenv("TIDEPOST_SEEDS"); text != "" {
@@ -32,7 +32,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		usual = n
+		count = n
 	}
 	if text := os.Getenv("TIDEPOST_SEED"); text != "" {
 		n, err := strconv.ParseUint(text, 10, 64)
@@ -41,7 +41,7 @@
 		}
 		from = n
 	}
-	for i := range usual {
+	for i := range count {
 		all = append(all, from+uint64(i))
 	}
 	return all
@@ -50,36 +50,36 @@
 // A stream that has begun is not ended by a deadline that its gateway set, and none begins on a
 // version whose time is over: not behind slow engines, late orders, stalls or links full of chunks.
 func TestNoDeadlineOfAGatewayEndsAStream(t *testing.T) {
-	eachWorld(t, func(t *testing.T, w *streamWorld, v *streamVerdict) {
+	eachScenario(t, func(t *testing.T, w *streamSim, v *simResult) {
 		w.report(t, "ended by a deadline", v.byDeadline)
-		w.report(t, "begun late", v.begunLate)
+		w.report(t, "begun late", v.startedLate)
 	})
 }
 
-// eachWorld plays each scenario with its seeds.
-func eachWorld(t *testing.T, check func(t *testing.T, w *streamWorld, v *streamVerdict)) {
+// eachScenario plays each scenario with its seeds.
+func eachScenario(t *testing.T, check func(t *testing.T, w *streamSim, v *simResult)) {
 	for _, s := range streamScenarios {
 		t.Run(s.name, func(t *testing.T) {
-			for _, seed := range seeds(t, s.seeds) {
-				w, v := playStreams(t, seed, s.streamScenario)
+			for _, seed := range seedsToRun(t, s.seeds) {
+				w, v := runStreamSim(t, seed, s.simScenario)
 				check(t, w, v)
 			}
 		})
 	}
 }
 
-// playStreams plays one world in a bubble.
-func playStreams(t *testing.T, seed uint64, s streamScenario) (w *streamWorld, v *streamVerdict) {
+// runStreamSim plays one world in a bubble.
+func runStreamSim(t *testing.T, seed uint64, s simScenario) (w *streamSim, v *simResult) {
 	t.Helper()
-	w = newStreamWorld(t, seed, s)
-	synctest.Test(t, func(*testing.T) { v = w.play() })
+	w = newStreamSim(t, seed, s)
+	synctest.Test(t, func(*testing.T) { v = w.run() })
 	t.Logf("seed %d: asked %d, whole %d, late %d, refused %d, lost %d, ended by a deadline %d, interrupted %d, begun late %d; counted %v",
-		seed, v.asked, v.whole, v.late, v.refused, len(v.lost), len(v.byDeadline), len(v.interrupted), len(v.begunLate), v.byReason)
+		seed, v.sent, v.complete, v.late, v.refused, len(v.lost), len(v.byDeadline), len(v.interrupted), len(v.startedLate), v.interruptions)
 	return w, v
 }
 
 // report fails for each finding of a kind.
-func (w *streamWorld) report(t *testing.T, kind string, findings []string) {
+func (w *streamSim) report(t *testing.T, kind string, findings []string) {
 	t.Helper()
 	for _, line := range findings {
 		t.Errorf("seed %d: %s: %s\n%s", w.seed, kind, line, w.logsOf(line))
@@ -87,7 +87,7 @@
 }
 
 // logsOf returns the gateways' lines on the request of a finding.
-func (w *streamWorld) logsOf(finding string) string {
+func (w *streamSim) logsOf(finding string) string {
 	id, _, _ := strings.Cut(finding, " ")
 	var lines []string
 	for _, m := range w.members {
--- a/pkg/gateway/usual.go
+++ b/pkg/gateway/usual.go
@@ -12,43 +12,43 @@
 import "time"
 
 const (
-	// usualLife is for how long a time counts at least, and twice as long at most.
-	usualLife = 10 * time.Second
-	// fewestValues have to be known before there is a bound.
-	fewestValues = 8
+	// sampleWindow is for how long a time counts at least, and twice as long at most.
+	sampleWindow = 10 * time.Second
+	// minSamples have to be known before there is a bound.
+	minSamples = 8
 )
 
-// usual learns what times are usual. The zero value has learned nothing.
-type usual struct {
-	now, before period
+// recentMax learns what times are usual. The zero value has learned nothing.
+type recentMax struct {
+	current, previous samplePeriod
 }
 
-// period is what was seen in one usualLife.
-type period struct {
-	began   time.Time
+// samplePeriod is what was seen in one usualLife.
+type samplePeriod struct {
+	start   time.Time
 	longest time.Duration
-	values  int
+	samples int
 }
 
-// saw learns from a time.
-func (u *usual) saw(now time.Time, took time.Duration) {
-	u.turn(now)
-	u.now.longest = max(u.now.longest, took)
-	u.now.values++
+// observe learns from a time.
+func (u *recentMax) observe(now time.Time, took time.Duration) {
+	u.rotate(now)
+	u.current.longest = max(u.current.longest, took)
+	u.current.samples++
 }
 
-// turn begins a new period when it is time.
-func (u *usual) turn(now time.Time) {
-	switch since := now.Sub(u.now.began); {
-	case since > 2*usualLife:
-		u.now, u.before = period{began: now}, period{}
-	case since > usualLife:
-		u.now, u.before = period{began: now}, u.now
+// rotate begins a new period when it is time.
+func (u *recentMax) rotate(now time.Time) {
+	switch since := now.Sub(u.current.start); {
+	case since > 2*sampleWindow:
+		u.current, u.previous = samplePeriod{start: now}, samplePeriod{}
+	case since > sampleWindow:
+		u.current, u.previous = samplePeriod{start: now}, u.current
 	}
 }
 
 // longest returns the longest time of late; false where too few are known.
-func (u *usual) longest(now time.Time) (time.Duration, bool) {
-	u.turn(now)
-	return max(u.now.longest, u.before.longest), u.now.values+u.before.values >= fewestValues
+func (u *recentMax) longest(now time.Time) (time.Duration, bool) {
+	u.rotate(now)
+	return max(u.current.longest, u.previous.longest), u.current.samples+u.previous.samples >= minSamples
 }
--- a/pkg/gateway/watchdog.go
+++ b/pkg/gateway/watchdog.go
@@ -18,41 +18,41 @@
 )
 
 const (
-	// lookAfter is the time between looks.
-	lookAfter = 500 * time.Millisecond
-	// silentAfter is for how long a backend server may be silent to everybody.
-	silentAfter = time.Second
-	// patience is for how long an attempt may be silent at the most.
-	patience = 2 * time.Second
-	// gapPatience is the same between two events, and leaveWithin how much of its caller's
+	// watchdogInterval is the time between looks.
+	watchdogInterval = 500 * time.Millisecond
+	// backendSilenceLimit is for how long a backend server may be silent to everybody.
+	backendSilenceLimit = time.Second
+	// maxAttemptSilence is for how long an attempt may be silent at the most.
+	maxAttemptSilence = 2 * time.Second
+	// maxEventGap is the same between two events, and leaveWithin how much of its caller's
 	// patience is left when a stream goes on elsewhere.
-	gapPatience = 1200 * time.Millisecond
-	leaveWithin = 2 * goesOnWithin
+	maxEventGap  = 1200 * time.Millisecond
+	resumeMargin = 2 * goesOnWithin
 )
 
 type watchdog struct {
-	exchange *exchange
-	timer    *time.Timer  // nil where the request may not run again
-	last     atomic.Int64 // of this attempt, since its start
-	flowing  atomic.Bool  // events come
-	barked   atomic.Bool
-	served   uint64       // the version there when the request was sent
-	lapsed   atomic.Bool  // it was taken back for its version
-	lateBy   atomic.Int64 // and how late, in nanoseconds: for the log
-
-	looking chan struct{} // holds a value during a look, so that none is under way once it is over
-	over    bool          // the connection is not the attempt's any more
-	due     time.Time     // when the look should come that is set; one brought forward is early
+	exchange      *exchange
+	timer         *time.Timer  // nil where the request may not run again
+	lastProgress  atomic.Int64 // of this attempt, since its start
+	streaming     atomic.Bool  // events come
+	fired         atomic.Bool
+	servedVersion uint64       // the version there when the request was sent
+	lapsed        atomic.Bool  // it was taken back for its version
+	lateBy        atomic.Int64 // and how late, in nanoseconds: for the log
+
+	checking  chan struct{} // holds a value during a look, so that none is under way once it is over
+	stopped   bool          // the connection is not the attempt's any more
+	nextCheck time.Time     // when the look should come that is set; one brought forward is early
 }
 
 func newWatchdog(x *exchange) *watchdog {
-	w := &watchdog{exchange: x, served: x.request.lapse.served, looking: make(chan struct{}, 1)}
+	w := &watchdog{exchange: x, servedVersion: x.request.lapse.served, checking: make(chan struct{}, 1)}
 	if !x.request.route.Idempotent() {
 		return w
 	}
 	// It must be there before the first look, which sets it again.
-	w.timer = time.AfterFunc(time.Hour, w.look)
-	w.lookLater()
+	w.timer = time.AfterFunc(time.Hour, w.check)
+	w.scheduleCheck()
 	x.gateway.waiting.add(w)
 	return w
 }
@@ -63,70 +63,70 @@
 		return
 	}
 	w.exchange.gateway.waiting.remove(w)
-	w.looking <- struct{}{}
-	defer func() { <-w.looking }()
-	w.over = true
+	w.checking <- struct{}{}
+	defer func() { <-w.checking }()
+	w.stopped = true
 	w.timer.Stop()
 }
 
-// untilLook is the time to the next look: none misses the moment at which the attempt is
+// untilNextCheck is the time to the next look: none misses the moment at which the attempt is
 // taken back, and what is heard of a version counts from the next one on.
-func (w *watchdog) untilLook() time.Duration {
+func (w *watchdog) untilNextCheck() time.Duration {
 	left, lapses := w.untilTakenBack()
-	if !lapses || w.flowing.Load() {
-		return lookAfter
+	if !lapses || w.streaming.Load() {
+		return watchdogInterval
 	}
-	return max(0, min(left, lookAfter))
+	return max(0, min(left, watchdogInterval))
 }
 
-// lookLater sets the next look. It is called by a look, or before there is one.
-func (w *watchdog) lookLater() {
-	until := w.untilLook()
-	w.due = time.Now().Add(until)
+// scheduleCheck sets the next look. It is called by a look, or before there is one.
+func (w *watchdog) scheduleCheck() {
+	until := w.untilNextCheck()
+	w.nextCheck = time.Now().Add(until)
 	w.timer.Reset(until)
 }
 
-// progress notes that the backend server said something.
-func (w *watchdog) progress() {
-	w.last.Store(int64(time.Since(w.exchange.started)))
+// recordProgress notes that the backend server said something.
+func (w *watchdog) recordProgress() {
+	w.lastProgress.Store(int64(time.Since(w.exchange.started)))
 	w.exchange.backend.heardAt.set(time.Now())
 }
 
-// flows notes that events come from now on.
-func (w *watchdog) flows() {
-	w.flowing.Store(true)
-	w.progress()
+// startStreaming notes that events come from now on.
+func (w *watchdog) startStreaming() {
+	w.streaming.Store(true)
+	w.recordProgress()
 }
 
-func (w *watchdog) look() {
-	w.looking <- struct{}{}
-	defer func() { <-w.looking }()
-	if w.over || w.exchange.request.ctx.Err() != nil || w.takeBackLapsed() {
+func (w *watchdog) check() {
+	w.checking <- struct{}{}
+	defer func() { <-w.checking }()
+	if w.stopped || w.exchange.request.ctx.Err() != nil || w.takeBackLapsed() {
 		return
 	}
-	if time.Since(w.due) > stoodStill {
+	if time.Since(w.nextCheck) > processPauseThreshold {
 		// This process stood still, and what came meanwhile is not read yet: the
 		// attempt counts as silent from now on.
-		w.last.Store(int64(time.Since(w.exchange.started)))
-		w.lookLater()
+		w.lastProgress.Store(int64(time.Since(w.exchange.started)))
+		w.scheduleCheck()
 		return
 	}
 	if b := w.exchange.backend; time.Since(b.heardAt.time()) > silentBeforeDial {
 		w.exchange.gateway.doubt(b)
 	}
-	now, stage := time.Now(), w.exchange.stage(w.flowing.Load())
-	if w.silentFor(now) > w.limit() && w.exchange.mayInterrupt(interruptStall, stage, now) {
-		w.exchange.gateway.noteInterrupted(w.exchange.request, interruptStall, stage)
-		w.barked.Store(true)
+	now, stage := time.Now(), w.exchange.stage(w.streaming.Load())
+	if w.silentFor(now) > w.silenceLimit() && w.exchange.mayInterrupt(interruptStall, stage, now) {
+		w.exchange.gateway.recordInterrupted(w.exchange.request, interruptStall, stage)
+		w.fired.Store(true)
 		w.exchange.conn.Abort()
 		return
 	}
-	w.lookLater()
+	w.scheduleCheck()
 }
 
 // silentFor is for how long the attempt has been without progress.
 func (w *watchdog) silentFor(now time.Time) time.Duration {
-	return now.Sub(w.exchange.started) - time.Duration(w.last.Load())
+	return now.Sub(w.exchange.started) - time.Duration(w.lastProgress.Load())
 }
 
 // gapLimit is how long the attempt may be silent between two events. An engine that is heard of
@@ -134,25 +134,25 @@
 // would wait as long for its own to be read again. So it is left as long as its caller stays.
 func (w *watchdog) gapLimit() time.Duration {
 	x := w.exchange
-	last := x.started.Add(time.Duration(w.last.Load()))
-	if x.backend.heardAt.time().After(last.Add(leastSilence)) || !x.backend.isHeardOf(time.Now()) {
-		return gapPatience
+	last := x.started.Add(time.Duration(w.lastProgress.Load()))
+	if x.backend.heardAt.time().After(last.Add(minSilence)) || !x.backend.isHeardOf(time.Now()) {
+		return maxEventGap
 	}
-	return x.longestPause()
+	return x.longestEventGap()
 }
 
-// longestPause is how long a stream may be silent that its caller still waits for.
-func (x *exchange) longestPause() time.Duration {
-	return min(max(gapPatience, x.gateway.patienceOf(x.request)-leaveWithin), patience)
+// longestEventGap is how long a stream may be silent that its caller still waits for.
+func (x *exchange) longestEventGap() time.Duration {
+	return min(max(maxEventGap, x.gateway.patienceOf(x.request)-resumeMargin), maxAttemptSilence)
 }
 
-// limit is how long the attempt may be silent now.
-func (w *watchdog) limit() time.Duration {
-	if w.flowing.Load() {
+// silenceLimit is how long the attempt may be silent now.
+func (w *watchdog) silenceLimit() time.Duration {
+	if w.streaming.Load() {
 		return w.gapLimit()
 	}
-	if time.Since(w.exchange.backend.heard()) > silentAfter {
-		return silentAfter
+	if time.Since(w.exchange.backend.heard()) > backendSilenceLimit {
+		return backendSilenceLimit
 	}
-	return patience
+	return maxAttemptSilence
 }
