--- a/pkg/gateway/listening.go
+++ b/pkg/gateway/attempt_monitor.go
@@ -1,7 +1,7 @@
 // ================================================================
-// One attempt under way as it listens: what it has heard and when, and for how long
-// silence is usual of it. listeners.go has all of them, distrust.go what is done about
-// those that fell silent.
+// Monitoring of one active attempt: what it has received and when, and the longest silence
+// expected of it. silence_detector.go holds all monitored attempts, silence_actions.go handles
+// those that fall silent.
 // ================================================================
 
 package gateway
@@ -13,50 +13,50 @@
 	"time"
 )
 
-// attemptMonitor is one attempt under way.
+// attemptMonitor monitors one active attempt.
 type attemptMonitor struct {
 	detector    *silenceDetector
 	exchange    *exchange
 	connectedAt time.Time
 	sentAt      time.Time
-	abort       func() // nil where the request may not run again
+	abort       func() // interrupts the attempt; nil where the request may not be retried
 
-	// detected is how its connection was found to be silent.
+	// detected is set once the connection is found to be silent.
 	detected atomic.Pointer[detectedSilence]
 
 	mu           sync.Mutex
-	lastReceived time.Time // the last bytes, or the sending
+	lastReceived time.Time // the last bytes, or the sending where none came
 	silenceLimit time.Duration
 	received     bool
 	streaming    bool
 }
 
-// detectedSilence is how a connection was found to be silent.
+// detectedSilence describes the silence of a connection.
 type detectedSilence struct {
 	evidence      evidence
-	lasted, limit time.Duration // how long it lasted, and how long is usual
+	lasted, limit time.Duration // its length, and the longest expected one
 }
 
 func (s detectedSilence) String() string {
-	return fmt.Sprintf("its connection was silent for %d ms, usual are %d; evidence: %s", s.lasted.Milliseconds(), s.limit.Milliseconds(), s.evidence)
+	return fmt.Sprintf("connection silent for %d ms, expected at most %d ms; evidence: %s", s.lasted.Milliseconds(), s.limit.Milliseconds(), s.evidence)
 }
 
-// monitorAttempt begins to listen to an attempt that is about to be sent.
-func (g *Gateway) monitorAttempt(x *exchange, breakOff func()) *attemptMonitor {
+// monitorAttempt starts monitoring an attempt that is about to be sent.
+func (g *Gateway) monitorAttempt(x *exchange, abort func()) *attemptMonitor {
 	now := time.Now()
-	l := &attemptMonitor{detector: &g.silences, exchange: x, connectedAt: x.conn.Made(), sentAt: now, lastReceived: now, abort: breakOff}
+	l := &attemptMonitor{detector: &g.silences, exchange: x, connectedAt: x.conn.Made(), sentAt: now, lastReceived: now, abort: abort}
 	g.silences.add(l, func() { g.checkSilence(time.Now()) })
 	return l
 }
 
-// receivedBytes notes that bytes came.
+// receivedBytes records that bytes came.
 func (l *attemptMonitor) receivedBytes(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.lastReceived, l.received = now, true
 }
 
-// receivedEvent notes that an event of a stream came; the first one ends the wait.
+// receivedEvent records that an event of a stream came. The first one ends the wait.
 func (l *attemptMonitor) receivedEvent(now time.Time) {
 	l.mu.Lock()
 	before, first := l.lastReceived, !l.streaming
@@ -68,8 +68,8 @@
 	l.setSilenceLimit(l.detector.recordEvent(l, now, before, first))
 }
 
-// receivedAnswer notes that an answer that is no stream has begun. How long the rest of it
-// takes is not known.
+// receivedAnswer records that an answer which is no stream has begun. Nothing is known of how
+// long the rest takes, so there is no silence limit any more.
 func (l *attemptMonitor) receivedAnswer(now time.Time) {
 	l.recordWait(now)
 	l.setSilenceLimit(0)
@@ -81,21 +81,21 @@
 	l.silenceLimit = due
 }
 
-// hasStreamed tells whether the backend server was at work on the attempt, and goes on with
-// it where it does not hear of the silence.
+// hasStreamed reports whether events came: the backend server then ran the request, and continues
+// where it does not notice the silence.
 func (l *attemptMonitor) hasStreamed() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.streaming
 }
 
-// recordWait learns how long the attempt waited.
+// recordWait records how long the attempt waited for its answer.
 func (l *attemptMonitor) recordWait(now time.Time) {
 	q := l.exchange.request
 	l.detector.record(q.waitTimingKey(), now, now.Sub(l.sentAt)-q.forecast)
 }
 
-// waitTimingKey says what the wait of a request is compared with.
+// waitTimingKey returns the timings that the request's wait is compared with.
 func (q *request) waitTimingKey() timingKey {
 	if q.forecast > 0 {
 		return timingKey{q.service.Name(), timingLateness}
@@ -103,10 +103,10 @@
 	return timingKey{q.service.Name(), timingWait}
 }
 
-// domain is the failure domain of the attempt's backend server.
+// domain returns the failure domain of the attempt's backend server.
 func (l *attemptMonitor) domain() string { return l.exchange.backend.word().Domain() }
 
-// snapshot returns what was heard so far.
+// snapshot returns the attempt's current state.
 func (l *attemptMonitor) snapshot() attemptSnapshot {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/pkg/gateway/interrupt.go
+++ b/pkg/gateway/interrupt.go
@@ -1,8 +1,8 @@
 // ================================================================
-// Interruptions: when a gateway itself ends an attempt under way. Every guard that may do so
-// asks here, and the table says what must hold for each reason and how far the answer is. An
-// answer that its caller has part of is interrupted only where it can be resumed, or where a
-// rule leaves no choice: half of an answer serves nobody.
+// Interruptions: the cases in which a gateway itself ends an active attempt. All code that may do
+// so asks mayInterrupt, and one table gives the condition for each reason and stage of the
+// answer. An answer that its caller has part of is interrupted only where it can be resumed or a
+// rule leaves no choice, because a partial answer is of no use to the caller.
 // ================================================================
 
 package gateway
@@ -12,44 +12,45 @@
 	"time"
 )
 
-// interruption is why a gateway ends an attempt.
+// interruption is the reason for which a gateway ends an attempt.
 type interruption string
 
 const (
-	// interruptDeadline is the end of a version's time, sent along as the request's deadline.
+	// interruptDeadline is the expiry of a version, sent to the server as the request's deadline.
 	interruptDeadline interruption = "version deadline"
-	// interruptExpiry keeps a request from beginning on a version whose time is over.
+	// interruptExpiry keeps a request from starting on an expired version.
 	interruptExpiry interruption = "version expiry"
 	// interruptStall is an attempt without progress for too long.
 	interruptStall interruption = "stall"
-	// interruptSilence is a connection that seems silent for good while its server works.
+	// interruptSilence is a connection that seems permanently silent while its server works.
 	interruptSilence interruption = "silent connection"
-	// interruptAllSilent are connections that seem silent everywhere, at an address where no newer
-	// one has proved it yet: servers that become slow together look alike.
+	// interruptAllSilent is a global silence, at an address where no newer connection has proved
+	// it yet: servers that become slow together look alike.
 	interruptAllSilent interruption = "silent connections everywhere, not proved"
-	// interruptNewerSilent are such connections while newer ones to other servers, or the same, are
-	// not answered on either: the servers stand still.
+	// interruptNewerSilent is a global silence in which newer connections, to the same or other
+	// servers, receive nothing either: the servers are stalled.
 	interruptNewerSilent interruption = "silent connections everywhere, newer ones too"
 	// interruptUnreachable is a backend server that answers no dials.
 	interruptUnreachable interruption = "unreachable server"
-	// interruptStop is the end of the time for a planned stop.
+	// interruptStop is the deadline of a planned stop of the gateway.
 	interruptStop interruption = "stop deadline"
 )
 
-// maxReservations bounds the servers that are asked for a place before an answer is interrupted.
+// maxReservations bounds the servers that are asked for a slot before an answer is interrupted.
 const maxReservations = 3
 
-// answerStage is how far the answer to a request is.
+// answerStage is how far the answer to a request has come.
 type answerStage int
 
 const (
 	// stageWaiting is an attempt without an event, whose caller has nothing.
 	stageWaiting answerStage = iota
-	// stageResuming is an attempt without an event, whose caller has part of the answer by an
-	// earlier one.
+	// stageResuming is an attempt without an event, whose caller has part of the answer from an
+	// earlier attempt.
 	stageResuming
 	// stageStreaming is an attempt whose events come.
 	stageStreaming
+	// answerStageCount is the number of stages.
 	answerStageCount
 )
 
@@ -57,46 +58,48 @@
 type interruptCondition struct {
 	name  string
 	holds func(x *exchange, now time.Time) bool
-	// resumes says that the request is to go on elsewhere: it is interrupted only with the
-	// repeat for that in hand.
+	// resumes says that the request resumes on another attempt: it is interrupted only with a
+	// retry reserved for that.
 	resumes bool
 }
 
 var (
 	always = interruptCondition{name: "always", holds: func(*exchange, time.Time) bool { return true }}
 	never  = interruptCondition{name: "never", holds: func(*exchange, time.Time) bool { return false }}
-	// singleRun holds where no break can take the request back.
-	singleRun = interruptCondition{name: "may run once, and should be over before the version ends", holds: (*exchange).needsVersionDeadline}
-	// stalledAlone does not hold where all others stand still as well, as behind an overloaded
-	// link or on a machine short of processor time: the answer would stand still again.
-	stalledAlone = interruptCondition{name: "granted a free place elsewhere, and others make progress", holds: (*exchange).isStalledAlone, resumes: true}
-	// resumable counts the attempt's own server, which works.
+	// singleRun holds for a request that may run only once, and so can't be withdrawn and
+	// retried.
+	singleRun = interruptCondition{name: "not idempotent, and expected to end before the version expires", holds: (*exchange).needsVersionDeadline}
+	// stalledAlone does not hold where all other streams are stalled as well, as behind an
+	// overloaded link or on a machine short of processor time: the answer would stall again.
+	stalledAlone = interruptCondition{name: "free slot granted elsewhere, and other streams make progress", holds: (*exchange).isStalledAlone, resumes: true}
+	// resumable allows the attempt's own server, which works.
 	resumable        = interruptCondition{name: "resumable here or elsewhere", holds: (*exchange).resumesInTime, resumes: true}
 	overdueResumable = interruptCondition{name: "overdue, and resumable here or elsewhere", holds: (*exchange).isOverdue, resumes: true}
-	longSilent       = interruptCondition{name: "silent for as long as a stall, and resumable at a free place", holds: (*exchange).isSilentAsStall, resumes: true}
+	longSilent       = interruptCondition{name: "silent as long as a stall, and resumable at a free slot", holds: (*exchange).isSilentAsStall, resumes: true}
 	notLastServer    = interruptCondition{name: "not the last server", holds: func(x *exchange, _ time.Time) bool { return !x.isLast }, resumes: true}
 )
 
-// interruptRule says for one reason what must hold at each stage, and what follows.
+// interruptRule is the condition for one reason at each stage, and what happens to the request
+// after.
 type interruptRule struct {
 	reason  interruption
 	stages  [answerStageCount]interruptCondition
 	outcome string
 }
 
-// interruptRules is the whole table.
+// interruptRules is the complete table.
 var interruptRules = []interruptRule{
-	{interruptDeadline, [...]interruptCondition{singleRun, singleRun, singleRun}, "the server ends it"},
-	{interruptExpiry, [...]interruptCondition{always, always, never}, "another server; a resumed answer waits for one as long as its caller does"},
-	{interruptStall, [...]interruptCondition{always, stalledAlone, stalledAlone}, "another server, with the repeat that was taken"},
-	{interruptSilence, [...]interruptCondition{always, resumable, resumable}, "any server, with the repeat that was taken"},
-	{interruptAllSilent, [...]interruptCondition{always, overdueResumable, longSilent}, "any server, with the repeat that was taken"},
-	{interruptNewerSilent, [...]interruptCondition{always, never, never}, "any server"},
-	{interruptUnreachable, [...]interruptCondition{always, notLastServer, never}, "another server, with the repeat that was taken"},
+	{interruptDeadline, [...]interruptCondition{singleRun, singleRun, singleRun}, "the server ends the answer"},
+	{interruptExpiry, [...]interruptCondition{always, always, never}, "retried on another server; a resumed answer waits for one as long as its caller does"},
+	{interruptStall, [...]interruptCondition{always, stalledAlone, stalledAlone}, "retried on another server, with the retry taken from the budget"},
+	{interruptSilence, [...]interruptCondition{always, resumable, resumable}, "retried on any server, with the retry taken from the budget"},
+	{interruptAllSilent, [...]interruptCondition{always, overdueResumable, longSilent}, "retried on any server, with the retry taken from the budget"},
+	{interruptNewerSilent, [...]interruptCondition{always, never, never}, "retried on any server"},
+	{interruptUnreachable, [...]interruptCondition{always, notLastServer, never}, "retried on another server, with the retry taken from the budget"},
 	{interruptStop, [...]interruptCondition{always, always, always}, "the answer ends"},
 }
 
-// interruptRuleFor returns the rule of a reason.
+// interruptRuleFor returns the rule for a reason. An unknown reason never interrupts.
 func interruptRuleFor(why interruption) interruptRule {
 	for _, r := range interruptRules {
 		if r.reason == why {
@@ -106,8 +109,8 @@
 	return interruptRule{reason: why, stages: [...]interruptCondition{never, never, never}}
 }
 
-// mayInterrupt tells whether the attempt may be interrupted now, and takes the repeat that the
-// request needs to be resumed.
+// mayInterrupt reports whether the attempt may be interrupted now. Where the request is to resume, it
+// takes the retry for that from the budget.
 func (x *exchange) mayInterrupt(why interruption, stage answerStage, now time.Time) bool {
 	c := interruptRuleFor(why).stages[stage]
 	if !c.holds(x, now) {
@@ -120,10 +123,10 @@
 	return true
 }
 
-// stage is how far the answer is, by whether events of this attempt come.
-func (x *exchange) stage(flows bool) answerStage {
+// stage returns how far the answer has come, by whether this attempt streams events.
+func (x *exchange) stage(streaming bool) answerStage {
 	switch {
-	case flows:
+	case streaming:
 		return stageStreaming
 	case x.resumes:
 		return stageResuming
@@ -131,8 +134,8 @@
 	return stageWaiting
 }
 
-// recordInterrupted counts an answer that was under way when it was interrupted, and has its next log
-// line say why.
+// recordInterrupted counts the interruption of an answer that its caller has part of, and stores
+// the reason for the request's next log line.
 func (g *Gateway) recordInterrupted(q *request, why interruption, stage answerStage) {
 	if stage == stageWaiting {
 		return
@@ -141,8 +144,7 @@
 	q.interrupted.Store(&why)
 }
 
-// takeInterrupted returns why the answer was interrupted since the last log line; nil where it was
-// not.
+// takeInterrupted returns why the answer was interrupted since the last log line, or nil.
 func (q *request) takeInterrupted() any {
 	if why := q.interrupted.Swap(nil); why != nil {
 		return string(*why)
@@ -150,8 +152,9 @@
 	return nil
 }
 
-// takeRetryToResume takes the repeat that a request needs to go on. Without one it would end,
-// while on a busy machine all servers stand still for a moment and go on.
+// takeRetryToResume takes from the budget the retry with which a request resumes. Without one the
+// answer would end for good, whereas on a busy machine all servers stall together for a moment and
+// continue.
 func (x *exchange) takeRetryToResume() bool {
 	q := x.request
 	if q.repeatTaken.Load() {
@@ -161,15 +164,16 @@
 		return false
 	}
 	if q.repeatTaken.Swap(true) {
-		// Several guards came to it, and one repeat does.
+		// Two checks took a retry at the same time, and one is enough.
 		x.gateway.budget.unspent(q.service.Name())
 	}
 	return true
 }
 
-// reserveCandidate tells whether a backend server that satisfies what is wanted grants a place, which the
-// next attempt then takes. Where no stager answers, one that could take the request as far as is known
-// will do. It waits for answers, so it is for the attempt's own looks and not for those at all attempts.
+// reserveCandidate reports whether a suitable backend server grants a slot, which the next
+// attempt then takes. Where no stager answers, a server that could take the request as far as is
+// known will do. It waits for answers, so only the attempt's own watchdog calls it, not the check
+// of all attempts.
 func (x *exchange) reserveCandidate(w wanted, now time.Time) bool {
 	g, q := x.gateway, x.request
 	if w.engine.Slots() == 0 {
@@ -193,11 +197,11 @@
 	return false
 }
 
-// hasCandidate tells whether a backend server that satisfies what is wanted could take the request
-// now, as far as is known without a question.
+// hasCandidate reports whether a suitable backend server could take the request now, as far as is
+// known without asking it.
 func (x *exchange) hasCandidate(w wanted) bool { return x.candidate(w) != nil }
 
-// candidate returns the backend server that hasPlace tells of; nil for none.
+// candidate returns such a backend server, or nil.
 func (x *exchange) candidate(w wanted) *backend {
 	g, q := x.gateway, x.request
 	b, _ := g.choose(w)
@@ -207,8 +211,8 @@
 	return b
 }
 
-// resumesInTime tells whether some backend server, its own too, has a place where the request would
-// begin before the version there lapses.
+// resumesInTime reports whether some backend server, its own included, could begin the request
+// before the version there expires.
 func (x *exchange) resumesInTime(now time.Time) bool {
 	return x.hasCandidate(x.includeOwnServer(x.elsewhereWithRecentWait(now)))
 }
@@ -220,44 +224,45 @@
 	return w
 }
 
-// elsewhereWithRecentWait is what another backend server must satisfy where the request begins no sooner
-// than those of its service did of late.
+// elsewhereWithRecentWait returns the requirements for another backend server, where the first
+// event is expected to take the longest recent wait of the service.
 func (x *exchange) elsewhereWithRecentWait(now time.Time) wanted {
 	w := x.elsewhere
 	w.begins = x.gateway.silences.longestResponseWait(x.request.service.Name(), now)
 	return w
 }
 
-// outlastsCaller tells whether the caller of an answer that has been silent for a time gives it up
-// before its next event, where that takes as long as the first events of late.
+// outlastsCaller reports whether the caller of an answer that has been silent for a time is
+// expected to leave before the next event, where that takes the longest recent wait for a first
+// event.
 func (x *exchange) outlastsCaller(w wanted, silent time.Duration) bool {
 	return silent+w.begins >= x.gateway.patienceOf(x.request)
 }
 
-// isOverdue tells whether an attempt has waited for longer than is usual, and can be resumed.
+// isOverdue reports whether an attempt has waited longer than expected, and can resume in time.
 func (x *exchange) isOverdue(now time.Time) bool {
 	return x.listening.snapshot().overdue(now) && x.resumesInTime(now)
 }
 
-// isSilentAsStall tells whether an attempt has been silent for as long as one that stalls, and a server
-// has a free place where it is resumed before its caller gives up.
+// isSilentAsStall reports whether an attempt has been silent for as long as a stalled one, and a
+// server has a free slot where the answer resumes before its caller leaves.
 func (x *exchange) isSilentAsStall(now time.Time) bool {
 	w, silent := x.includeOwnServer(x.elsewhereWithRecentWait(now)), x.listening.snapshot().silentFor(now)
 	w.wait, w.begins = noWait, max(w.begins, goesOnWithin)
 	return silent > x.longestEventGap() && !x.outlastsCaller(w, silent) && x.hasCandidate(w)
 }
 
-// isStalledAlone tells whether an answer without progress would fare better elsewhere: at a free
-// place, where it is resumed before the version there lapses and before its caller gives up. A
-// server that is full turns it away, and it can't go back without another repeat. Where its own is
-// out of reach any place will do.
+// isStalledAlone reports whether an answer without progress would do better elsewhere: at a free
+// slot, where it resumes before the version there expires and before its caller leaves. A full
+// server rejects it, and returning to the first server takes another retry. Where its own server
+// is unreachable any other will do.
 func (x *exchange) isStalledAlone(now time.Time) bool {
 	if x.backend.load(now).lost {
 		return !x.isLast && x.hasCandidate(x.elsewhere)
 	}
 	w, silent := x.elsewhereWithRecentWait(now), x.watch.silentFor(now)
 	w.wait = noWait
-	// A caller who is there for longer than is known of callers gets nothing by waiting on.
+	// A caller that stays longer than callers are known to gains nothing from further waiting.
 	tooLate := silent < x.gateway.patienceOf(x.request) && x.outlastsCaller(w, silent)
 	if x.isLast || tooLate || x.gateway.silences.allStreamsSilent(x.listening) {
 		return false
--- a/pkg/gateway/interrupt_test.go
+++ b/pkg/gateway/interrupt_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// The table of interruptions, read as a whole: a guard that may end answers under way on other
-// terms shows here.
+// The complete table of interruptions against a golden file, so that a new or changed condition
+// for ending active answers is visible in review.
 func TestInterruptRules(t *testing.T) {
 	var b strings.Builder
 	for _, r := range interruptRules {
@@ -17,7 +17,7 @@
 			c := r.stages[stage]
 			_, _ = fmt.Fprintf(&b, "  %-9s %s", name, c.name)
 			if c.resumes {
-				b.WriteString("; takes a repeat")
+				b.WriteString("; takes a retry")
 			}
 			b.WriteString("\n")
 		}
--- a/pkg/gateway/cut_by_order_test.go
+++ b/pkg/gateway/order_cut_test.go
@@ -10,14 +10,11 @@
 	"github.com/tidepost/tidepost/pkg/serviceconfig"
 )
 
-// Seen: while a version of the weights went out and gateways were stopped beside it, up to
-// 14 streams ended midway: `attempt cut` at one engine, then `all 2 attempts are used up`
-// after a second `cut`, or `the budget of repeats is used up`.
-//
-// How: the order for the weights cut a stream at its engine; it went on at an engine that
-// had its own order before it, was cut there too, and had no attempt left. Cause: the
-// choice knew that the version of an engine lapses and not that the order which ends it
-// comes before. Proved by the lines of the soak's gateways, and here.
+// Guards against resuming a stream on an engine that is about to be cut as well. An order for new
+// weights ended a stream at its engine; the stream resumed on an engine that had not carried out
+// its own order yet, was cut there too, and had no attempt or retry left. The choice of a server
+// knew when a version expires, but not that the order comes before. Up to 14 streams of a run
+// were lost while a version went out and gateways were stopped.
 func TestStreamCutByAnOrderResumesWhereNoOrderIsDue(t *testing.T) {
 	cut := newStandIn(t, "i-cut", func(w *bufio.Writer, r *http.Request) bool {
 		writeEvents(w, r, 1, 1)
@@ -37,11 +34,11 @@
 		t.Fatalf("%d %q %v", status, body, err)
 	}
 	if came := before.requests(); len(came) > 0 {
-		t.Error("it went on where the order is still to come")
+		t.Error("it resumed on an engine whose order is still to come")
 	}
 }
 
-// streamAfter is a script that writes what follows an event, up to the third.
+// streamAfter is a script that writes the events after a given one, up to the third.
 func streamAfter(last int) exchangeScript {
 	return func(w *bufio.Writer, r *http.Request) bool {
 		writeEvents(w, r, last+1, 3)
@@ -50,11 +47,9 @@
 	}
 }
 
-// Seen: a stream that an order had cut waited at the engine where it was to go on, and was
-// cut a second time: `no answer: use of closed network connection`. How: the watchdog gave up
-// an attempt that was silent before its first event, though no other might follow, and the
-// caller had half an answer. Cause: it asked whether a stream may go on elsewhere only once
-// events of that attempt had come. Proved here: the engine begins after the longest patience.
+// Guards against the watchdog aborting a last attempt that is silent before its first event,
+// whose caller has part of the answer from an earlier attempt: the stream had been cut by an
+// order and could not be retried again. The engine here begins after the longest allowed silence.
 func TestSilentLastAttemptOfAStreamIsNotInterrupted(t *testing.T) {
 	cut := newStandIn(t, "i-cut", func(w *bufio.Writer, r *http.Request) bool {
 		writeEvents(w, r, 1, 1)
@@ -71,9 +66,9 @@
 	}
 }
 
-// The order that cut a stream at its engine is carried out while the stream is cut by that
-// of the next engine, too. It goes back: a route bounds the servers that a request is sent
-// to, and not how often.
+// An engine carries out its order while the stream that it cut is cut by the order of the next
+// engine as well. The stream returns to the first: a route bounds the number of servers that a
+// request is sent to, not the number of attempts.
 func TestStreamCutByTwoOrdersReturnsToItsFirstServer(t *testing.T) {
 	var f *fixture
 	var old, next *standIn
@@ -101,15 +96,11 @@
 	}
 }
 
-// Seen: a stream that began before a planned stop ended midway in it: `attempt broken ...
-// unexpected EOF, sign lives`, then `no other backend server` 2.6 s later.
-//
-// How: the order for the weights cut it at the first engine of a roll, 0.1 ms after the stager
-// had given the order and before a gateway was told of it. The other engines served a version
-// whose end was near, and the one that had cut it was ready again half a second later. Cause:
-// whether a stream may go back to its server was asked of what was heard before the cut.
-// Proved by the stamps of the stager's line `order given` and of the gateway's `attempt`, and
-// here: the server lives, and nothing is heard of it.
+// Guards against ignoring a server that is about to be ready again. An order cut a stream at the
+// first engine of a rollout, 0.1 ms after the stager gave the order and before a gateway knew of
+// it. The version of the other engines was about to expire, and the first engine was ready again
+// half a second later, but whether the stream may return to it was decided by reports from before
+// the cut; the stream was lost 2.6 s later. Here the server is alive and sends no reports.
 func TestStreamBrokenByALiveServerRetriesIt(t *testing.T) {
 	var alone *standIn
 	alone = newStandIn(t, "i-alone", func(w *bufio.Writer, r *http.Request) bool {
@@ -126,7 +117,7 @@
 	}
 }
 
-// A server that broke a stream off and has ended is not gone back to.
+// A stream does not return to a server that broke it off and has ended.
 func TestStreamDoesNotRetryAnEndedServer(t *testing.T) {
 	var alone *standIn
 	alone = newStandIn(t, "i-alone", func(w *bufio.Writer, r *http.Request) bool {
@@ -139,6 +130,6 @@
 		t.Fatalf("%q %v", body, err)
 	}
 	if came := alone.requests(); len(came) != 1 {
-		t.Errorf("it was sent %d times", len(came))
+		t.Errorf("the request was sent %d times", len(came))
 	}
 }
--- a/pkg/gateway/usual.go
+++ b/pkg/gateway/recent_max.go
@@ -1,10 +1,9 @@
 // ================================================================
-// What is usual, learned from what was: the longest time of late, and a bound some
-// way above it that is out of the usual.
+// The recent maximum of a duration, from which limits for unusual durations are derived.
 //
-// Rejected: a mean and four mean deviations, as TCP has it for acknowledgements. The
-// pauses of an engine are its passes, alike for long and then several times as long
-// for one that reads prompts: that bound was passed on every engine every few seconds.
+// Rejected: the mean plus four mean deviations, as TCP computes its retransmission timeout. The
+// gaps between an engine's events are its passes, equal for long and then several times as long
+// in a pass that reads prompts: every engine exceeded that bound every few seconds.
 // ================================================================
 
 package gateway
@@ -12,32 +11,33 @@
 import "time"
 
 const (
-	// sampleWindow is for how long a time counts at least, and twice as long at most.
+	// sampleWindow is the length of a period. A sample counts for at least one and at most two
+	// periods.
 	sampleWindow = 10 * time.Second
-	// minSamples have to be known before there is a bound.
+	// minSamples is how many samples are needed before a maximum is reported.
 	minSamples = 8
 )
 
-// recentMax learns what times are usual. The zero value has learned nothing.
+// recentMax tracks the recent maximum of a duration. The zero value has no samples.
 type recentMax struct {
 	current, previous samplePeriod
 }
 
-// samplePeriod is what was seen in one usualLife.
+// samplePeriod holds the samples of one sampleWindow.
 type samplePeriod struct {
 	start   time.Time
 	longest time.Duration
 	samples int
 }
 
-// observe learns from a time.
+// observe adds a sample.
 func (u *recentMax) observe(now time.Time, took time.Duration) {
 	u.rotate(now)
 	u.current.longest = max(u.current.longest, took)
 	u.current.samples++
 }
 
-// rotate begins a new period when it is time.
+// rotate starts a new period when the current one is over.
 func (u *recentMax) rotate(now time.Time) {
 	switch since := now.Sub(u.current.start); {
 	case since > 2*sampleWindow:
@@ -47,7 +47,7 @@
 	}
 }
 
-// longest returns the longest time of late; false where too few are known.
+// longest returns the recent maximum; false where too few samples are known.
 func (u *recentMax) longest(now time.Time) (time.Duration, bool) {
 	u.rotate(now)
 	return max(u.current.longest, u.previous.longest), u.current.samples+u.previous.samples >= minSamples
--- a/pkg/gateway/silence.go
+++ b/pkg/gateway/silence.go
@@ -1,30 +1,28 @@
 // ================================================================
-// Telling a silent connection from a silent backend server. A device on the way that
-// forgets its connections leaves them open at both ends and passes nothing any more:
-// no end, no reset, and new connections work. Whoever takes that for a backend server
-// that is slow waits on the connection, and takes the next silent one from the pool.
+// Rules that tell a silent connection from a silent backend server. A device in the network path
+// that loses its connection state (a NAT or firewall) leaves connections open at both ends but
+// passes no bytes: no end, no reset, while new connections work. A gateway that takes this for a
+// slow backend server waits on the dead connection and takes the next dead one from the pool.
 //
-// An attempt is overdue when it has been silent for longer than is usual: before its
-// first event by the forecast that came with its place and by how far forecasts were
-// off of late, between events by the pauses of late.
+// An attempt is overdue when it has been silent for longer than recent attempts were: before its
+// first event measured from its forecast and the recent forecast error, between events by the
+// recent gaps.
 //
-//   - One that is overdue, while nothing came over any other old connection to that
-//     address: the connections that rest are closed, which costs a dial each.
-//   - A connection made since then is answered on: the old ones are silent.
-//   - Connections everywhere are silent: nothing comes any more over any that is as
-//     old, at several addresses, and new dials to nearly all of these are answered at
-//     once. It is seen soon where streams flow: a gateway with streams at several
-//     engines hears something every few ms, so it need not wait until each of them is
-//     overdue. That all engines stand still at the same moment is far less likely; that
-//     several are lost together is not, and shows in dials that are not answered.
+//   - One attempt is overdue, and nothing came over any other old connection to its address: the
+//     idle connections to that address are closed, which costs one dial each.
+//   - A connection made later receives events: the older ones are silent.
+//   - Nothing comes over any connection of some age at several addresses, and new dials to nearly
+//     all of these are answered at once: connections are silent globally. A gateway with streams
+//     at several engines receives something every few milliseconds, so it sees this before each
+//     stream is overdue. All engines stalling at the same moment is far less likely. Several
+//     failing together is not, but then dials go unanswered.
 //
-// A single backend server that stands still is neither: what it works on stays there
-// for as long as the watchdog lets it.
+// A single backend server that stalls matches none of these; its attempts stay until the watchdog
+// interrupts them.
 //
-// Rejected: a bound of fixed length for all. 250 ms is four events of one engine and
-// half a prompt of another. Rejected too: asking over each resting connection before
-// it is used. It is a round trip more for every request, and a backend server serves
-// a question as it does a request.
+// Rejected: one fixed bound for all (250 ms is four events of one engine and half a prompt of
+// another), and a probe over each idle connection before use (an extra round trip per request,
+// and a backend server serves a probe like a request).
 // ================================================================
 
 package gateway
@@ -32,226 +30,228 @@
 import "time"
 
 const (
-	// minSilence is for how long any connection may be silent: an engine that reads
-	// a prompt pauses all its streams for up to some 100 ms.
+	// minSilence is the silence that is normal on any connection: an engine that reads a prompt
+	// pauses all its streams for up to about 100 ms.
 	minSilence = 120 * time.Millisecond
-	// minSilentAddresses that are silent at once are evidence for silent connections.
+	// minSilentAddresses is how many addresses must be silent at once before silence counts as
+	// global.
 	minSilentAddresses = 3
-	// maxQuickDial is how long a dial may take that shows that the way is free: ways take
-	// some ms each, and behind chunks or losses a dial takes longer.
+	// maxQuickDial is the longest dial that shows a free network path. A round trip takes a few
+	// milliseconds; behind weight chunks or packet loss a dial takes longer.
 	maxQuickDial = 100 * time.Millisecond
-	// quietNumerator / quietPart of the longest time of late in which nothing came from
-	// anywhere is out of the usual.
+	// Silence of all streams counts when it lasts longer than quietNumerator/quietDenominator
+	// times the longest recent time without any event.
 	quietNumerator, quietDenominator = 3, 2
-	// reachedNumerator / reachedFactor of the addresses must answer dials.
+	// At least reachedNumerator/reachedDenominator of the silent addresses must answer dials.
 	reachedNumerator, reachedDenominator = 3, 4
-	// evidenceTTL is for how long attempts that have ended count as evidence, and what
-	// was found by them stays so.
+	// evidenceTTL is how long ended attempts count as evidence, and how long a detected global
+	// silence stays in effect.
 	evidenceTTL = 2 * time.Second
 )
 
-// evidence is why connections are taken to be silent.
+// evidence is why connections are considered silent.
 type evidence string
 
 const (
-	evidenceSuspected     evidence = "suspected" // closes resting connections only
-	evidenceNewerConn     evidence = "newer"
-	evidenceManyAddresses evidence = "many"
+	evidenceSuspected     evidence = "suspected" // closes idle connections only
+	evidenceNewerConn     evidence = "newer"     // a newer connection to the address receives events
+	evidenceManyAddresses evidence = "many"      // connections to many addresses are silent at once
 )
 
-// attemptSnapshot is an attempt as far as it was heard, at some moment.
+// attemptSnapshot is what an attempt had received at some moment.
 type attemptSnapshot struct {
 	address      string
-	connectedAt  time.Time     // its connection
-	silentSince  time.Time     // it is silent: its last bytes, or its sending
-	silenceLimit time.Duration // for how long silence is usual; 0 where none is judged
+	connectedAt  time.Time     // when its connection was made
+	silentSince  time.Time     // its last bytes, or its sending where none came
+	silenceLimit time.Duration // the longest expected silence; 0 for no limit
 	received     bool          // bytes came over its connection
 	streaming    bool          // its first event came
-	engine       bool          // at an engine, which gives all their events in turn
-	dialAnswered time.Time     // when a dial that was answered at once began, at its address
-	endedAt      time.Time     // when it ended; zero while it is under way
-	backend      *backend      // where it is
+	engine       bool          // it is at an engine, which serves all its streams in turn
+	dialAnswered time.Time     // when the last quick dial of its address began
+	endedAt      time.Time     // zero while it is active
+	backend      *backend
 }
 
-// silentFor returns for how long an attempt has been silent.
-func (h attemptSnapshot) silentFor(now time.Time) time.Duration {
-	if h.ended() {
-		now = h.endedAt
+// silentFor returns how long the attempt has been silent, or was when it ended.
+func (a attemptSnapshot) silentFor(now time.Time) time.Duration {
+	if a.ended() {
+		now = a.endedAt
 	}
-	return now.Sub(h.silentSince)
+	return now.Sub(a.silentSince)
 }
 
-func (h attemptSnapshot) ended() bool { return !h.endedAt.IsZero() }
+func (a attemptSnapshot) ended() bool { return !a.endedAt.IsZero() }
 
-// overdue tells whether it has been silent for longer than is usual.
-func (h attemptSnapshot) overdue(now time.Time) bool {
-	return h.silenceLimit > 0 && h.silentFor(now) > h.silenceLimit
+// overdue reports whether the attempt has been silent for longer than its limit.
+func (a attemptSnapshot) overdue(now time.Time) bool {
+	return a.silenceLimit > 0 && a.silentFor(now) > a.silenceLimit
 }
 
-// isStreaming tells whether it is a stream under way that has begun.
-func (h attemptSnapshot) isStreaming() bool { return h.streaming && !h.ended() }
+// isStreaming reports whether the attempt is an active stream whose first event came.
+func (a attemptSnapshot) isStreaming() bool { return a.streaming && !a.ended() }
 
-// overdueBefore tells whether it was overdue at some moment already: then it has
-// another cause than what began at that moment.
-func (h attemptSnapshot) overdueBefore(t time.Time) bool {
-	return h.silentSince.Add(h.silenceLimit).Before(t)
+// overdueBefore reports whether the attempt was overdue before t. Its silence then has another
+// cause than one that began at t.
+func (a attemptSnapshot) overdueBefore(t time.Time) bool {
+	return a.silentSince.Add(a.silenceLimit).Before(t)
 }
 
-// finding is what is found about one attempt.
+// finding is the result for one attempt.
 type finding struct {
-	index    int // of the hearing
+	index    int // of the attempt's snapshot
 	evidence evidence
-	dial     bool // its address is to be dialed before more can be said
+	dial     bool // its address must be dialed before more can be said
 }
 
-// detectSilent finds the attempts whose connections are suspect or silent. everywhere is since
-// when connections everywhere are silent; zero where they are not.
-func detectSilent(now, everywhere time.Time, all []attemptSnapshot) (found []finding) {
-	for i, h := range all {
-		if h.ended() || h.silenceLimit == 0 {
+// detectSilent finds the attempts whose connections are suspected or known to be silent.
+// globalSince is the start of a global silence, zero for none.
+func detectSilent(now, globalSince time.Time, all []attemptSnapshot) (found []finding) {
+	for i, a := range all {
+		if a.ended() || a.silenceLimit == 0 {
 			continue
 		}
 		switch {
-		case h.connSilentSince(everywhere) && h.silentFor(now) > minSilence:
-			if h.dialAnswered.After(everywhere) {
+		case a.connSilentSince(globalSince) && a.silentFor(now) > minSilence:
+			if a.dialAnswered.After(globalSince) {
 				found = append(found, finding{i, evidenceManyAddresses, false})
 			} else {
 				found = append(found, finding{i, evidenceSuspected, true})
 			}
-		case !h.overdue(now):
-		case newerConnStreams(h, all):
+		case !a.overdue(now):
+		case newerConnStreams(a, all):
 			found = append(found, finding{i, evidenceNewerConn, false})
-		case !receivedSince(h.silentSince.Add(minSilence), h.silentSince, h.address, all):
+		case !receivedSince(a.silentSince.Add(minSilence), a.silentSince, a.address, all):
 			found = append(found, finding{i, evidenceSuspected, false})
 		}
 	}
 	return found
 }
 
-// connSilentSince tells whether its connection is one of those that are silent since a moment.
-func (h attemptSnapshot) connSilentSince(everywhere time.Time) bool {
-	return !everywhere.IsZero() && !h.connectedAt.After(everywhere) && !(h.received && h.silentSince.After(everywhere))
+// connSilentSince reports whether the attempt's connection existed when a global silence began
+// and has received nothing since.
+func (a attemptSnapshot) connSilentSince(globalSince time.Time) bool {
+	return !globalSince.IsZero() && !a.connectedAt.After(globalSince) && !(a.received && a.silentSince.After(globalSince))
 }
 
-// globalSilenceSince tells since when nothing comes any more over connections of a time,
-// from anywhere, the earliest that holds; zero where something does. usualQuiet is the
-// longest time of late in which nothing came.
-func globalSilenceSince(now time.Time, usualQuiet time.Duration, all []attemptSnapshot) (since time.Time) {
-	for _, h := range all {
-		if !h.isStreaming() && !h.overdue(now) || now.Sub(h.silentSince) <= minSilence {
+// globalSilenceSince returns the earliest moment since which no connection that existed then has
+// received anything, at any address; zero where there is none. recentQuiet is the longest recent
+// time without any event.
+func globalSilenceSince(now time.Time, recentQuiet time.Duration, all []attemptSnapshot) (since time.Time) {
+	for _, a := range all {
+		if !a.isStreaming() && !a.overdue(now) || now.Sub(a.silentSince) <= minSilence {
 			continue
 		}
-		if !since.IsZero() && !h.silentSince.Before(since) || receivedSince(h.silentSince, h.silentSince, "", all) {
+		if !since.IsZero() && !a.silentSince.Before(since) || receivedSince(a.silentSince, a.silentSince, "", all) {
 			continue
 		}
-		if streamsAreSilent(now, h.silentSince, usualQuiet, all) || attemptsAreOverdue(now, h.silentSince, all) {
-			since = h.silentSince
+		if streamsAreSilent(now, a.silentSince, recentQuiet, all) || attemptsAreOverdue(now, a.silentSince, all) {
+			since = a.silentSince
 		}
 	}
 	return since
 }
 
-// mostAddressesReached tells whether nearly all addresses with connections that are silent since a
-// moment have answered dials since.
+// mostAddressesReached reports whether nearly all addresses whose connections are silent since a
+// moment have answered dials that began later.
 func mostAddressesReached(now, since time.Time, all []attemptSnapshot) bool {
 	silent, reached := map[string]bool{}, map[string]bool{}
-	for _, h := range all {
-		if !h.isEvidenceOf(now, since) {
+	for _, a := range all {
+		if !a.isEvidenceOf(now, since) {
 			continue
 		}
-		silent[h.address] = true
-		if h.dialAnswered.After(since) {
-			reached[h.address] = true
+		silent[a.address] = true
+		if a.dialAnswered.After(since) {
+			reached[a.address] = true
 		}
 	}
 	return len(reached) >= minSilentAddresses && reachedDenominator*len(reached) >= reachedNumerator*len(silent)
 }
 
-// isEvidenceOf tells whether an attempt is one by which connections are found to be silent
-// since a moment.
-func (h attemptSnapshot) isEvidenceOf(now, since time.Time) bool {
-	return h.connSilentSince(since) && !h.overdueBefore(since) && (h.isStreaming() || h.overdue(now))
+// isEvidenceOf reports whether the attempt is evidence that connections are silent since a
+// moment.
+func (a attemptSnapshot) isEvidenceOf(now, since time.Time) bool {
+	return a.connSilentSince(since) && !a.overdueBefore(since) && (a.isStreaming() || a.overdue(now))
 }
 
-// streamsAreSilent tells whether the streams of a time have been silent for longer than
-// is usual of all of them together, at several addresses. Streams over newer connections
-// must be fewer: few of a time may be silent by chance.
-func streamsAreSilent(now, since time.Time, usualQuiet time.Duration, all []attemptSnapshot) bool {
-	if now.Sub(since) <= max(minSilence, quietNumerator*usualQuiet/quietDenominator) {
+// streamsAreSilent reports whether the streams that existed at a moment have been silent for
+// longer than all streams together usually are, at several addresses. Streams over newer
+// connections must be fewer: a small number of older streams may be silent by chance.
+func streamsAreSilent(now, since time.Time, recentQuiet time.Duration, all []attemptSnapshot) bool {
+	if now.Sub(since) <= max(minSilence, quietNumerator*recentQuiet/quietDenominator) {
 		return false
 	}
 	silent, newer := 0, 0
 	addresses := map[string]bool{}
-	for _, h := range all {
+	for _, a := range all {
 		switch {
-		case !h.isStreaming() || h.overdueBefore(since):
-		case h.connectedAt.After(since):
+		case !a.isStreaming() || a.overdueBefore(since):
+		case a.connectedAt.After(since):
 			newer++
 		default:
 			silent++
-			addresses[h.address] = true
+			addresses[a.address] = true
 		}
 	}
 	return silent > newer && len(addresses) >= minSilentAddresses
 }
 
-// attemptsAreOverdue tells whether attempts of a time are overdue at several addresses,
-// and at most of them: where they are at a few, the others may not have had to say
-// anything yet. Those that were given up lately count, so it is seen too where one
-// request comes after the other.
+// attemptsAreOverdue reports whether attempts that existed at a moment are overdue at several
+// addresses, and at half or more of the addresses with such attempts: attempts at the others may
+// not be due to receive anything yet. Recently ended attempts count, so that the silence is also
+// detected where requests come one after the other.
 func attemptsAreOverdue(now, since time.Time, all []attemptSnapshot) bool {
 	overdue, addresses := map[string]bool{}, map[string]bool{}
-	for _, h := range all {
-		if h.connectedAt.After(since) || h.silenceLimit == 0 || h.overdueBefore(since) {
+	for _, a := range all {
+		if a.connectedAt.After(since) || a.silenceLimit == 0 || a.overdueBefore(since) {
 			continue
 		}
-		if h.overdue(now) {
-			overdue[h.address] = true
+		if a.overdue(now) {
+			overdue[a.address] = true
 		}
-		if !h.ended() || h.overdue(now) {
-			addresses[h.address] = true
+		if !a.ended() || a.overdue(now) {
+			addresses[a.address] = true
 		}
 	}
 	return len(overdue) >= minSilentAddresses && 2*len(overdue) >= len(addresses)
 }
 
-// receivedSince tells whether bytes came since a moment over a connection made before
-// another, to an address or, with "", to any.
+// receivedSince reports whether bytes came after a moment over a connection that is no newer than
+// madeBefore, to an address or, with "", to any.
 func receivedSince(since, madeBefore time.Time, address string, all []attemptSnapshot) bool {
-	for _, h := range all {
-		if h.received && (address == "" || h.address == address) && !h.connectedAt.After(madeBefore) && h.silentSince.After(since) {
+	for _, a := range all {
+		if a.received && (address == "" || a.address == address) && !a.connectedAt.After(madeBefore) && a.silentSince.After(since) {
 			return true
 		}
 	}
 	return false
 }
 
-// newerConnsWait tells whether attempts over connections made since one fell silent wait as well, and
-// none of them was answered.
+// newerConnsWait reports whether attempts over connections made after the silence of one began
+// wait as well, and none of them received anything.
 func newerConnsWait(now time.Time, silent attemptSnapshot, all []attemptSnapshot) bool {
 	wait := false
-	for _, h := range all {
-		if !h.connectedAt.After(silent.silentSince) {
+	for _, a := range all {
+		if !a.connectedAt.After(silent.silentSince) {
 			continue
 		}
-		if h.received {
+		if a.received {
 			return false
 		}
-		wait = wait || h.silentFor(now) > minSilence
+		wait = wait || a.silentFor(now) > minSilence
 	}
 	return wait
 }
 
-// newerConnStreams tells whether a connection to the same address, made since a stream fell
-// silent, is answered on although that stream is overdue: an engine gives all streams their
-// events in turn. Requests that wait are no evidence: more urgent ones overtake them, and
-// plain ones take each their own time.
+// newerConnStreams reports whether a newer connection to the same address receives events
+// although the silent stream is overdue: an engine serves all its streams in turn. Requests that
+// wait are no evidence: more urgent ones overtake them, and plain requests each take a time of
+// their own.
 func newerConnStreams(silent attemptSnapshot, all []attemptSnapshot) bool {
 	if !silent.streaming {
 		return false
 	}
-	for _, h := range all {
-		if h.address == silent.address && h.streaming && h.connectedAt.After(silent.silentSince) && h.silentSince.Sub(silent.silentSince) > silent.silenceLimit {
+	for _, a := range all {
+		if a.address == silent.address && a.streaming && a.connectedAt.After(silent.silentSince) && a.silentSince.Sub(silent.silentSince) > silent.silenceLimit {
 			return true
 		}
 	}
--- a/pkg/gateway/silence_test.go
+++ b/pkg/gateway/silence_test.go
@@ -18,47 +18,44 @@
 	"github.com/tidepost/tidepost/pkg/serviceconfig"
 )
 
-// Seen: all open connections between gateways and backend servers fell silent, without
-// an end, while new ones worked, and for seconds a third of the usual was answered.
-// How: a request under way waited for a second or two; every further request took the
-// next resting connection, which was silent too. A dial after 450 ms was answered, and
-// nothing followed from that.
-// Cause: silence was put down to the backend server alone, never to its connections.
-// Proof: the stand-ins below work all the time, only the open connections to them are
-// silenced; before the repair these tests failed, with attempts that ended as broken
-// one after the other.
+// These tests guard against connections that fall silent without being closed while new ones work.
+// The gateway attributed the silence to the backend server: active requests waited a second or
+// two, each further request took the next idle connection, which was silent as well, and an
+// answered dial after 450 ms changed nothing. For seconds a third of the usual number of requests
+// was answered. The stand-in servers below work all the time; only the open connections to them
+// are silenced.
 
 const (
-	// silencedServerCount are enough for silence at several addresses at once.
+	// silencedServerCount is enough for silence at several addresses at once.
 	silencedServerCount = 4
-	// streamEvents and eventPause make streams of a second.
+	// streamEvents and eventPause make streams that take one second.
 	streamEvents = 100
 	eventPause   = 10 * time.Millisecond
 )
 
-// silencedFixture is a gateway before stand-ins whose connections can be silenced.
+// silencedFixture is a gateway in front of stand-in servers whose connections can be silenced.
 type silencedFixture struct {
 	*fixture
 	servers []*standIn
 	proxies []*faultproxy.Proxy
 }
 
-// redirectedListener is a listener that is reached at another address.
+// redirectedListener is a listener that is reached through another address.
 type redirectedListener struct {
 	net.Listener
 	addr net.Addr
 }
 
-// address is an address of TCP as text.
+// address is a TCP address as text.
 type address string
 
-// Network is that of the address.
+// Network returns the network of the address.
 func (address) Network() string { return "tcp" }
 
 // String returns the address.
 func (a address) String() string { return string(a) }
 
-// Addr returns where it is reached.
+// Addr returns the address through which the listener is reached.
 func (r redirectedListener) Addr() net.Addr { return r.addr }
 
 func newSilencedFixture(t *testing.T, kind serviceconfig.Kind, scripts ...exchangeScript) *silencedFixture {
@@ -76,7 +73,7 @@
 		reached = append(reached, &standIn{incarnation: server.incarnation, listener: redirectedListener{server.listener, address(p.Address())}})
 	}
 	f.fixture = newFixture(t, kind, true, reached...)
-	// The stand-ins are to share the requests.
+	// Distinct ends make the gateway spread requests over the servers.
 	for i, server := range reached {
 		f.backend(server.incarnation).end(time.Duration(i) * time.Second)
 	}
@@ -108,7 +105,7 @@
 	return int(m.GetCounter().GetValue())
 }
 
-// repeatScript returns a script for each of several servers.
+// repeatScript returns one script for each of n servers.
 func repeatScript(n int, script exchangeScript) []exchangeScript {
 	scripts := make([]exchangeScript, n)
 	for i := range scripts {
@@ -117,8 +114,8 @@
 	return scripts
 }
 
-// splitEventStream writes events in two halves each, from behind the last one that the
-// caller has.
+// splitEventStream writes each event in two halves, starting after the last one that the caller
+// has.
 func splitEventStream(w *bufio.Writer, r *http.Request) bool {
 	last, _ := strconv.Atoi(r.Header.Get(headerLastEvent))
 	writeEvents(w, r, last+1, last)
@@ -134,14 +131,14 @@
 	return err == nil
 }
 
-// streamResult is what a caller got of a stream.
+// streamResult is what a caller received of a stream.
 type streamResult struct {
 	body string
 	err  error
 }
 
-// streams has callers read streams at the same time; begun is called once each of them
-// has some events.
+// streams runs callers that read streams at the same time, and calls onStarted once each has some
+// events.
 func (f *silencedFixture) streams(t *testing.T, callers int, onStarted func()) []streamResult {
 	t.Helper()
 	const beginAfter = 10
@@ -187,8 +184,8 @@
 	return got
 }
 
-// Streams whose connections fall silent in the middle of an event go on over new
-// connections, whole and in order; and so again when those fall silent.
+// Streams whose connections fall silent in the middle of an event resume over new connections,
+// complete and in order, also when those fall silent in turn.
 func TestStreamsResumeAfterConnectionsFallSilent(t *testing.T) {
 	const callers = 12
 	f := newSilencedFixture(t, serviceconfig.Stream, repeatScript(silencedServerCount, splitEventStream)...)
@@ -205,8 +202,8 @@
 	}
 }
 
-// fillPool has so many requests under way at once that each server keeps connections, and
-// then lets them rest.
+// fillPool sends that many requests at the same time, so that idle connections to each server
+// remain.
 func (f *silencedFixture) fillPool(t *testing.T, requests int) {
 	t.Helper()
 	var all sync.WaitGroup
@@ -223,7 +220,7 @@
 	all.Wait()
 }
 
-// answerTogether is a script that answers once a number of requests are there.
+// answerTogether is a script that answers once a number of requests have come.
 func answerTogether(requests int) exchangeScript {
 	var all sync.WaitGroup
 	all.Add(requests)
@@ -245,8 +242,8 @@
 	}
 }
 
-// Requests that take resting connections which have fallen silent are sent again over
-// new ones, and the resting ones that are left are never used.
+// Requests that take silent idle connections are retried over new ones, and the remaining silent
+// idle connections are never used.
 func TestSilentIdleConnectionsAreNotReused(t *testing.T) {
 	const requests = 16
 	f := newSilencedFixture(t, serviceconfig.Repeatable, repeatScript(silencedServerCount, answerTogether(requests))...)
@@ -281,8 +278,8 @@
 	}
 }
 
-// A request that may run once waits on its silent connection, and is not sent again;
-// the next ones take new connections.
+// A request that may run only once waits on its silent connection and is not sent again; later
+// requests use new connections.
 func TestNonIdempotentRequestIsNotResentAfterSilence(t *testing.T) {
 	const requests = 4
 	f := newSilencedFixture(t, serviceconfig.Once, answerTogether(requests))
@@ -291,7 +288,7 @@
 	first := f.request(t, http.MethodPost, "first", "")
 	first.Header.Set(headerDeadline, "1000")
 	if status, _, _, _ := f.do(t, first); status == http.StatusOK {
-		t.Fatalf("the first one was answered: %d", status)
+		t.Fatalf("the first request was answered: %d", status)
 	}
 	for _, id := range []string{"second", "third"} {
 		if status, _, body, err := f.do(t, f.request(t, http.MethodPost, id, "")); status != 200 || body != "answer to "+id || err != nil {
@@ -300,13 +297,13 @@
 	}
 	for _, id := range f.servers[0].requests() {
 		if id == "first" {
-			t.Error("the first one came although its connection was silent: it was sent again")
+			t.Error("the first request arrived although its connection was silent: it was sent again")
 		}
 	}
 }
 
-// A backend server that stands still, while others work, is not taken for one with
-// silent connections: what it works on is left there as long as ever.
+// A backend server that stalls while others work is not treated as having silent connections: its
+// requests stay until the watchdog's normal limits.
 func TestStalledServerKeepsItsRequests(t *testing.T) {
 	const callers = 12
 	stop, resume := make(chan struct{}), make(chan struct{})
@@ -340,21 +337,21 @@
 	}
 }
 
-// Seen: four streams of one gateway lost within a stop: `attempt silent ... evidence: many`, then
-// `attempt lapsed ... no answer; taken back`, then `no other backend server`. Connections were
-// taken for silent on a busy machine, 385 ms without an event, while the version lapsed at all
-// engines sooner than streams began there. Proved by the lines' order, and here by whether the
-// stream stays.
+// Guards against moving a stream to where it can't begin in time. On a busy machine, connections
+// with 385 ms between events were considered silent, while the version expired at all engines
+// sooner than streams began there. Four streams of one gateway were lost within one planned stop:
+// `attempt silent` with evidence many, then `attempt lapsed` without an answer, then no other
+// backend server.
 func TestSilentStreamMovesOnlyIfResumedInTime(t *testing.T) {
 	const left = 1500 * time.Millisecond
 	for name, c := range map[string]struct {
 		wait             time.Duration
-		newVersionServed bool // an engine serves the version that is due next
+		newVersionServed bool // an engine serves the next version
 		moves            bool
 	}{
-		"requests begin at once":       {50 * time.Millisecond, false, true},
-		"they begin when it is late":   {left, false, false},
-		"late, and one serves the new": {left, true, true},
+		"requests begin at once":                    {50 * time.Millisecond, false, true},
+		"they begin too late":                       {left, false, false},
+		"too late, and one serves the next version": {left, true, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(t, serviceconfig.Stream, true)
@@ -376,23 +373,23 @@
 			q := &request{route: route, service: service, model: "menu", sent: 1, tried: map[*backend]bool{b: true}, run: left}
 			x := &exchange{gateway: f.gateway, request: q, backend: b, elsewhere: f.gateway.wantedFor(q)}
 			if x.mayInterrupt(interruptSilence, stageStreaming, now) != c.moves {
-				t.Errorf("it leaves: %t", !c.moves)
+				t.Errorf("interrupted: %t", !c.moves)
 			}
 			if !q.tried[b] {
-				t.Error("the look changed where the request was sent to")
+				t.Error("the check changed the request's set of tried servers")
 			}
 		})
 	}
 }
 
-// A stream under way whose repeats are spent waits for one as long as its caller does.
+// An active stream waits for a retry in the budget as long as its caller waits.
 func TestActiveStreamWaitsForARetry(t *testing.T) {
 	f := newFixture(t, serviceconfig.Stream, true)
 	route, _ := f.gateway.index.Load().Route("menus.example", "/draft/x")
 	service, _ := f.gateway.index.Load().Service("menu")
 	f.gateway.budget = settledBudget(0, 1.5*float64(f.gateway.gateways()), time.Hour)
 	if !f.gateway.budget.repeat("menu", f.gateway.gateways()) {
-		t.Fatal("there is no repeat to spend")
+		t.Fatal("there is no retry to spend")
 	}
 	now := time.Now()
 	q := &request{ctx: t.Context(), route: route, service: service, begun: true, eventAt: now.Add(time.Hour), deadline: now.Add(2 * time.Hour)}
@@ -401,39 +398,39 @@
 		f.gateway.budget.unspent("menu")
 	}()
 	if !f.gateway.awaitRepeat(q) {
-		t.Error("it did not wait for the repeat that was put back")
+		t.Error("it did not wait for the retry that was put back")
 	}
 	q.eventAt = now.Add(-mostYield)
 	if f.gateway.awaitRepeat(q) {
-		t.Error("it got a repeat that is not there")
+		t.Error("it got a retry that is not in the budget")
 	}
 }
 
-// A stream under way whose connection seems silent is broken off only where it may go on
-// elsewhere, and the repeat that it needs for that is taken once.
+// An active stream whose connection seems silent is interrupted only where it can resume
+// elsewhere, and the retry for that is taken once.
 func TestStreamIsInterruptedOnlyIfItCanResume(t *testing.T) {
 	f := newFixture(t, serviceconfig.Stream, true)
 	route, _ := f.gateway.index.Load().Route("menus.example", "/draft/x")
 	service, _ := f.gateway.index.Load().Service("menu")
-	// One repeat for this gateway, after what is kept for safety.
+	// One retry for this gateway, after the safety reserve.
 	f.gateway.budget = settledBudget(0, 1.5*float64(f.gateway.gateways()), time.Hour)
 	q := &request{route: route, service: service, sent: 1, ranAt: map[*backend]bool{{}: true}}
 	last := &exchange{gateway: f.gateway, request: q, isLast: true}
 	if last.mayInterrupt(interruptUnreachable, stageResuming, time.Now()) {
-		t.Error("the last attempt is broken off")
+		t.Error("the last attempt is interrupted")
 	}
 	x := &exchange{gateway: f.gateway, request: q}
 	if !x.takeRetryToResume() || !q.repeatTaken.Load() {
-		t.Fatal("no repeat was taken")
+		t.Fatal("no retry was taken")
 	}
 	if !x.takeRetryToResume() {
-		t.Error("a repeat that is in hand is asked for again")
+		t.Error("a retry that was taken is taken again")
 	}
 	if refused := f.gateway.mayTry(q, 1); refused != nil {
-		t.Errorf("the repeat that was taken is asked for again: %v", refused)
+		t.Errorf("the retry that was taken is asked for again: %v", refused)
 	}
-	q.repeatTaken.Store(false) // it was sent
+	q.repeatTaken.Store(false) // the retry was sent
 	if x.takeRetryToResume() {
-		t.Error("it is broken off without a repeat")
+		t.Error("it is interrupted without a retry")
 	}
 }
--- a/pkg/gateway/silent_links_test.go
+++ b/pkg/gateway/silent_links_test.go
@@ -1,11 +1,8 @@
-// What was seen: when all open connections went silent, without a reset, while new ones
-// worked, requests were refused or late for seconds although every engine was well.
-// How it came about: each question for a place at an engine was lost on the silent link
-// to its stager. The stager then was not asked for one to four seconds, and after that
-// it was asked over the same link.
-// What caused it: a silent link and a dead stager looked the same to the gateway.
-// What proved it: with links that never find out by themselves no stager is asked again
-// at all, however long the gateway goes on; a dead one must be left alone as before.
+// These tests guard against taking a silent link for a dead stager. When all open connections went
+// silent without a reset while new ones worked, requests were refused or late for seconds although
+// every engine worked: each reservation request was lost on the silent link to a stager, the stager
+// was not asked for one to four seconds, and then was asked over the same link. The links here
+// never detect silence by themselves. A dead stager must still not be asked for a while.
 
 package gateway
 
@@ -27,20 +24,20 @@
 	"github.com/tidepost/tidepost/pkg/vm"
 )
 
-// linkTestTimeout ends a test that waits for what does not come.
+// linkTestTimeout bounds each wait of these tests.
 const linkTestTimeout = 20 * time.Second
 
-// silencedLinks are links to stagers that can go silent: those that are open lose what
-// they carry, both ways. New ones work, unless the stagers are dead.
+// silencedLinks are links to stagers that can be silenced: open links lose all bytes in both
+// directions. New ones work, unless dials hang as they do for dead stagers.
 type silencedLinks struct {
 	silenced.Conns
 	mu           sync.Mutex
 	dials        int
 	dialsHang    bool
-	reservations atomic.Int64 // questions that came to a stager
+	reservations atomic.Int64 // reservation requests that reached a stager
 }
 
-// silence silences every link that is open; dead stagers take no new ones.
+// silence silences every open link. With dialsHang, new links don't come up either.
 func (s *silencedLinks) silence(dialsHang bool) {
 	s.mu.Lock()
 	s.dialsHang = dialsHang
@@ -48,14 +45,14 @@
 	s.Silence()
 }
 
-// newLinkedGateway returns a gateway whose stagers are asked over links.
+// newLinkedGateway returns a gateway that asks its stagers over links.
 func newLinkedGateway(t *testing.T) (*Gateway, *request, *silencedLinks) {
 	t.Helper()
 	g, q := newReserving(t, &stagerStandIn{})
 	s := &silencedLinks{}
 	stager := link.NewEndpoint(link.Config{
 		Own: vm.NewIdentity("stager", 1, "", "", ""), Clock: clocks.NewClock(time.Now), Logger: log.NewNopLogger(),
-		// Pings come too late to help, here and below.
+		// Pings come too late to detect the silence, here and below.
 		KeepAlive: time.Hour, Unanswered: time.Hour,
 	})
 	stager.Handle(link.KindReserve, func(_ context.Context, stream *link.Stream) error {
@@ -94,12 +91,12 @@
 		stager.Close()
 	})
 	g.askStager = g.callStager
-	// All stagers are linked, as they are in a gateway that has served for a while.
+	// Links to all stagers are open, as in a gateway that has served for a while.
 	deadline := time.Now().Add(linkTestTimeout)
 	for _, b := range g.backends.of("menu") {
 		for !g.reserve(q, b, 0, time.Now().Add(linkTestTimeout)).granted {
 			if time.Now().After(deadline) {
-				t.Fatal("a stager that is well does not answer")
+				t.Fatal("a working stager does not answer")
 			}
 			b.hearLoadNow(feed.NewLoad("menu", b.address, "menu", 1, 3, 0, 1, false, false))
 			b.mu.Lock()
@@ -110,16 +107,16 @@
 	return g, q, s
 }
 
-// reportFreeSlots has the gateway hear of each engine, as it does from control nodes.
+// reportFreeSlots reports the load of each engine to the gateway, as control nodes do.
 func reportFreeSlots(g *Gateway) {
-	// All demand comes here, so a share is all places.
+	// All demand comes to this gateway, so its share is all slots.
 	g.demand.add(time.Now())
 	for _, b := range g.backends.of("menu") {
 		b.hearLoad(feed.NewLoad("menu", b.address, "menu", 1, 3, 0, 1, false, false))
 	}
 }
 
-// Every stager is asked again, twice in a row, and nobody is refused meanwhile.
+// Every stager is asked again, twice in a row, and no request is refused meanwhile.
 func TestStagersBehindSilentLinksAreAskedAgain(t *testing.T) {
 	g, q, s := newLinkedGateway(t)
 	for range 2 {
@@ -132,7 +129,7 @@
 			q.started, q.tried = time.Now(), map[*backend]bool{}
 			reportFreeSlots(g)
 			if b, refused := g.pick(q); b == nil {
-				t.Fatalf("refused with %v while engines have places", refused)
+				t.Fatalf("refused with %v while engines have free slots", refused)
 			}
 		}
 		for _, b := range g.backends.of("menu") {
@@ -146,8 +143,8 @@
 	}
 }
 
-// A dead stager looks like one behind a silent link until no new connection to it
-// comes up. It is left alone for a while, and its engine is shared.
+// A dead stager looks like one behind a silent link until no new link to it comes up. It is then
+// not asked for a while, and requests use its engine by load reports.
 func TestDeadStagersAreNotAskedAgain(t *testing.T) {
 	g, q, s := newLinkedGateway(t)
 	s.silence(true)
@@ -157,6 +154,6 @@
 		}
 	}
 	if b, refused := g.pick(q); b == nil {
-		t.Fatalf("refused with %v while engines have places", refused)
+		t.Fatalf("refused with %v while engines have free slots", refused)
 	}
 }
--- a/pkg/gateway/stall_test.go
+++ b/pkg/gateway/stall_test.go
@@ -10,7 +10,7 @@
 	"github.com/tidepost/tidepost/pkg/serviceconfig"
 )
 
-// newStalledStream is a stream under way at the first of two engines, without an event for a time.
+// newStalledStream is an active stream at the first of two engines, without an event for a time.
 func newStalledStream(t *testing.T, silent time.Duration) (f *fixture, x *exchange) {
 	t.Helper()
 	f = newFixture(t, serviceconfig.Stream, true)
@@ -28,8 +28,8 @@
 	return f, x
 }
 
-// A stream without progress is left where it would begin elsewhere after its caller has given it
-// up, and where no other server has a free place: on such a move it was refused, and lost.
+// A stream without progress stays where it would begin elsewhere only after its caller leaves,
+// and where no other server has a free slot: moved there it was rejected and lost.
 func TestStalledStreamMovesOnlyIfCallerBenefits(t *testing.T) {
 	const stalled = maxEventGap + watchdogInterval/2
 	for name, c := range map[string]struct {
@@ -37,10 +37,10 @@
 		full               bool
 		moves              bool
 	}{
-		"a free place":                {stalled, 50 * time.Millisecond, false, true},
-		"others are full":             {stalled, 50 * time.Millisecond, true, false},
-		"begins after its caller":     {stalled, 1500 * time.Millisecond, false, false},
-		"its caller should have left": {stalled + time.Second, 1500 * time.Millisecond, false, true},
+		"a free slot":                         {stalled, 50 * time.Millisecond, false, true},
+		"others are full":                     {stalled, 50 * time.Millisecond, true, false},
+		"begins after its caller leaves":      {stalled, 1500 * time.Millisecond, false, false},
+		"its caller is expected to have left": {stalled + time.Second, 1500 * time.Millisecond, false, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f, x := newStalledStream(t, c.silent)
@@ -52,14 +52,14 @@
 				f.gateway.backends.hearLoad(feed.NewLoad("menu", other.address, "menu", 1, 16, 1, 1, false, false))
 			}
 			if moves := x.mayInterrupt(interruptStall, stageStreaming, time.Now()); moves != c.moves {
-				t.Errorf("it is moved: %t", moves)
+				t.Errorf("moved: %t", moves)
 			}
 		})
 	}
 }
 
-// A stream without progress stays until a server has granted a place, and takes that one: moved by a
-// report alone it found all places taken.
+// A stream without progress stays until a server has granted a slot, and then uses that slot:
+// when moved by load reports alone it found all slots taken.
 func TestStalledStreamMovesToTheReservedSlot(t *testing.T) {
 	for name, granted := range map[string]bool{"granted": true, "refused": false} {
 		t.Run(name, func(t *testing.T) {
@@ -70,49 +70,49 @@
 				return reservation.NewAnswer(granted, idleBegin, feed.NewLoad("menu", "", "menu", 1, 1, 0, 1, false, false)), nil
 			}
 			if moves := x.mayInterrupt(interruptStall, stageStreaming, time.Now()); moves != granted || asked != 1 {
-				t.Fatalf("it is moved: %t, after %d questions", moves, asked)
+				t.Fatalf("moved: %t, after %d reservation requests", moves, asked)
 			}
 			if !granted {
 				return
 			}
 			if b, refused := f.gateway.pick(x.request); b != f.backend("i-other") || asked != 1 {
-				t.Errorf("it goes to %v, refused with %v, after %d questions", b, refused, asked)
+				t.Errorf("it goes to %v, refused with %v, after %d reservation requests", b, refused, asked)
 			}
 		})
 	}
 }
 
-// Servers that become slow together look like connections that are silent everywhere. A stream
-// leaves its connection when a newer one to the same server is answered on, or after as long as one
-// that stalls: streams of slow servers were all sent anew at one moment, and found them full.
+// Servers that become slow together look like global silence. A stream leaves its connection when
+// a newer one to the same server receives events, or after the time of a stall. Earlier, all
+// streams of slow servers were sent anew at the same moment, and found the servers full.
 func TestStreamLeavesGlobalSilenceOnlyWithEvidence(t *testing.T) {
 	const slowEvent = 400 * time.Millisecond
 	for name, c := range map[string]struct {
 		silent      time.Duration
-		newer       bool // connections are there
-		answers     bool // they are answered on
+		newer       bool // there are newer connections
+		answers     bool // they receive events
 		interrupted bool
 	}{
-		"not proved":              {slowEvent, false, false, false},
-		"proved by a newer one":   {slowEvent, true, true, true},
-		"as long as one stalls":   {maxEventGap + 3*minSilence, false, false, true},
-		"newer ones wait as well": {maxEventGap + 3*minSilence, true, false, false},
+		"no evidence":                        {slowEvent, false, false, false},
+		"a newer connection receives events": {slowEvent, true, true, true},
+		"silent as long as a stall":          {maxEventGap + 3*minSilence, false, false, true},
+		"newer connections wait as well":     {maxEventGap + 3*minSilence, true, false, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f, x := newStalledStream(t, c.silent)
 			f.gateway.protocol.Patience = func(time.Duration, time.Duration) time.Duration { return 2 * maxEventGap }
 			f.gateway.silences.record(timingKey{"menu", timingWait}, time.Now(), minSilence)
-			h := x.listening.snapshot()
-			all := []attemptSnapshot{h}
+			snapshot := x.listening.snapshot()
+			all := []attemptSnapshot{snapshot}
 			if c.newer {
-				newer := h
-				newer.connectedAt, newer.silentSince = h.silentSince.Add(minSilence/2), h.silentSince.Add(2*minSilence)
+				newer := snapshot
+				newer.connectedAt, newer.silentSince = snapshot.silentSince.Add(minSilence/2), snapshot.silentSince.Add(2*minSilence)
 				newer.received, newer.streaming = c.answers, c.answers
 				all = append(all, newer)
 			}
-			why := silenceReason(time.Now(), evidenceManyAddresses, h, all)
-			if interrupted := x.mayInterrupt(why, stageStreaming, time.Now()); interrupted != c.interrupted {
-				t.Errorf("it leaves as %q: %t", why, interrupted)
+			reason := silenceReason(time.Now(), evidenceManyAddresses, snapshot, all)
+			if interrupted := x.mayInterrupt(reason, stageStreaming, time.Now()); interrupted != c.interrupted {
+				t.Errorf("interrupted as %q: %t", reason, interrupted)
 			}
 		})
 	}
--- a/pkg/gateway/stream_callers_test.go
+++ b/pkg/gateway/stream_callers_test.go
@@ -1,5 +1,6 @@
 // ================================================================
-// Callers of gateways in virtual time: one request after the other, and what became of each.
+// Callers of simulated gateways in virtual time. Each sends one request after the other, and the
+// simulation records how each request ended.
 // ================================================================
 
 package gateway
@@ -18,17 +19,17 @@
 const (
 	// callerTimeout is a caller's deadline.
 	callerTimeout = 6 * time.Second
-	// callerPause lies between two requests of a caller.
+	// callerPause is the time between two requests of a caller.
 	callerPause = 200 * time.Millisecond
-	// deadlineTolerance is how early before a deadline an end counts as due to it.
+	// deadlineTolerance is how long before a deadline an end counts as caused by it.
 	deadlineTolerance = 100 * time.Millisecond
 )
 
-// simRequest is one request of a caller.
+// simRequest is one request of a caller, and its http.ResponseWriter.
 type simRequest struct {
 	id        string
 	sentAt    time.Time
-	lastEvent int // event
+	lastEvent int // number of the answer's last event
 	gateway   *Gateway
 	mu        sync.Mutex
 	header    http.Header
@@ -39,45 +40,45 @@
 	endedAt   time.Time
 }
 
-func (a *simRequest) Header() http.Header { return a.header }
+func (q *simRequest) Header() http.Header { return q.header }
 
-func (a *simRequest) WriteHeader(status int) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.status = status
+func (q *simRequest) WriteHeader(status int) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.status = status
 }
 
-func (a *simRequest) Write(b []byte) (int, error) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return a.body.Write(b)
+func (q *simRequest) Write(b []byte) (int, error) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	return q.body.Write(b)
 }
 
-// Flush is there since streams are flushed.
-func (a *simRequest) Flush() {}
+// Flush implements http.Flusher, which streams require.
+func (q *simRequest) Flush() {}
 
-// isWaiting tells whether the caller still waits.
-func (a *simRequest) isWaiting() bool {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return !a.ended && time.Since(a.sentAt) < callerTimeout-deadlineTolerance
+// isWaiting reports whether the caller still waits.
+func (q *simRequest) isWaiting() bool {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	return !q.ended && time.Since(q.sentAt) < callerTimeout-deadlineTolerance
 }
 
-// deadline is until when the caller waits.
-func (a *simRequest) deadline() time.Time { return a.sentAt.Add(callerTimeout) }
+// deadline returns until when the caller waits.
+func (q *simRequest) deadline() time.Time { return q.sentAt.Add(callerTimeout) }
 
 // caller sends one request after the other to a gateway until the context ends.
-func (w *streamSim) caller(ctx context.Context, member *simGateway, name string) {
-	time.Sleep(w.randomDuration(0, time.Second))
+func (s *streamSim) caller(ctx context.Context, member *simGateway, name string) {
+	time.Sleep(s.randomDuration(0, time.Second))
 	for i := 0; ctx.Err() == nil; i++ {
-		w.send(member, fmt.Sprintf("%s-%d", name, i))
+		s.send(member, fmt.Sprintf("%s-%d", name, i))
 		time.Sleep(callerPause)
 	}
 }
 
-// send sends one request, and notes what became of it.
-func (w *streamSim) send(m *simGateway, id string) {
-	prompt, tokens := int(w.randomDuration(100, 3880)), int(w.randomDuration(40, 480))
+// send sends one request, and records how it ended.
+func (s *streamSim) send(m *simGateway, id string) {
+	prompt, tokens := int(s.randomDuration(100, 3880)), int(s.randomDuration(40, 480))
 	ctx, cancel := context.WithTimeout(context.Background(), callerTimeout)
 	defer cancel()
 	r := httptest.NewRequestWithContext(ctx, http.MethodPost, "http://menus.example/draft/x", strings.NewReader("draft"))
@@ -86,51 +87,51 @@
 	r.Header.Set(headerModel, "menu")
 	r.Header.Set(headerDeadline, fmt.Sprint(callerTimeout.Milliseconds()))
 	r.Header.Set(headerTokens, fmt.Sprintf("%d,%d", prompt, tokens))
-	a := &simRequest{id: id, sentAt: time.Now(), lastEvent: eventsOfTokens(tokens), gateway: m.process(), header: http.Header{}}
-	w.mu.Lock()
-	w.requests[id] = a
-	w.mu.Unlock()
+	q := &simRequest{id: id, sentAt: time.Now(), lastEvent: eventsOfTokens(tokens), gateway: m.process(), header: http.Header{}}
+	s.mu.Lock()
+	s.requests[id] = q
+	s.mu.Unlock()
 	func() {
 		defer func() {
 			if cause := recover(); cause != nil && cause != http.ErrAbortHandler {
 				panic(cause)
 			}
 		}()
-		a.gateway.ServeHTTP(a, r)
+		q.gateway.ServeHTTP(q, r)
 	}()
-	w.classify(a)
+	s.classify(q)
 }
 
-func (w *streamSim) requestOf(id string) *simRequest {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.requests[id]
+func (s *streamSim) requestOf(id string) *simRequest {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.requests[id]
 }
 
 // classify counts how a request ended.
-func (w *streamSim) classify(a *simRequest) {
-	a.mu.Lock()
-	a.ended, a.endedAt = true, time.Now()
-	a.complete = a.body.String() == events(1, a.lastEvent)
-	a.mu.Unlock()
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	v := &w.result
+func (s *streamSim) classify(q *simRequest) {
+	q.mu.Lock()
+	q.ended, q.endedAt = true, time.Now()
+	q.complete = q.body.String() == events(1, q.lastEvent)
+	q.mu.Unlock()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	v := &s.result
 	v.sent++
 	switch {
-	case a.complete:
+	case q.complete:
 		v.complete++
-	case !a.endedAt.Before(a.deadline().Add(-deadlineTolerance)):
+	case !q.endedAt.Before(q.deadline().Add(-deadlineTolerance)):
 		v.late++
-	case a.status != http.StatusOK:
+	case q.status != http.StatusOK:
 		v.refused++
-	case a.gateway.stop.isOver():
+	case q.gateway.stop.isOver():
 	default:
-		v.lost = append(v.lost, w.describe(a))
+		v.lost = append(v.lost, s.describe(q))
 	}
 }
 
-// describe is what a finding says of a request, for whoever holds the lock.
-func (w *streamSim) describe(a *simRequest) string {
-	return fmt.Sprintf("%s sent at %s, now %s", a.id, a.sentAt.Sub(w.started).Round(time.Millisecond), time.Since(w.started).Round(time.Millisecond))
+// describe returns the text of a finding about a request. The caller holds the lock.
+func (s *streamSim) describe(q *simRequest) string {
+	return fmt.Sprintf("%s sent at %s, now %s", q.id, q.sentAt.Sub(s.started).Round(time.Millisecond), time.Since(s.started).Round(time.Millisecond))
 }
--- a/pkg/gateway/stream_engine_test.go
+++ b/pkg/gateway/stream_engine_test.go
@@ -1,6 +1,7 @@
 // ================================================================
-// A model engine in virtual time: it works in passes, keeps deadlines, takes orders for
-// weights, and may become slow, stand still or sit behind a link full of chunks.
+// A simulated model engine in virtual time. It works in passes, applies deadlines, loads versions
+// of the weights by order, and may become slow, stall, or sit behind a link full of weight
+// chunks.
 // ================================================================
 
 package gateway
@@ -27,31 +28,32 @@
 	engineQueueSize = 6
 	// engineLoadTime is how long an engine takes to load weights.
 	engineLoadTime = 400 * time.Millisecond
-	// withdrawTimeout and withdrawPlaces bound the wait before an order cuts what runs.
+	// Before an order cuts the running requests, the engine waits until at most withdrawOccupancy
+	// of its slots are taken, but no longer than withdrawTimeout.
 	withdrawTimeout   = 3 * time.Second
 	withdrawOccupancy = 0.2
-	// headerTokens is the prompt and the answer of a request, in tokens.
+	// headerTokens carries the lengths of the prompt and the answer of a request, in tokens.
 	headerTokens = "X-Test-Tokens"
 )
 
-// simEngineConfig is what the configuration says of the engines.
+// simEngineConfig is the engines' part of the service configuration.
 var simEngineConfig = serviceconfig.NewEngine(12, []string{"menu"}, 1, 96, 24576, 9270*time.Microsecond, 23*time.Microsecond, 20700, 800, 80, 0, 5)
 
 // simRun is one request at an engine.
 type simRun struct {
 	request              *simRequest
 	prompt               int
-	firstEvent           int // event
+	firstEvent           int // number of the first event that the caller lacks
 	nextEvent, lastEvent int
-	deadline             time.Time // its deadline
+	deadline             time.Time
 	events               chan int
-	disconnected         atomic.Bool // its connection has closed
+	disconnected         atomic.Bool // the caller's connection has closed
 	started              bool
-	ended                atomic.Bool // the engine has ended it
+	ended                atomic.Bool // the engine has ended the run
 	endOnce              *sync.Once
 }
 
-// end ends the run without a whole answer.
+// end ends the run, also without a complete answer.
 func (r *simRun) end() {
 	r.endOnce.Do(func() {
 		r.ended.Store(true)
@@ -71,14 +73,14 @@
 	withdrawn       bool
 	slowdown        float64
 	stalledUntil    time.Time
-	lastStall       time.Time     // when it stood still last
-	linkDelay       time.Duration // of requests and resets, behind chunks; 0 where there are none
+	lastStall       time.Time     // when the engine last stalled
+	linkDelay       time.Duration // of requests and resets, behind chunks; 0 without chunks
 	queued, running []*simRun
 }
 
-func newSimEngine(w *streamSim, i int) *simEngine {
+func newSimEngine(sim *streamSim, i int) *simEngine {
 	return &simEngine{
-		sim: w, address: fmt.Sprintf("127.9.%d.%d:9000", i/200, i%200+1), domain: fmt.Sprintf("hall-%c", 'a'+i%3),
+		sim: sim, address: fmt.Sprintf("127.9.%d.%d:9000", i/200, i%200+1), domain: fmt.Sprintf("hall-%c", 'a'+i%3),
 		wake: make(chan struct{}, 1), version: 1, slowdown: 1,
 	}
 }
@@ -95,8 +97,8 @@
 			continue
 		}
 		time.Sleep(took)
-		for still := e.stalledFor(); still > 0; still = e.stalledFor() {
-			time.Sleep(still)
+		for pause := e.stalledFor(); pause > 0; pause = e.stalledFor() {
+			time.Sleep(pause)
 		}
 		e.endPass()
 	}
@@ -109,7 +111,7 @@
 	return time.Until(e.stalledUntil)
 }
 
-// beginPass takes in those that wait, and returns how long the pass takes; 0 for no work.
+// beginPass starts queued requests, and returns how long the pass takes; 0 without work.
 func (e *simEngine) beginPass() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -130,12 +132,12 @@
 	return time.Duration(e.slowdown * float64(time.Duration(simEngineConfig.Stride())*step+readTime))
 }
 
-// endPass writes one event for each request that runs.
+// endPass writes one event for each running request.
 func (e *simEngine) endPass() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.dropEnded()
-	var still []*simRun
+	var remaining []*simRun
 	for _, r := range e.running {
 		r.events <- r.nextEvent
 		r.nextEvent++
@@ -143,9 +145,9 @@
 			r.end()
 			continue
 		}
-		still = append(still, r)
+		remaining = append(remaining, r)
 	}
-	e.running = still
+	e.running = remaining
 }
 
 // dropEnded drops requests whose caller has left or whose deadline has passed.
@@ -167,7 +169,7 @@
 	e.queued, e.running = kept(e.queued), kept(e.running)
 }
 
-// abortAll breaks off all requests.
+// abortAll aborts all requests.
 func (e *simEngine) abortAll() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -177,8 +179,8 @@
 	e.queued, e.running = nil, nil
 }
 
-// loadVersion has the engine take a version: it takes nothing new, lets most of what runs end, and
-// loads the weights.
+// loadVersion carries out an order: the engine takes no new requests, lets most of the running
+// ones end, and loads the version.
 func (e *simEngine) loadVersion(version uint64) {
 	e.set(func() { e.withdrawn = true })
 	e.sim.reportLoads(e)
@@ -199,14 +201,14 @@
 	do()
 }
 
-// requestCounts returns how many requests run and how many wait.
+// requestCounts returns the numbers of running and queued requests.
 func (e *simEngine) requestCounts() (running, queued int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return len(e.running), len(e.queued)
 }
 
-// load is what the stager reports.
+// load returns the load that the stager reports.
 func (e *simEngine) load() feed.Load {
 	running, queued := e.requestCounts()
 	e.mu.Lock()
@@ -214,7 +216,7 @@
 	return feed.NewLoad("menu", e.address, "menu", e.version, running, queued, 1, e.withdrawn, e.linkDelay > 0)
 }
 
-// answerReservation is the stager's answer to a request for a place.
+// answerReservation is the stager's answer to a reservation request.
 func (e *simEngine) answerReservation(a reservation.Ask) reservation.Answer {
 	l := e.load()
 	if l.Busy() {
@@ -224,7 +226,7 @@
 	return reservation.NewAnswer(granted, begins, l)
 }
 
-// dial makes a connection to the engine.
+// dial opens a connection to the engine.
 func (e *simEngine) dial(context.Context, string, string) (net.Conn, error) {
 	clientSide, serverSide := net.Pipe()
 	go e.serve(serverSide)
@@ -264,7 +266,7 @@
 	return e.linkDelay
 }
 
-// disconnect notes that the connection of a run has closed.
+// disconnect records that the connection of a run has closed.
 func (e *simEngine) disconnect(r *simRun) {
 	if r == nil {
 		return
@@ -302,12 +304,12 @@
 	return r
 }
 
-// eventsOfTokens is how many events an answer has.
+// eventsOfTokens returns the number of events in an answer.
 func eventsOfTokens(tokens int) int {
 	return (tokens + simEngineConfig.Stride() - 1) / simEngineConfig.Stride()
 }
 
-// answer writes the answer of a run, and tells whether the connection is kept.
+// answer writes the answer of a run, and reports whether the connection stays open.
 func (e *simEngine) answer(conn net.Conn, request *http.Request, r *simRun) (keep bool) {
 	w := bufio.NewWriter(conn)
 	if r == nil {
--- a/pkg/gateway/outrun_test.go
+++ b/pkg/gateway/stream_interrupt_test.go
@@ -14,19 +14,14 @@
 	"github.com/tidepost/tidepost/pkg/serviceconfig"
 )
 
-// Seen: on a busy machine, while gateways were stopped in order, up to 6 streams of a run
-// ended midway that no stop had cut: `attempt lapsed: the version of the weights there
-// lapses; the stream broke off: unexpected EOF; taken back 0s late`, and then `all 2 attempts
-// are used up` or `the budget of repeats is used up`.
-//
-// How: a stream carried the end of its engine's version as its deadline, since by the
-// estimate it should have been over by then. Engines became several times as slow, and
-// broke it off in the middle. Its caller had part of the answer, and nothing was left to go
-// on with.
-//
-// The tests here are of its causes, each by itself.
+// These tests guard against gateways that end streams midway. A stream carried the expiry of its
+// engine's version as its deadline, because by the estimate it would have ended before. On a busy
+// machine engines became several times as slow and ended it there; its caller had part of the answer,
+// and attempts or retries were used up. Up to 6 streams of a run were lost so while gateways were
+// stopped in order. Each test covers one cause.
 
-// endsAtDeadline is an engine that ends a stream at its deadline, and else completes it after a time.
+// endsAtDeadline is an engine that ends a stream at the request's deadline, or completes it after
+// a time.
 func endsAtDeadline(takes time.Duration, first, last int) exchangeScript {
 	return func(w *bufio.Writer, r *http.Request) bool {
 		writeEvents(w, r, first, first)
@@ -49,7 +44,7 @@
 	return true
 }
 
-// An attempt that may be followed by no other has its caller's deadline alone.
+// The last attempt that a stream may make has only its caller's deadline.
 func TestLastAttemptOfAStreamIsNotBoundByItsVersion(t *testing.T) {
 	cut := newStandIn(t, "i-cut", func(w *bufio.Writer, r *http.Request) bool {
 		writeEvents(w, r, 1, 1)
@@ -64,7 +59,8 @@
 	}
 }
 
-// newOldVersionFixture is a gateway before two engines that serve version 1, the first preferred.
+// newOldVersionFixture is a gateway in front of two engines that serve version 1 and prefers the
+// first.
 func newOldVersionFixture(t *testing.T, first, second *standIn) *fixture {
 	t.Helper()
 	f := newFixture(t, serviceconfig.Stream, true)
@@ -75,12 +71,12 @@
 	return f
 }
 
-// reportVersion has the gateway know what an engine serves now.
+// reportVersion reports to the gateway which version an engine serves.
 func (f *fixture) reportVersion(s *standIn, version uint64) {
 	f.gateway.backends.hearLoad(feed.NewLoad("menu", s.listener.Addr().String(), "menu", version, 0, 0, 1, false, false))
 }
 
-// Where the budget holds no repeat for it, nothing could follow either.
+// Without a retry in the budget the attempt is the last one as well.
 func TestStreamWithoutARetryIsNotBoundByItsVersion(t *testing.T) {
 	f := newLapsing(t, endsAtDeadline(2*time.Second, 1, 3), wholeStream)
 	f.gateway.budget = settledBudget(0, 0, 10*time.Second)
@@ -91,9 +87,8 @@
 	}
 }
 
-// Seen too: `attempt broken: the stream stood still`, then `no other backend server`, or a
-// second attempt that stood still as well. On a machine that is that busy all engines stand
-// still together, and go on together.
+// On a busy machine all engines stall at the same time and continue together. Streams that were
+// moved then found no other server, or stalled there as well.
 func TestStreamsStalledTogetherAreNotMoved(t *testing.T) {
 	const pause = maxEventGap + 2*watchdogInterval
 	began := make(chan bool, 4)
@@ -119,26 +114,26 @@
 		<-began
 	}
 	ask("a")
-	f.backend("i-near").begin(3*time.Second, nil) // the next one goes to the other
+	f.backend("i-near").begin(3*time.Second, nil) // the next request goes to the other
 	ask("b")
 	for range 2 {
 		if body := <-bodies; body != events(1, 3) {
-			t.Errorf("a caller got %q", body)
+			t.Errorf("a caller received %q", body)
 		}
 	}
 	if broken := f.countEnds(t, attemptBroken); broken > 0 {
-		t.Errorf("%.0f attempts were broken off though all engines stood still", broken)
+		t.Errorf("%.0f attempts were interrupted although all engines stalled", broken)
 	}
 }
 
-// addEngineIn makes an engine of a failure domain known that serves version 1.
+// addEngineIn registers an engine in a failure domain that serves version 1.
 func (f *fixture) addEngineIn(s *standIn, domain string) {
 	f.gateway.backends.hear(registry.NewRegistration(s.incarnation, "menu", s.listener.Addr().String(), domain, "v1", 16, registry.Ready, 0,
 		[]registry.Holding{registry.NewHolding("menu", 1, 0, 1)}, 1, 0))
 }
 
-// Where those that stand still are all of one failure domain, streams are moved. Which server
-// takes the second of two that move at one moment is left to the choice.
+// Where all stalled engines are in one failure domain, streams are moved. Which server takes the
+// second of two streams that move at the same moment is not fixed.
 func TestStreamsOfAStalledDomainAreMoved(t *testing.T) {
 	began := make(chan bool, 4)
 	stalled := func(w *bufio.Writer, r *http.Request) bool {
@@ -163,14 +158,14 @@
 		<-began
 	}
 	if first, second := <-whole, <-whole; !first && !second {
-		t.Error("neither stream went on in the other failure domain")
+		t.Error("neither stream resumed in the other failure domain")
 	}
 	if moved := f.countEnds(t, attemptBroken); moved < 2 {
 		t.Errorf("%.0f streams were moved", moved)
 	}
 }
 
-// A stream that stands still by itself goes on elsewhere, as before.
+// A stream that stalls alone resumes on another engine.
 func TestStreamStalledAloneIsMoved(t *testing.T) {
 	f := newLapsing(t, func(w *bufio.Writer, r *http.Request) bool {
 		writeEvents(w, r, 1, 1)
@@ -183,8 +178,8 @@
 	}
 }
 
-// One that nobody else could take over is left where it is: a repeat that finds no place
-// ends it.
+// A stalled stream stays where no other server can take it: a retry without a server would end
+// it.
 func TestStalledStreamStaysWithoutAnotherServer(t *testing.T) {
 	f := newLapsing(t, func(w *bufio.Writer, r *http.Request) bool {
 		writeEvents(w, r, 1, 1)
@@ -198,18 +193,18 @@
 	}
 }
 
-// Seen too, four streams at a time beside 60 busy processes: `attempt broken: the stream stood
-// still` 0.72 s before the version lapsed everywhere, then `attempt lapsed ... no answer; taken
-// back` 0.11 s later, then `no other backend server`. First events came after 1.0 to 1.8 s at that
-// time. Where the stream stood still it might have run on past the end of the version.
+// A stalled stream stays where no other server begins before the version expires, because its own
+// engine may finish it after that. Beside 60 busy processes, where first events took 1.0 to 1.8
+// s, streams in groups of four were moved 0.72 s before the version expired everywhere,
+// interrupted again 0.11 s later, and found no other server.
 func TestStalledStreamStaysIfNoServerResumesInTime(t *testing.T) {
 	const left = maxEventGap + 2*watchdogInterval + time.Second
 	for name, c := range map[string]struct {
 		wait  time.Duration
 		moves bool
 	}{
-		"requests begin at once":         {50 * time.Millisecond, true},
-		"they begin when it is too late": {left, false},
+		"requests begin at once": {50 * time.Millisecond, true},
+		"they begin too late":    {left, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			first := newStandIn(t, "i-first", func(w *bufio.Writer, r *http.Request) bool {
@@ -231,15 +226,14 @@
 				t.Fatalf("%d %q %v", status, body, err)
 			}
 			if moved := len(second.requests()) > 0; moved != c.moves {
-				t.Errorf("it was moved: %t", moved)
+				t.Errorf("moved: %t", moved)
 			}
 		})
 	}
 }
 
-// Seen too, one stream at a time: `attempt broken: the stream stood still`, `attempt refused: 503`,
-// then `the budget of repeats is used up`. The engine that it was moved to was full, and said so,
-// and the one where it had stood still went on a moment later.
+// A stalled stream stays where the other engines are full. One that was moved to a full engine
+// was rejected with 503 and had no retry left, while its first engine continued a moment later.
 func TestStalledStreamStaysIfOthersAreFull(t *testing.T) {
 	const pause = maxEventGap + watchdogInterval
 	first := newStandIn(t, "i-first", func(w *bufio.Writer, r *http.Request) bool {
@@ -269,12 +263,12 @@
 		t.Fatalf("%d %q %v", status, body, err)
 	}
 	if moved := len(second.requests()); moved > 0 {
-		t.Errorf("it was sent to a full engine %d times", moved)
+		t.Errorf("the stream was sent to a full engine %d times", moved)
 	}
 }
 
-// An engine that is heard of, and gives none of its streams an event, reads the prompts of
-// others: its streams are left longer than those of one that says nothing.
+// An engine that sends load reports but no event to any of its streams is reading prompts: its
+// streams stay longer than those of an engine without any sign of life.
 func TestStreamOfAnEngineReadingPromptsStays(t *testing.T) {
 	const pause = maxEventGap + watchdogInterval
 	began := make(chan bool, 1)
@@ -297,13 +291,13 @@
 		t.Fatalf("%d %q %v", status, body, err)
 	}
 	if broken := f.countEnds(t, attemptBroken); broken > 0 {
-		t.Errorf("%.0f attempts were broken off", broken)
+		t.Errorf("%.0f attempts were interrupted", broken)
 	}
 }
 
-// Seen too: `attempt broken: the stream stood still`, `attempt lapsed: ...; no answer; taken back
-// 1ms late`, then `all 2 attempts are used up`. The second attempt waited at an engine whose own version was about to lapse. It is taken
-// back, and the stream goes back to where it was before, which serves the next version by now.
+// A stalled stream was moved to an engine whose own version was about to expire, was interrupted
+// there before its first event, and had used up its attempts. It returns to its first engine,
+// which serves the next version by then.
 func TestStreamReturnsToItsServerAfterVersionExpiry(t *testing.T) {
 	var f *fixture
 	var first, second *standIn
@@ -328,13 +322,12 @@
 		t.Fatalf("%d %q %v", status, body, err)
 	}
 	if f.lapsed(t) != 1 {
-		t.Error("the second attempt was not taken back")
+		t.Error("the second attempt was not interrupted for its version")
 	}
 }
 
-// Seen too: `attempt broken: no answer: use of closed network connection`, as a dial of the
-// server failed on a busy machine. All that wait at a server which seems lost are taken back,
-// but for a stream under way that has no other attempt.
+// When a dial of a server fails, as on a busy machine, the attempts that wait there are
+// interrupted, but not the last attempt of a stream that its caller has part of.
 func TestLastAttemptOfAStreamStaysAtAnUnreachableServer(t *testing.T) {
 	var f *fixture
 	cut := newStandIn(t, "i-cut", func(w *bufio.Writer, r *http.Request) bool {
@@ -353,7 +346,7 @@
 	}
 }
 
-// countEnds counts the attempts that ended so.
+// countEnds returns how many attempts ended in a way.
 func (f *fixture) countEnds(t *testing.T, end attemptEnd) float64 {
 	var m dto.Metric
 	if err := f.gateway.metrics.attempts.WithLabelValues(string(end)).Write(&m); err != nil {
--- a/pkg/gateway/stream_fleet_test.go
+++ b/pkg/gateway/stream_scenarios_test.go
@@ -10,10 +10,10 @@
 	"time"
 )
 
-// streamScenarios are the worlds that each seed is played in.
+// streamScenarios are the simulated scenarios. Each runs with several seeds.
 var streamScenarios = []struct {
 	name  string
-	seeds int // that are played where none are asked for
+	seeds int // how many to run by default
 	simScenario
 }{
 	{"2 gateways, slow engines", 3, simScenario{gateways: 2, engines: 3, load: 0.7, slowFactor: 3, duration: 25 * time.Second}},
@@ -23,7 +23,8 @@
 	{"149 gateways", 1, simScenario{gateways: 149, engines: 60, load: 0.6, slowFactor: 3, chunkDelay: 300 * time.Millisecond, duration: 14 * time.Second}},
 }
 
-// seedsToRun returns the seeds to play: some, or as many as TIDEPOST_SEEDS says.
+// seedsToRun returns the seeds to run: count of them, or as many as TIDEPOST_SEEDS says, from
+// TIDEPOST_SEED on.
 func seedsToRun(t *testing.T, count int) (all []uint64) {
 	t.Helper()
 	from := uint64(1)
@@ -47,50 +48,50 @@
 	return all
 }
 
-// A stream that has begun is not ended by a deadline that its gateway set, and none begins on a
-// version whose time is over: not behind slow engines, late orders, stalls or links full of chunks.
+// A deadline that its gateway set never ends a stream that has begun, and no stream begins on an
+// expired version: not with slow engines, late orders, stalls or links full of chunks.
 func TestNoDeadlineOfAGatewayEndsAStream(t *testing.T) {
-	eachScenario(t, func(t *testing.T, w *streamSim, v *simResult) {
-		w.report(t, "ended by a deadline", v.byDeadline)
-		w.report(t, "begun late", v.startedLate)
+	eachScenario(t, func(t *testing.T, sim *streamSim, v *simResult) {
+		sim.report(t, "ended by a deadline", v.byDeadline)
+		sim.report(t, "started on an expired version", v.startedLate)
 	})
 }
 
-// eachScenario plays each scenario with its seeds.
-func eachScenario(t *testing.T, check func(t *testing.T, w *streamSim, v *simResult)) {
+// eachScenario runs each scenario with its seeds.
+func eachScenario(t *testing.T, check func(t *testing.T, sim *streamSim, v *simResult)) {
 	for _, s := range streamScenarios {
 		t.Run(s.name, func(t *testing.T) {
 			for _, seed := range seedsToRun(t, s.seeds) {
-				w, v := runStreamSim(t, seed, s.simScenario)
-				check(t, w, v)
+				sim, v := runStreamSim(t, seed, s.simScenario)
+				check(t, sim, v)
 			}
 		})
 	}
 }
 
-// runStreamSim plays one world in a bubble.
-func runStreamSim(t *testing.T, seed uint64, s simScenario) (w *streamSim, v *simResult) {
+// runStreamSim runs one simulation in virtual time.
+func runStreamSim(t *testing.T, seed uint64, s simScenario) (sim *streamSim, v *simResult) {
 	t.Helper()
-	w = newStreamSim(t, seed, s)
-	synctest.Test(t, func(*testing.T) { v = w.run() })
-	t.Logf("seed %d: asked %d, whole %d, late %d, refused %d, lost %d, ended by a deadline %d, interrupted %d, begun late %d; counted %v",
+	sim = newStreamSim(t, seed, s)
+	synctest.Test(t, func(*testing.T) { v = sim.run() })
+	t.Logf("seed %d: sent %d, complete %d, late %d, refused %d, lost %d, ended by a deadline %d, interrupted %d, started on an expired version %d; counted by reason %v",
 		seed, v.sent, v.complete, v.late, v.refused, len(v.lost), len(v.byDeadline), len(v.interrupted), len(v.startedLate), v.interruptions)
-	return w, v
+	return sim, v
 }
 
-// report fails for each finding of a kind.
-func (w *streamSim) report(t *testing.T, kind string, findings []string) {
+// report fails the test for each finding of a kind.
+func (s *streamSim) report(t *testing.T, kind string, findings []string) {
 	t.Helper()
 	for _, line := range findings {
-		t.Errorf("seed %d: %s: %s\n%s", w.seed, kind, line, w.logsOf(line))
+		t.Errorf("seed %d: %s: %s\n%s", s.seed, kind, line, s.logsOf(line))
 	}
 }
 
-// logsOf returns the gateways' lines on the request of a finding.
-func (w *streamSim) logsOf(finding string) string {
+// logsOf returns the gateways' log lines about the request of a finding.
+func (s *streamSim) logsOf(finding string) string {
 	id, _, _ := strings.Cut(finding, " ")
 	var lines []string
-	for _, m := range w.members {
+	for _, m := range s.gateways {
 		for _, log := range m.logs {
 			for line := range strings.Lines(log.String()) {
 				if strings.Contains(line, fmt.Sprintf("%q", id)) {
--- a/pkg/gateway/watchdog.go
+++ b/pkg/gateway/watchdog.go
@@ -1,13 +1,13 @@
 // ================================================================
-// The watchdog of an attempt: it breaks the connection when the backend server
-// says nothing for too long, where the request may go on elsewhere.
+// The watchdog of an attempt aborts its connection when the backend server makes no progress for
+// too long and the request may be retried elsewhere.
 //
-// An engine under load is slow to begin, and a request taken from its queue
-// has waited in vain. So before the first event the attempt is only given up
-// early when the backend server is silent to all requests from here and the
-// stager beside it tells nothing of it either, or when the version of the weights
-// there is about to lapse. Without the stager's word a gateway that has one request
-// at an engine, as most have where there are hundreds, took it away after a second.
+// An engine under load is slow to begin, and a request that leaves its queue has waited in vain.
+// So before the first event an attempt is aborted early only when the backend server is silent to
+// all requests of this gateway and the stager beside it reports nothing either, or when the
+// version of the weights there is about to expire. Without the stager's reports, a gateway with a
+// single request at an engine (the usual case with hundreds of gateways) aborted it after a
+// second.
 // ================================================================
 
 package gateway
@@ -18,31 +18,33 @@
 )
 
 const (
-	// watchdogInterval is the time between looks.
+	// watchdogInterval is the time between checks.
 	watchdogInterval = 500 * time.Millisecond
-	// backendSilenceLimit is for how long a backend server may be silent to everybody.
+	// backendSilenceLimit is how long a backend server may be silent to all requests and in its
+	// stager's reports before an attempt that waits there is aborted early.
 	backendSilenceLimit = time.Second
-	// maxAttemptSilence is for how long an attempt may be silent at the most.
+	// maxAttemptSilence is the longest time without progress for any attempt.
 	maxAttemptSilence = 2 * time.Second
-	// maxEventGap is the same between two events, and leaveWithin how much of its caller's
-	// patience is left when a stream goes on elsewhere.
+	// maxEventGap is the longest time between two events, and resumeMargin how much of the
+	// caller's patience must be left for a stream to resume elsewhere.
 	maxEventGap  = 1200 * time.Millisecond
 	resumeMargin = 2 * goesOnWithin
 )
 
+// watchdog checks one attempt for progress.
 type watchdog struct {
 	exchange      *exchange
-	timer         *time.Timer  // nil where the request may not run again
-	lastProgress  atomic.Int64 // of this attempt, since its start
+	timer         *time.Timer  // nil where the request may not be retried
+	lastProgress  atomic.Int64 // nanoseconds since the attempt started
 	streaming     atomic.Bool  // events come
-	fired         atomic.Bool
+	fired         atomic.Bool  // it aborted the attempt for lack of progress
 	servedVersion uint64       // the version there when the request was sent
-	lapsed        atomic.Bool  // it was taken back for its version
-	lateBy        atomic.Int64 // and how late, in nanoseconds: for the log
+	lapsed        atomic.Bool  // it interrupted the attempt because the version expires
+	lateBy        atomic.Int64 // how late it did so, in nanoseconds; for the log
 
-	checking  chan struct{} // holds a value during a look, so that none is under way once it is over
-	stopped   bool          // the connection is not the attempt's any more
-	nextCheck time.Time     // when the look should come that is set; one brought forward is early
+	checking  chan struct{} // semaphore held during a check, so that stop waits for it
+	stopped   bool          // the connection no longer belongs to the attempt
+	nextCheck time.Time     // when the scheduled check is due, if none is requested earlier
 }
 
 func newWatchdog(x *exchange) *watchdog {
@@ -50,14 +52,15 @@
 	if !x.request.route.Idempotent() {
 		return w
 	}
-	// It must be there before the first look, which sets it again.
+	// The timer must exist before the first check, which resets it.
 	w.timer = time.AfterFunc(time.Hour, w.check)
 	w.scheduleCheck()
 	x.gateway.waiting.add(w)
 	return w
 }
 
-// stop ends it. Another request may have the connection afterwards.
+// stop ends the watchdog, and waits for a running check: the connection may serve another request
+// afterwards.
 func (w *watchdog) stop() {
 	if w.timer == nil {
 		return
@@ -69,8 +72,9 @@
 	w.timer.Stop()
 }
 
-// untilNextCheck is the time to the next look: none misses the moment at which the attempt is
-// taken back, and what is heard of a version counts from the next one on.
+// untilNextCheck returns the time to the next check. No check comes after the moment at which the
+// version requires the attempt to be interrupted; news of a version takes effect at the next
+// check.
 func (w *watchdog) untilNextCheck() time.Duration {
 	left, lapses := w.untilTakenBack()
 	if !lapses || w.streaming.Load() {
@@ -79,20 +83,21 @@
 	return max(0, min(left, watchdogInterval))
 }
 
-// scheduleCheck sets the next look. It is called by a look, or before there is one.
+// scheduleCheck schedules the next check. Only a check calls it, or newWatchdog before the first
+// one.
 func (w *watchdog) scheduleCheck() {
 	until := w.untilNextCheck()
 	w.nextCheck = time.Now().Add(until)
 	w.timer.Reset(until)
 }
 
-// recordProgress notes that the backend server said something.
+// recordProgress records that the backend server sent something.
 func (w *watchdog) recordProgress() {
 	w.lastProgress.Store(int64(time.Since(w.exchange.started)))
 	w.exchange.backend.heardAt.set(time.Now())
 }
 
-// startStreaming notes that events come from now on.
+// startStreaming records the first event.
 func (w *watchdog) startStreaming() {
 	w.streaming.Store(true)
 	w.recordProgress()
@@ -105,8 +110,8 @@
 		return
 	}
 	if time.Since(w.nextCheck) > processPauseThreshold {
-		// This process stood still, and what came meanwhile is not read yet: the
-		// attempt counts as silent from now on.
+		// This process was paused, and bytes that came meanwhile are not read yet: the silence
+		// counts from now on.
 		w.lastProgress.Store(int64(time.Since(w.exchange.started)))
 		w.scheduleCheck()
 		return
@@ -124,14 +129,14 @@
 	w.scheduleCheck()
 }
 
-// silentFor is for how long the attempt has been without progress.
+// silentFor returns how long the attempt has been without progress.
 func (w *watchdog) silentFor(now time.Time) time.Duration {
 	return now.Sub(w.exchange.started) - time.Duration(w.lastProgress.Load())
 }
 
-// gapLimit is how long the attempt may be silent between two events. An engine that is heard of
-// and gives none of its streams an event reads the prompts of others; elsewhere the stream
-// would wait as long for its own to be read again. So it is left as long as its caller stays.
+// gapLimit returns how long the attempt may be silent between two events. An engine that sends
+// other signs of life but no event to any stream is reading prompts. Elsewhere the stream would
+// wait as long for its own prompt to be read again, so it stays as long as its caller waits.
 func (w *watchdog) gapLimit() time.Duration {
 	x := w.exchange
 	last := x.started.Add(time.Duration(w.lastProgress.Load()))
@@ -141,12 +146,12 @@
 	return x.longestEventGap()
 }
 
-// longestEventGap is how long a stream may be silent that its caller still waits for.
+// longestEventGap returns how long a stream may be silent while its caller still waits for it.
 func (x *exchange) longestEventGap() time.Duration {
 	return min(max(maxEventGap, x.gateway.patienceOf(x.request)-resumeMargin), maxAttemptSilence)
 }
 
-// silenceLimit is how long the attempt may be silent now.
+// silenceLimit returns how long the attempt may be silent at its current stage.
 func (w *watchdog) silenceLimit() time.Duration {
 	if w.streaming.Load() {
 		return w.gapLimit()
--- a/pkg/logline/table.go
+++ b/pkg/logline/table.go
@@ -58,7 +58,7 @@
 	{"stager did not answer for a place", gateway, "The stager beside an engine did not answer in time; it is left alone for a while.", "lasting for one `stager`: its process or its link"},
 	{"backend server out of reach", gateway, "Its dials are not answered; requests that wait there are taken back.", "whether the VM is there, and the way to it"},
 	{"connections everywhere are silent", gateway, "Nothing came over connections of a time from anywhere, and new ones work: the old ones are given up.", "what lies on the way; on a busy VM it may be mistaken"},
-	{"resting connections given up as silent", gateway, "Idle connections to one backend server were closed, by `evidence`.", "as above"},
+	{"idle connections closed as silent", gateway, "Idle connections to one backend server were closed, by `evidence`.", "as above"},
 	{"backend server names a limit", gateway, "It takes `per_second` from all gateways together.", "OPERATIONS.md, limits of backend servers"},
 	{"backend server names no limit any more", gateway, "The limit is over.", "nothing"},
 	{"goes on with the budget of repeats of the gateway before", gateway, "It starts with what the one before it had spent.", "nothing"},
