--- a/pkg/gateway/versions.go
+++ b/pkg/gateway/versions.go
@@ -32,7 +32,7 @@
 // mayRunOn tells whether a request that would still run when a version lapses may begin
 // on it now.
 func (g *Gateway) mayRunOn(q *request) bool {
-	return q.model != "" && g.leastVersion(q.model, 0, 0, lapseMargin) < g.leastVersion(q.model, 0, q.run, lapseMargin)
+	return q.model != "" && g.leastVersion(q.model, 0, 0, lapseMargin) < g.leastVersion(q.model, 0, q.maxRun, lapseMargin)
 }
 
 // runningOn is what a backend server must satisfy where a request may run on past the end of
--- a/pkg/gateway/watchdog.go
+++ b/pkg/gateway/watchdog.go
@@ -48,14 +48,14 @@
 }
 
 func newWatchdog(x *exchange) *watchdog {
-	w := &watchdog{exchange: x, servedVersion: x.request.lapse.served, checking: make(chan struct{}, 1)}
+	w := &watchdog{exchange: x, servedVersion: x.request.versionExpiry.served, checking: make(chan struct{}, 1)}
 	if !x.request.route.Idempotent() {
 		return w
 	}
 	// The timer must exist before the first check, which resets it.
 	w.timer = time.AfterFunc(time.Hour, w.check)
 	w.scheduleCheck()
-	x.gateway.waiting.add(w)
+	x.gateway.watchdogs.add(w)
 	return w
 }
 
@@ -65,7 +65,7 @@
 	if w.timer == nil {
 		return
 	}
-	w.exchange.gateway.waiting.remove(w)
+	w.exchange.gateway.watchdogs.remove(w)
 	w.checking <- struct{}{}
 	defer func() { <-w.checking }()
 	w.stopped = true
--- a/pkg/gateway/yield.go
+++ b/pkg/gateway/yield.go
@@ -35,14 +35,14 @@
 // yields tells whether the request takes only a place that nobody else waits for: its lost
 // run may still hold one, and there is time enough to run it afterwards.
 func (q *request) yields(now time.Time) bool {
-	return !q.lostAt.IsZero() && now.Sub(q.lostAt) < min(q.run, mostYield) && q.due().Sub(now) > q.run
+	return !q.runLostAt.IsZero() && now.Sub(q.runLostAt) < min(q.maxRun, mostYield) && q.localDeadline().Sub(now) > q.maxRun
 }
 
 // awaitPlace chooses a place; while the request yields only one that nobody waits for, unless
 // nobody serves. A stream under way waits for somebody to serve, too.
 func (g *Gateway) awaitPlace(q *request, w wanted) (b *backend, loaded bool) {
 	idle := w
-	idle.wait = q.waitWorthTaking()
+	idle.wait = q.maxWait()
 	for q.yields(time.Now()) && q.ctx.Err() == nil {
 		if b, loaded = g.choosePlaceInTime(q, idle); b != nil {
 			return b, loaded
@@ -76,19 +76,19 @@
 
 // takeRepeat has the next attempt of a request hold a repeat; false where there is none.
 func (g *Gateway) takeRepeat(q *request) bool {
-	if q.repeatTaken.Load() {
+	if q.retryTaken.Load() {
 		return true
 	}
 	q.borrowed = false
-	q.repeatTaken.Store(g.awaitRepeat(q))
-	return q.repeatTaken.Load()
+	q.retryTaken.Store(g.awaitRepeat(q))
+	return q.retryTaken.Load()
 }
 
 // awaitRepeat takes a repeat out of the budget; a stream under way waits for one as it does
 // for a place. False where there is none.
 func (g *Gateway) awaitRepeat(q *request) bool {
 	for {
-		if g.budget.repeatWithin(q.service.Name(), g.gateways(), q.repeatShare()) || g.borrow(q) {
+		if g.budget.repeatWithin(q.service.Name(), g.countGateways(), q.repeatShare()) || g.borrow(q) {
 			return true
 		}
 		if !g.waitsForPlace(q, time.Now()) {
@@ -100,7 +100,7 @@
 
 // repeatShare is the share of the budget that a repeat of the request may use.
 func (q *request) repeatShare() float64 {
-	if q.begun {
+	if q.headWritten {
 		return 1
 	}
 	return notBegunShare
@@ -121,24 +121,24 @@
 // caller has part of it, and a refusal can no longer be written. Engines that cut it for an
 // order or were full take it some 100 ms later.
 func (g *Gateway) waitsForPlace(q *request, now time.Time) bool {
-	return q.begun && q.ctx.Err() == nil && g.patienceLeft(q, now) > goesOnWithin && q.due().Sub(now) > leastTime
+	return q.headWritten && q.ctx.Err() == nil && g.patienceLeft(q, now) > goesOnWithin && q.localDeadline().Sub(now) > minAttemptTime
 }
 
 // patienceLeft is for how long yet the caller of a stream under way waits for its next event.
 func (g *Gateway) patienceLeft(q *request, now time.Time) time.Duration {
-	return g.patienceOf(q) - now.Sub(q.eventAt)
+	return g.patienceOf(q) - now.Sub(q.lastEventAt)
 }
 
 // patienceOf is for how long a caller waits for the next event of a stream.
 func (g *Gateway) patienceOf(q *request) time.Duration {
-	return g.protocol.Patience(q.route.Objective(), q.route.GapObjective())
+	return g.protocol.StreamIdleTimeout(q.route.Objective(), q.route.GapObjective())
 }
 
 // choosePlaceInTime chooses a place where the request is over before the version there
 // lapses, else one where it may run on. A repeat goes first where no order for weights is to
 // come: one that is cut again has no attempt left.
 func (g *Gateway) choosePlaceInTime(q *request, w wanted) (b *backend, loaded bool) {
-	if next := g.versions.Next(q.model, q.lapse.served); q.sent > 0 && next.Version() > 0 {
+	if next := g.versions.Next(q.model, q.versionExpiry.served); q.sent > 0 && next.Version() > 0 {
 		newest := w
 		newest.least = func(_, _ time.Duration) uint64 { return g.versions.Due(q.model, 0, time.Now()) }
 		if b, loaded = g.choosePlace(q, newest); b != nil {
--- a/pkg/gateway/yield_test.go
+++ b/pkg/gateway/yield_test.go
@@ -13,8 +13,8 @@
 func TestLostRequestYieldsToFirstTries(t *testing.T) {
 	s := &stagerStandIn{idle: idleBegin, waits: map[string]time.Duration{"127.0.0.11:1": 300 * time.Millisecond, "127.0.0.12:1": 300 * time.Millisecond, "127.0.0.13:1": 300 * time.Millisecond}}
 	g, q := newReserving(t, s)
-	q.sent, q.mayHaveRun, q.begun, q.run = 1, true, true, 30*time.Second
-	q.lostAt = time.Now()
+	q.sent, q.mayHaveRun, q.headWritten, q.maxRun = 1, true, true, 30*time.Second
+	q.runLostAt = time.Now()
 	if b, _ := g.choosePlace(q, wanted{service: "menu", engine: testEngine(), tried: q.tried}); b != nil || len(s.asked) > yieldAsks {
 		t.Fatalf("a stream that was lost took a place that others wait for at %v, asked %v", b, s.asked)
 	}
@@ -26,7 +26,7 @@
 	for i := range s.waits {
 		s.waits[i] = 300 * time.Millisecond
 	}
-	q.run = 0
+	q.maxRun = 0
 	if b, _ := g.pick(q); b == nil {
 		t.Fatal("a stream whose lost run is over was given up")
 	}
@@ -38,7 +38,7 @@
 	s := &stagerStandIn{idle: idleBegin, waits: map[string]time.Duration{"127.0.0.11:1": 300 * time.Millisecond, "127.0.0.12:1": 300 * time.Millisecond, "127.0.0.13:1": 300 * time.Millisecond}}
 	g, q := newReserving(t, s)
 	now := time.Now()
-	q.sent, q.mayHaveRun, q.begun, q.run, q.lostAt = 1, true, true, time.Second, now
+	q.sent, q.mayHaveRun, q.headWritten, q.maxRun, q.runLostAt = 1, true, true, time.Second, now
 	if !q.yields(now) || q.yields(now.Add(time.Second)) {
 		t.Fatal("it is to yield for as long as it runs")
 	}
@@ -46,7 +46,7 @@
 	if q.yields(now) {
 		t.Fatal("it yields although it would not be over in time then")
 	}
-	q.deadline, q.run = now.Add(time.Hour), time.Minute
+	q.deadline, q.maxRun = now.Add(time.Hour), time.Minute
 	if q.yields(now.Add(mostYield)) {
 		t.Fatal("it yields for longer than its caller waits")
 	}
@@ -64,14 +64,14 @@
 // on, though its caller would wait for 3.2 s. Cause: one bound for all routes.
 func TestStreamWaitsForAPlaceAsLongAsItsCaller(t *testing.T) {
 	f := newFixture(t, serviceconfig.Stream, true)
-	f.gateway.protocol.Patience = func(objective, gap time.Duration) time.Duration { return 8 * gap }
+	f.gateway.protocol.StreamIdleTimeout = func(objective, gap time.Duration) time.Duration { return 8 * gap }
 	route, _ := f.gateway.index.Load().Route("menus.example", "/draft/x")
 	now := time.Now()
 	for _, c := range []struct {
 		silent time.Duration
 		want   bool
 	}{{2500 * time.Millisecond, true}, {2800 * time.Millisecond, false}} {
-		q := &request{ctx: t.Context(), route: route, begun: true, eventAt: now.Add(-c.silent), deadline: now.Add(time.Minute)}
+		q := &request{ctx: t.Context(), route: route, headWritten: true, lastEventAt: now.Add(-c.silent), deadline: now.Add(time.Minute)}
 		if f.gateway.waitsForPlace(q, now) != c.want {
 			t.Errorf("%s after its last event it waits: %t", c.silent, !c.want)
 		}
@@ -87,7 +87,7 @@
 	s := &stagerStandIn{idle: idleBegin}
 	g, q := newReserving(t, s)
 	now := time.Now()
-	q.sent, q.mayHaveRun, q.begun, q.run, q.lostAt, q.eventAt = 1, true, true, time.Second, now, now
+	q.sent, q.mayHaveRun, q.headWritten, q.maxRun, q.runLostAt, q.lastEventAt = 1, true, true, time.Second, now, now
 	all := g.backends.of("menu")
 	for _, b := range all {
 		b.setLost(true)
