--- a/pkg/gateway/answered_test.go
+++ b/pkg/gateway/always_answered_test.go
@@ -1,12 +1,12 @@
 // ================================================================
-// What was seen: requests over kept connections were read, passed on to backend
-// servers that work, and the connections closed without an answer. How it comes about:
-// a handler has ways out that write nothing. They are a panic, which net/http keeps to
-// itself where its log is thrown away; a caller that has closed its sending side and
-// still reads; a planned stop whose time is over while a request waits; a stream that
-// finds no place at the moment at which its engine breaks it off. What caused it: an
-// answer was left to each way out. What proved it: these cases, each of which ended
-// without a true answer.
+// Tests that every request that was read gets a true response. Requests over kept connections
+// were read, forwarded to working backend servers, and the connections then closed without a
+// response.
+//
+// Several ways out of a handler write nothing: a panic, which net/http does not report if its
+// log is discarded; a caller that closed its sending side and still reads; the end of a planned
+// stop while a request waits; a stream that finds no place at the moment at which its engine
+// breaks it off.
 // ================================================================
 
 package gateway
@@ -28,16 +28,17 @@
 	"github.com/tidepost/tidepost/pkg/serviceconfig"
 )
 
-// TestEveryReadRequestIsAnswered has every request end with an answer that is true.
+// TestEveryReadRequestIsAnswered checks the status of the response after each way out of a
+// handler.
 func TestEveryReadRequestIsAnswered(t *testing.T) {
-	t.Run("a panic before the request is passed on", func(t *testing.T) {
+	t.Run("a panic before the request is forwarded", func(t *testing.T) {
 		f := newFixture(t, serviceconfig.Once, false, newFakeBackend(t, "i-1", respondWith("200 OK", "whole")))
 		f.gateway.protocol.ReadRequest = func(http.Header) RequestHead { panic("seeded") }
 		if status, err := f.statusOf(t); status != http.StatusInternalServerError {
 			t.Errorf("status %d, %v", status, err)
 		}
 	})
-	t.Run("a panic after it was passed on", func(t *testing.T) {
+	t.Run("a panic after the request was forwarded", func(t *testing.T) {
 		f := newFixture(t, serviceconfig.Once, false, newFakeBackend(t, "i-1", respondWith("200 OK", "whole")))
 		f.gateway.protocol.ReadResponse = func(int, http.Header) ResponseHead { panic("seeded") }
 		if status, err := f.statusOf(t); status != http.StatusBadGateway {
@@ -45,23 +46,23 @@
 		}
 	})
 	t.Run("a caller that has closed its sending side", testHalfClosedCallerIsAnswered)
-	t.Run("a planned stop beside a silent backend server", testStopWithSilentBackend)
-	t.Run("a stream that waits for its next place", testBrokenStreamRetriesRejection)
-	t.Run("a request behind a stream that ends within a planned stop", testKeptConnectionDuringStop)
+	t.Run("a planned stop with a silent backend server", testStopWithSilentBackend)
+	t.Run("a stream whose retry is rejected once", testBrokenStreamRetriesRejection)
+	t.Run("a request after a stream that ends during a planned stop", testKeptConnectionDuringStop)
 }
 
-// statusOf sends a request and returns the status, or why there is none.
+// statusOf sends a request and returns the status, or the error.
 func (f *fixture) statusOf(t *testing.T) (int, error) {
-	answer, err := http.DefaultTransport.RoundTrip(f.request(t, http.MethodPost, "a", "order"))
+	response, err := http.DefaultTransport.RoundTrip(f.request(t, http.MethodPost, "a", "order"))
 	if err != nil {
 		return 0, err
 	}
-	defer answer.Body.Close()
-	_, err = io.Copy(io.Discard, answer.Body)
-	return answer.StatusCode, err
+	defer response.Body.Close()
+	_, err = io.Copy(io.Discard, response.Body)
+	return response.StatusCode, err
 }
 
-// silentScript is a script that says nothing until the test is over.
+// silentScript returns a script that writes nothing until the test is over.
 func silentScript(t *testing.T, received chan<- struct{}) responseScript {
 	testEnded := make(chan struct{})
 	t.Cleanup(func() { close(testEnded) })
@@ -72,10 +73,10 @@
 	}
 }
 
-// What net/http writes for a handler that writes nothing is an empty success.
+// net/http writes an empty success for a handler that writes nothing.
 func testHalfClosedCallerIsAnswered(t *testing.T) {
-	came := make(chan struct{}, 1)
-	f := newFixture(t, serviceconfig.Once, false, newFakeBackend(t, "i-1", silentScript(t, came)))
+	received := make(chan struct{}, 1)
+	f := newFixture(t, serviceconfig.Once, false, newFakeBackend(t, "i-1", silentScript(t, received)))
 	conn, err := net.Dial("tcp", f.server.Listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -85,48 +86,48 @@
 	if err := r.Write(conn); err != nil {
 		t.Fatal(err)
 	}
-	<-came
+	<-received
 	if err := conn.(*net.TCPConn).CloseWrite(); err != nil {
 		t.Fatal(err)
 	}
-	answer, err := http.ReadResponse(bufio.NewReader(conn), r)
+	response, err := http.ReadResponse(bufio.NewReader(conn), r)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if answer.StatusCode != http.StatusBadGateway {
-		t.Errorf("status %d", answer.StatusCode)
+	if response.StatusCode != http.StatusBadGateway {
+		t.Errorf("status %d", response.StatusCode)
 	}
 }
 
-// The time of the stop is over long before that of the request.
+// The stop is over long before the request's deadline.
 func testStopWithSilentBackend(t *testing.T) {
-	came := make(chan struct{}, 1)
-	f := newFixture(t, serviceconfig.Once, false, newFakeBackend(t, "i-1", silentScript(t, came)))
+	received := make(chan struct{}, 1)
+	f := newFixture(t, serviceconfig.Once, false, newFakeBackend(t, "i-1", silentScript(t, received)))
 	address, stop := f.run(t, time.Second)
 	r := f.request(t, http.MethodPost, "a", "order")
 	r.URL.Host = address
 	go func() {
-		<-came
+		<-received
 		stop()
 	}()
-	answer, err := http.DefaultTransport.RoundTrip(r)
+	response, err := http.DefaultTransport.RoundTrip(r)
 	if err != nil {
-		t.Fatalf("the connection closed without an answer: %v", err)
+		t.Fatalf("the connection closed without a response: %v", err)
 	}
-	defer answer.Body.Close()
-	if answer.StatusCode != http.StatusGatewayTimeout {
-		t.Errorf("status %d", answer.StatusCode)
+	defer response.Body.Close()
+	if response.StatusCode != http.StatusGatewayTimeout {
+		t.Errorf("status %d", response.StatusCode)
 	}
 }
 
-// run runs the fixture's gateway as a program does, with a limit for its planned stop. It
-// returns its address for callers, and what sends it the signal to stop.
+// run runs the fixture's gateway as the program does, with a limit for its planned stop. It
+// returns the address for callers and a function that sends the stop signal.
 func (f *fixture) run(t *testing.T, limit time.Duration) (address string, stop func()) {
 	t.Helper()
 	return f.runLogged(t, limit, io.Discard)
 }
 
-// runLogged is run with a log.
+// runLogged is run with a log writer.
 func (f *fixture) runLogged(t *testing.T, limit time.Duration, log io.Writer) (address string, stop func()) {
 	t.Helper()
 	address = loopback.FreeAddress(t)
@@ -159,10 +160,11 @@
 	}
 }
 
-// awaitExit waits until the gateway that runs as a program has ended.
+// awaitExit waits until the gateway started by run has ended.
 func (f *fixture) awaitExit() { <-f.exited }
 
-// A stream that began before the signal cannot announce that its connection closes.
+// A stream that began before the signal cannot announce that its connection closes, so the next
+// request on that connection must be answered.
 func testKeptConnectionDuringStop(t *testing.T) {
 	received, proceed := make(chan struct{}, 1), make(chan struct{})
 	f := newFixture(t, serviceconfig.Stream, true, newFakeBackend(t, "i-1", func(w *bufio.Writer, r *http.Request) bool {
@@ -187,11 +189,11 @@
 		if err := r.Write(conn); err != nil {
 			t.Fatal(err)
 		}
-		answer, err := http.ReadResponse(reader, r)
+		response, err := http.ReadResponse(reader, r)
 		if err != nil {
-			t.Fatalf("request %s: the connection closed without an answer: %v", id, err)
+			t.Fatalf("request %s: the connection closed without a response: %v", id, err)
 		}
-		return answer
+		return response
 	}
 	first := send("a")
 	<-received
@@ -202,15 +204,16 @@
 		t.Fatal(err)
 	}
 	if first.Close {
-		t.Fatal("the stream announced the end of its connection: the case shows nothing")
+		t.Fatal("the stream announced that its connection closes: the case tests nothing")
 	}
 	if second := send("b"); second.StatusCode != http.StatusOK || !second.Close {
 		t.Errorf("%s, announced %t", second.Status, second.Close)
 	}
 }
 
-// A request that came before the signal, and is answered after it, is told that its
-// connection closes: what its caller sends over it next comes late in the stop.
+// The response to a request that arrived before the signal and is answered after it must
+// announce that its connection closes: the caller's next request over it would arrive late in
+// the stop.
 func TestResponseAfterSignalAnnouncesClose(t *testing.T) {
 	for _, kind := range []serviceconfig.Kind{serviceconfig.Once, serviceconfig.Stream} {
 		received, proceed := make(chan struct{}), make(chan struct{})
@@ -227,18 +230,18 @@
 			f.gateway.stop.begin(time.Now(), time.Minute)
 			close(proceed)
 		}()
-		answer, err := http.DefaultTransport.RoundTrip(f.request(t, http.MethodPost, "a", "order"))
+		response, err := http.DefaultTransport.RoundTrip(f.request(t, http.MethodPost, "a", "order"))
 		if err != nil {
 			t.Fatal(err)
 		}
-		_ = answer.Body.Close()
-		if !answer.Close {
-			t.Errorf("%s: its caller keeps the connection", kind)
+		_ = response.Body.Close()
+		if !response.Close {
+			t.Errorf("%s: the response does not announce that its connection closes", kind)
 		}
 	}
 }
 
-// awaitConnectionRefused waits until nobody listens at an address any more.
+// awaitConnectionRefused waits until nobody listens at an address.
 func (f *fixture) awaitConnectionRefused(address string) {
 	for {
 		conn, err := net.Dial("tcp", address)
@@ -249,7 +252,7 @@
 	}
 }
 
-// The second server turns the rest of the stream away once, as a full one does.
+// The second server rejects the rest of the stream once, as a full one does.
 func testBrokenStreamRetriesRejection(t *testing.T) {
 	first := newFakeBackend(t, "i-1", func(w *bufio.Writer, r *http.Request) bool {
 		writeEvents(w, r, 1, 2)
--- a/pkg/gateway/moment_test.go
+++ b/pkg/gateway/atomic_time_test.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// Times read from nanoseconds of the time of day are compared by it, and are wrong by as
-// much as it steps; those of the steady clock show it.
+// Times restored from wall clock nanoseconds are wrong by as much as that clock steps. The
+// string of a time with a monotonic clock reading contains " m=".
 func TestAtomicTimeIsMonotonic(t *testing.T) {
 	var m atomicTime
 	if !m.time().IsZero() {
-		t.Fatalf("never is %s", m.time())
+		t.Fatalf("the zero value is %s", m.time())
 	}
 	now := time.Now()
 	m.set(now)
--- a/pkg/gateway/attempt.go
+++ b/pkg/gateway/attempt.go
@@ -1,10 +1,9 @@
 // ================================================================
-// One attempt: a connection, the request, the head of the answer, and then its
-// body as a whole or as a stream of events.
+// One attempt at a backend server: it gets a connection, sends the request, reads the response
+// head and relays the body, buffered or as an event stream.
 //
-// What an attempt proves about the request is noted at once: before a byte is
-// written nothing has run; once it is written anything may have, unless the
-// answer says that it has not.
+// Each attempt records at once whether the request may have run. It has not before a byte is
+// written; after that it may have, unless the response says otherwise.
 // ================================================================
 
 package gateway
@@ -21,18 +20,18 @@
 )
 
 const (
-	// dialTimeout bounds the making of a connection: a backend server in reach
-	// answers in a few milliseconds.
+	// dialTimeout bounds connection setup; a reachable backend server answers in a few
+	// milliseconds.
 	dialTimeout = 350 * time.Millisecond
-	// minAttemptTime is the least that must be left to try at all.
+	// minAttemptTime is the least remaining time for which an attempt is made.
 	minAttemptTime = 10 * time.Millisecond
 )
 
-// try makes one attempt and tells whether the request is answered.
-func (g *Gateway) try(q *request, b *backend) (isAnswered bool) {
+// try makes one attempt at a backend server and reports whether the request is answered.
+func (g *Gateway) try(q *request, b *backend) (answered bool) {
 	q.tried[b] = true
-	word := b.word()
-	q.lastBackend, q.liveness = word.Incarnation(), signNone
+	registration := b.word()
+	q.lastBackend, q.liveness = registration.Incarnation(), signNone
 	pooled, err := b.pool.Get(q.ctx, min(dialTimeout, q.remaining()))
 	if err != nil {
 		if q.ctx.Err() == nil {
@@ -43,7 +42,7 @@
 		return false
 	}
 	conn := &attemptConn{Connection: pooled}
-	// One that was not handed back by then is in an unknown state.
+	// A connection that has not been released by then is in an unknown state.
 	defer conn.Abort()
 	q.versionExpiry = g.lapseOf(q, b, 0)
 	q.knownServerExits = g.quarantine.Ends(q.fingerprint)
@@ -54,7 +53,7 @@
 	}
 	permit, permitted := q.takePermit(b)
 	if !permitted {
-		// Its limit was heard since the choice: the next one asks for a permit.
+		// The server announced a limit after it was chosen; the next choice asks for a permit.
 		conn.Close()
 		delete(q.tried, b)
 		return false
@@ -88,7 +87,7 @@
 	return x.run()
 }
 
-// exchange is one attempt under way.
+// exchange is one attempt in flight.
 type exchange struct {
 	gateway   *Gateway
 	request   *request
@@ -97,17 +96,17 @@
 	watch     *watchdog
 	started   time.Time
 	waitEntry *waiting
-	// silenceMonitor is how it shows when its connection falls silent.
+	// silenceMonitor detects that the attempt's connection has gone silent.
 	silenceMonitor *attemptMonitor
-	permit         *permit // nil where the backend server names no limit
-	isLastServer   bool    // it may go to no other backend server afterwards
-	resumes        bool    // its caller has part of the stream already
-	// failoverCriteria is what another backend server must satisfy, with maps of its own: looks at it
-	// come beside the request's way.
+	permit         *permit // nil if the backend server announces no limit
+	isLastServer   bool    // no further backend server may be tried after it
+	resumes        bool    // the caller already has part of the stream
+	// failoverCriteria are what another backend server must satisfy. Their maps are copies,
+	// since other goroutines evaluate them while the request proceeds.
 	failoverCriteria wanted
 }
 
-// abortWaiting ends an attempt that waits at a backend server which seems out of reach.
+// abortWaiting ends an attempt that waits at a backend server which appears unreachable.
 func (x *exchange) abortWaiting() {
 	if stage := x.stage(false); x.mayInterrupt(interruptUnreachable, stage, time.Now()) {
 		x.gateway.recordInterrupted(x.request, interruptUnreachable, stage)
@@ -115,38 +114,38 @@
 	}
 }
 
-// run sends the request and handles its answer.
+// run sends the request and handles the response.
 func (x *exchange) run() (answered bool) {
 	q := x.request
 	x.started = time.Now()
 	x.watch = newWatchdog(x)
 	defer x.watch.stop()
-	answer, err := x.conn.Exchange(q.ctx, x.outgoing(), q.localDeadline())
+	response, err := x.conn.Exchange(q.ctx, x.outgoing(), q.localDeadline())
 	if err != nil {
-		return x.recordBroken("no answer", err)
+		return x.recordBroken("no response", err)
 	}
 	x.watch.recordProgress()
 	x.silenceMonitor.receivedBytes(time.Now())
-	head := x.gateway.protocol.ReadResponse(answer.StatusCode, answer.Header)
+	head := x.gateway.protocol.ReadResponse(response.StatusCode, response.Header)
 	if head.ID != "" && head.ID != q.head.ID {
-		return x.recordBroken("an answer to request "+head.ID, nil)
+		return x.recordBroken("the response carries the id of request "+head.ID, nil)
 	}
 	x.hearLimit(head)
 	if head.NotRun {
-		return x.recordNotRun(answer, head)
+		return x.recordNotRun(response, head)
 	}
-	if !head.FromBackend && answer.StatusCode < http.StatusMultipleChoices {
-		return x.recordBroken("an answer that is no backend server's own", nil)
+	if !head.FromBackend && response.StatusCode < http.StatusMultipleChoices {
+		return x.recordBroken("the response does not come from the backend server itself", nil)
 	}
 	x.backend.sawVersion(head.Version)
-	if isStream(q, answer) {
-		return x.relayStream(answer)
+	if isStream(q, response) {
+		return x.relayStream(response)
 	}
 	x.silenceMonitor.receivedAnswer(time.Now())
-	return x.relayPlain(answer)
+	return x.relayPlain(response)
 }
 
-// outgoing is the request as this attempt sends it.
+// outgoing returns the request as this attempt sends it.
 func (x *exchange) outgoing() upstream.Request {
 	q := x.request
 	header := maps.Clone(q.header)
@@ -161,8 +160,8 @@
 	return upstream.Request{Method: q.incoming.Method, URI: requestTarget(q.incoming), Host: q.incoming.Host, Header: header, Body: q.body}
 }
 
-// recordBroken notes an attempt whose outcome is not known, by what was seen and the error of
-// its connection, if there was one.
+// recordBroken records an attempt with an unknown outcome. The reason says what was observed;
+// cause is the connection's error, if any.
 func (x *exchange) recordBroken(reason string, cause error) bool {
 	if cause != nil {
 		reason += ": " + cause.Error()
@@ -181,9 +180,10 @@
 			q.sawRun(&x.gateway.silenceDetector, time.Now(), time.Since(x.started))
 		}
 		q.allowRetryAt(x.backend)
-		x.gateway.recordAttempt(q, attemptVersionExpired, fmt.Sprintf("the version of the weights there lapses; %s; taken back %s late", reason, time.Duration(x.watch.lateBy.Load())))
+		x.gateway.recordAttempt(q, attemptVersionExpired, fmt.Sprintf("the version of the weights there expires; %s; withdrawn %s late", reason, time.Duration(x.watch.lateBy.Load())))
 	case x.silenceMonitor.detected.Load() != nil:
-		// The backend server works: the request may go on there, and it is no failure.
+		// Only the connection is at fault: the request may be retried at the same backend
+		// server, and the attempt does not count as a failure of the server.
 		delete(q.tried, x.backend)
 		if x.silenceMonitor.hasStreamed() {
 			q.runLostAt = time.Now()
@@ -191,7 +191,7 @@
 		detail := x.silenceMonitor.detected.Load().String()
 		if x.conn.NothingAcknowledged() {
 			x.gateway.uncount(q)
-			detail += "; nothing of it was acknowledged"
+			detail += "; no byte of the request was acknowledged"
 		}
 		x.gateway.recordAttempt(q, attemptSilentConn, detail)
 	case x.backend.isWithdrawn(time.Now()):
@@ -200,7 +200,8 @@
 	default:
 		x.backend.failed(time.Now())
 		if x.watch.fired.Load() || q.liveness == signLives {
-			// It may only have been slow, or was given an order that is not heard of here yet.
+			// The server may only have been slow, or may have received an order of which this
+			// gateway has not heard yet.
 			q.allowRetryAt(x.backend)
 		}
 		x.gateway.recordAttempt(q, attemptBroken, reason)
@@ -208,37 +209,38 @@
 	return false
 }
 
-// recordNotRun notes an attempt that the backend server turned away.
-func (x *exchange) recordNotRun(answer *http.Response, head ResponseHead) bool {
+// recordNotRun records an attempt that the backend server rejected.
+func (x *exchange) recordNotRun(response *http.Response, head ResponseHead) bool {
 	q := x.request
-	if _, err := upstream.ReadAll(answer.Body, maxRefusalBody); err != nil {
+	if _, err := upstream.ReadAll(response.Body, maxRefusalBody); err != nil {
 		x.conn.Close()
 	} else {
-		x.conn.Finish(answer)
+		x.conn.Finish(response)
 	}
 	if head.IsFromOther(x.backend.word().Incarnation()) {
-		word := x.backend.word()
-		x.gateway.backends.depart(word.Incarnation(), word.StartedAt())
+		registration := x.backend.word()
+		x.gateway.backends.depart(registration.Incarnation(), registration.StartedAt())
 		x.gateway.recordAttempt(q, attemptWrongIncarnation, "the address belongs to "+head.Incarnation)
 		return false
 	}
 	if q.hasLapsed() {
-		x.gateway.recordAttempt(q, attemptVersionExpired, answer.Status)
+		x.gateway.recordAttempt(q, attemptVersionExpired, response.Status)
 		return false
 	}
 	x.backend.refused(time.Now())
 	q.allowRetryAt(x.backend)
-	x.gateway.recordAttempt(q, attemptRefused, answer.Status)
+	x.gateway.recordAttempt(q, attemptRefused, response.Status)
 	return false
 }
 
-// allowRetryAt lets a stream under way go on at a backend server that works and had no
-// place for it only at that moment.
+// allowRetryAt lets a stream in progress resume at a working backend server that had no
+// capacity for it only at that moment.
 func (q *request) allowRetryAt(b *backend) {
 	if q.headWritten {
 		delete(q.tried, b)
 	}
 }
 
-// maxRefusalBody bounds the body of a refusal, which nobody reads.
+// maxRefusalBody bounds the body of a rejection, which is read only so that the connection can
+// be reused.
 const maxRefusalBody = 64 << 10
--- a/pkg/gateway/hold_test.go
+++ b/pkg/gateway/attempt_conn_test.go
@@ -9,8 +9,8 @@
 	"github.com/tidepost/tidepost/pkg/upstream"
 )
 
-// Found in a review, by reading: an attempt handed its connection back before it ended,
-// and its watchdog or its caller's leaving could break it under the next request.
+// An attempt returns its connection to the pool before it ends. Its watchdog or its caller's
+// disconnect must not abort the connection under the next request.
 func TestReleasedConnectionIsNotAborted(t *testing.T) {
 	s := newFakeBackend(t, "i-1", respondWith("200 OK", "whole"))
 	pool := newFixture(t, serviceconfig.Repeatable, false, s).backend("i-1").pool
@@ -21,24 +21,24 @@
 			t.Fatal(err)
 		}
 		h := &attemptConn{Connection: conn}
-		answer, err := h.Exchange(t.Context(), upstream.Request{Method: http.MethodGet, URI: "/", Host: "h"}, time.Now().Add(time.Minute))
+		response, err := h.Exchange(t.Context(), upstream.Request{Method: http.MethodGet, URI: "/", Host: "h"}, time.Now().Add(time.Minute))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := upstream.ReadAll(answer.Body, 100); err != nil {
+		if _, err := upstream.ReadAll(response.Body, 100); err != nil {
 			t.Fatal(err)
 		}
-		return h, answer
+		return h, response
 	}
-	first, answer := use()
-	first.Finish(answer)
-	second, answer := use()
+	first, response := use()
+	first.Finish(response)
+	second, response := use()
 	if second.Connection != first.Connection {
-		t.Fatal("the connection was not kept")
+		t.Fatal("the pool did not keep the connection")
 	}
 	first.Abort()
-	second.Finish(answer)
+	second.Finish(response)
 	if third, _ := use(); third.Connection != first.Connection {
-		t.Fatal("the connection of the second was broken by the first")
+		t.Fatal("the first attempt aborted the connection of the second")
 	}
 }
--- a/pkg/gateway/plain.go
+++ b/pkg/gateway/buffered.go
@@ -1,7 +1,7 @@
 // ================================================================
-// Answers that are no streams. A short one is read whole before a byte of it
-// goes to the caller, so that one that breaks off can be tried again; a long
-// one goes through as it comes.
+// Relays responses that are not event streams. A short one is read completely before any byte
+// goes to the caller, so that the request can be retried if it is cut short; a long one is
+// relayed as it arrives.
 // ================================================================
 
 package gateway
@@ -16,37 +16,37 @@
 	"github.com/tidepost/tidepost/pkg/upstream"
 )
 
-// maxBuffered is the longest answer that is read before it is passed on.
+// maxBuffered is the longest response body that is read completely before it is relayed.
 const maxBuffered = 256 << 10
 
-// bufferedResponse is a whole answer.
+// bufferedResponse is a complete response.
 type bufferedResponse struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// isStream tells whether an answer is a stream of events.
-func isStream(q *request, answer *http.Response) bool {
-	return answer.StatusCode == http.StatusOK && strings.HasPrefix(answer.Header.Get("Content-Type"), "text/event-stream") && q.incoming.Method != http.MethodHead
+// isStream reports whether a response is an event stream.
+func isStream(q *request, response *http.Response) bool {
+	return response.StatusCode == http.StatusOK && strings.HasPrefix(response.Header.Get("Content-Type"), "text/event-stream") && q.incoming.Method != http.MethodHead
 }
 
-func (x *exchange) relayPlain(answer *http.Response) (answered bool) {
-	body, err := io.ReadAll(io.LimitReader(answer.Body, maxBuffered))
+func (x *exchange) relayPlain(response *http.Response) (answered bool) {
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxBuffered))
 	if err != nil {
-		return x.recordBroken("the answer broke off", err)
+		return x.recordBroken("the response was cut short", err)
 	}
 	if len(body) == maxBuffered {
-		return x.passThrough(answer, body)
+		return x.passThrough(response, body)
 	}
-	x.conn.Finish(answer)
-	x.sawWhole(answer)
+	x.conn.Finish(response)
+	x.sawWhole(response)
 	x.recordPlainRun()
-	buffered := &bufferedResponse{answer.StatusCode, answer.Header, body}
+	buffered := &bufferedResponse{response.StatusCode, response.Header, body}
 	if x.request.headWritten {
-		return x.recordBroken("a stream went on as "+answer.Status, nil)
+		return x.recordBroken("a resumed stream was answered with "+response.Status, nil)
 	}
-	if answer.StatusCode >= http.StatusInternalServerError {
+	if response.StatusCode >= http.StatusInternalServerError {
 		return x.recordFailedAnswer(buffered)
 	}
 	x.backend.answered()
@@ -54,15 +54,15 @@
 	return true
 }
 
-// recordPlainRun learns how long a request ran at a backend server that is no engine: what an
-// engine answers without a stream is no run of its usual length.
+// recordPlainRun records how long a request ran at a backend server without engine slots. The
+// duration of an engine's response that is not a stream says nothing about its usual streams.
 func (x *exchange) recordPlainRun() {
 	if q := x.request; q.maxRun == 0 {
 		q.sawRun(&x.gateway.silenceDetector, time.Now(), time.Since(x.started))
 	}
 }
 
-// recordFailedAnswer keeps a backend server's own failure; it is passed on if no
+// recordFailedAnswer keeps a backend server's own failure response, which is relayed if no
 // other attempt may be made.
 func (x *exchange) recordFailedAnswer(buffered *bufferedResponse) bool {
 	q := x.request
@@ -78,7 +78,7 @@
 	return false
 }
 
-// deliver writes a whole answer.
+// deliver writes a complete response.
 func (g *Gateway) deliver(q *request, buffered *bufferedResponse) {
 	q.writeHead(buffered.status, buffered.header, int64(len(buffered.body)))
 	if err := q.write(buffered.body); err != nil {
@@ -92,12 +92,12 @@
 	g.recordOutcome(q, outcomeServed, strconv.Itoa(buffered.status))
 }
 
-// passThrough passes a long answer on as it comes.
-func (x *exchange) passThrough(answer *http.Response, start []byte) bool {
+// passThrough relays a long response as it arrives.
+func (x *exchange) passThrough(response *http.Response, start []byte) bool {
 	q := x.request
-	q.writeHead(answer.StatusCode, answer.Header, answer.ContentLength)
+	q.writeHead(response.StatusCode, response.Header, response.ContentLength)
 	_, err := deadlineWriter{q}.Write(start)
-	rest := &progressReader{Reader: answer.Body, watch: x.watch}
+	rest := &progressReader{Reader: response.Body, watch: x.watch}
 	if err == nil {
 		_, err = io.Copy(deadlineWriter{q}, rest)
 	}
@@ -108,31 +108,31 @@
 		x.gateway.recordOutcome(q, o, reason)
 		panic(http.ErrAbortHandler)
 	}
-	x.conn.Finish(answer)
+	x.conn.Finish(response)
 	x.backend.answered()
-	x.sawWhole(answer)
+	x.sawWhole(response)
 	x.recordPlainRun()
-	x.gateway.recordOutcome(q, outcomeServed, answer.Status)
+	x.gateway.recordOutcome(q, outcomeServed, response.Status)
 	return true
 }
 
-// deadlineWriter bounds each write to the caller.
+// deadlineWriter sets a deadline for each write to the caller.
 type deadlineWriter struct{ request *request }
 
-// Write bounds and writes.
+// Write writes with a deadline.
 func (w deadlineWriter) Write(p []byte) (int, error) {
 	w.request.setWriteDeadline()
 	return w.request.writer.Write(p)
 }
 
-// progressReader notes that bytes come.
+// progressReader tells the watchdog of each read.
 type progressReader struct {
 	io.Reader
 	watch *watchdog
-	err   error // that broke the answer off; nil at its end
+	err   error // that cut the response short; nil at its end
 }
 
-// Read reads and notes.
+// Read reads and reports progress to the watchdog.
 func (r *progressReader) Read(p []byte) (int, error) {
 	n, err := r.Reader.Read(p)
 	if n > 0 {
@@ -144,7 +144,7 @@
 	return n, err
 }
 
-// writeHead writes the head of an answer; length is below 0 when not known.
+// writeHead writes the head of a response; a negative length means unknown.
 func (q *request) writeHead(status int, header http.Header, length int64) {
 	q.recordFirstByte()
 	out := q.writer.Header()
@@ -152,7 +152,7 @@
 		out[name] = values
 	}
 	if _, ok := out["Content-Type"]; !ok {
-		// net/http would else guess one.
+		// Without an entry net/http would guess a type.
 		out["Content-Type"] = nil
 	}
 	if length >= 0 {
@@ -164,7 +164,7 @@
 	q.writer.WriteHeader(status)
 }
 
-// write writes what is the rest of an answer, and returns once the kernel has it.
+// write writes the rest of a response, and returns once the kernel has it.
 func (q *request) write(rest []byte) error {
 	if _, err := (deadlineWriter{q}).Write(rest); err != nil {
 		return err
--- a/pkg/gateway/callers.go
+++ b/pkg/gateway/caller_conns.go
@@ -1,6 +1,6 @@
 // ================================================================
-// Callers' connections and their listener: who is there, who rests, and how both end in
-// a planned stop without a connection that closes under a request.
+// Callers' connections and their listener: tracks which are in use and which are idle, and ends
+// both in a planned stop without closing a connection under a request.
 // ================================================================
 
 package gateway
@@ -18,29 +18,30 @@
 )
 
 const (
-	// maxIdleAtStop is how long a connection may rest in a stop: a caller that goes on with
-	// its connection does so within some 100 ms of the answer before.
+	// maxIdleAtStop is how long a connection may be idle during a stop. A caller that reuses
+	// its connection does so within some 100 ms of the previous response.
 	maxIdleAtStop = time.Second
-	// stopPollInterval lies between two looks at what still goes on.
+	// stopPollInterval is the interval between checks of the connections still open.
 	stopPollInterval = 20 * time.Millisecond
-	// acceptIdleTimeout is for how long nobody may come before the listener closes, and
-	// acceptMost how long that may take in all.
+	// acceptIdleTimeout is how long the listener waits without a new connection before it
+	// closes during a stop, and acceptLimit bounds that phase as a whole.
 	acceptIdleTimeout = 20 * time.Millisecond
 	acceptLimit       = 300 * time.Millisecond
 )
 
-// connections are those of callers. The zero value has none. It is safe for concurrent
+// connections tracks callers' connections. The zero value has none. It is safe for concurrent
 // use.
 type connections struct {
 	mu   sync.Mutex
 	open int
-	// idle are those on which no request is, with since when.
+	// idle holds the connections without a request, and since when.
 	idle map[net.Conn]time.Time
-	// expired are those that rested too long, until they close or a request comes.
+	// expired holds the connections that were idle for too long, until they close or a request
+	// arrives.
 	expired map[net.Conn]bool
 }
 
-// trackState follows a connection; it is the server's ConnState.
+// trackState records a change of a connection's state; it is the server's ConnState.
 func (c *connections) trackState(conn net.Conn, s http.ConnState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -56,8 +57,9 @@
 		c.idle[conn] = time.Now()
 	case http.StateActive:
 		if c.expired[conn] {
-			// A request came as its rest ended. net/http, which reads beside the
-			// handler, would take the end of that time for a caller that left.
+			// A request arrived just as the idle limit passed. net/http reads in the background
+			// while the handler runs, and would take the read deadline for a caller that
+			// disconnected.
 			_ = conn.SetReadDeadline(time.Time{})
 		}
 	case http.StateClosed, http.StateHijacked:
@@ -66,8 +68,8 @@
 	delete(c.expired, conn)
 }
 
-// drain ends connections that rest too long until none is left, or the context ends.
-// It returns how many are in use then.
+// drain ends connections that are idle for too long until none is left or the context ends. It
+// returns how many are still in use.
 func (c *connections) drain(ctx context.Context) (inUse int) {
 	ticker := time.NewTicker(stopPollInterval)
 	defer ticker.Stop()
@@ -81,9 +83,9 @@
 	return 0
 }
 
-// expireIdle ends the connections that rest too long, and returns how many are open. The
-// end of its time for reading ends a connection from its own goroutine: one on which a
-// request has just come goes on with it.
+// expireIdle ends the connections that are idle for too long, and returns how many are open. It
+// sets their read deadline instead of closing them, so that each ends in its own goroutine and
+// one on which a request has just arrived continues.
 func (c *connections) expireIdle(now time.Time) (open int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -92,7 +94,7 @@
 			continue
 		}
 		if err := conn.SetReadDeadline(now); err != nil {
-			_ = conn.Close() // it is broken
+			_ = conn.Close() // without a deadline it can only be closed
 		}
 		delete(c.idle, conn)
 		c.expired[conn] = true
@@ -100,7 +102,7 @@
 	return c.open
 }
 
-// inUse returns how many connections have a request on them.
+// inUse returns how many connections have a request in flight.
 func (c *connections) inUse() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -108,19 +110,19 @@
 }
 
 // ----------------------------------------------------------------
-// Their listener
+// Listener
 
-// callersListener takes callers until it is told to stop, and then those that the kernel
-// has accepted already: to close it resets them.
+// callersListener accepts callers until it is told to stop, and then those that the kernel has
+// already accepted, since closing the listener resets them.
 type callersListener struct {
 	net.Listener
 	stopping atomic.Bool
 }
 
-// deadlineListener is a listener whose Accept can be bounded.
+// deadlineListener is a listener with a deadline for Accept.
 type deadlineListener interface{ SetDeadline(time.Time) error }
 
-// Accept returns the next connection; net.ErrClosed once it has stopped.
+// Accept returns the next connection; net.ErrClosed once the listener has stopped.
 func (l *callersListener) Accept() (net.Conn, error) {
 	if l.stopping.Load() {
 		l.setAcceptDeadline()
@@ -133,14 +135,14 @@
 	return conn, err
 }
 
-// stop has Accept end when nobody comes any more.
+// stop makes Accept fail once no more connections arrive.
 func (l *callersListener) stop() {
 	l.stopping.Store(true)
 	l.setAcceptDeadline()
 	time.AfterFunc(acceptLimit, func() { _ = l.Close() })
 }
 
-// setAcceptDeadline bounds Accept. A listener that cannot be bounded closes.
+// setAcceptDeadline bounds Accept. It closes a listener that does not support deadlines.
 func (l *callersListener) setAcceptDeadline() {
 	b, ok := l.Listener.(deadlineListener)
 	if !ok || b.SetDeadline(time.Now().Add(acceptIdleTimeout)) != nil {
--- a/pkg/gateway/ending.go
+++ b/pkg/gateway/ending.go
@@ -1,12 +1,12 @@
 // ================================================================
-// Every request that was read ends by an answer. A handler that returns without one
-// leaves it to net/http, which closes the connection after a panic and else writes an
-// empty success: a caller then knows nothing, or something false. So all ways out of a
-// handler come together here: a panic, a caller that left, a planned stop whose time is
-// over, and a request for which nothing more may be tried.
+// Ends every request that was read with a response. If a handler returns without one, net/http
+// closes the connection after a panic and otherwise writes an empty success: the caller then
+// learns nothing, or something false. So this file handles every way out of a handler: a panic,
+// a caller that disconnected, the end of a planned stop, and a request for which no further
+// attempt is possible.
 //
-// Only a stream that has begun can end without a whole answer: its head is out, and a
-// connection that closes is then the one way to say that it is not whole.
+// Only a stream that has begun can end without a complete response: its head is already sent,
+// and closing the connection is the only way to signal that it is incomplete.
 // ================================================================
 
 package gateway
@@ -24,26 +24,26 @@
 )
 
 const (
-	// finalAnswerMargin is how long before the limit of a planned stop all that still wait
-	// are answered: refusals are written within some ms, and a busy VM lets a
-	// process run some 100 ms late.
+	// finalAnswerMargin is how long before the end of a planned stop all waiting requests are
+	// answered. Refusals are written within some ms, and a busy VM may delay a process by some
+	// 100 ms.
 	finalAnswerMargin = 200 * time.Millisecond
-	// writeGrace is how long after its deadline an answer may still be written, and
-	// how long one that is later than that, since the process stood still, may take.
+	// writeGrace is how long after its deadline a response may still be written. A response
+	// that is already later than that, because the process was paused, gets the same time from
+	// now.
 	writeGrace = time.Second
-	// abortLogGrace is how long requests that are cut may take to say so in the log.
+	// abortLogGrace is how long aborted requests may take to log their outcome.
 	abortLogGrace = 50 * time.Millisecond
 )
 
-// errStopping is why requests end that still wait when the time for a planned stop is
-// nearly over.
-var errStopping = errors.New("the gateway stops")
+// errStopping is the cause of ending requests that still wait near the end of a planned stop.
+var errStopping = errors.New("the gateway is stopping")
 
-// errStopLimit is why requests end that still run when it goes.
-var errStopLimit = errors.New("this gateway cut it: the time for its planned stop is over")
+// errStopLimit is the cause of ending requests that still run at the end of a planned stop.
+var errStopLimit = errors.New("this gateway aborted it at the end of its planned stop")
 
-// bindToStop has a request end before the gateway's time for a planned stop does, unless
-// its head is written by then. The function that it returns ends the request's context.
+// bindToStop ends a request before the end of the gateway's planned stop, unless its head is
+// written by then. The returned function ends the request's context.
 func (g *Gateway) bindToStop(q *request) (end func()) {
 	ctx, cancel := context.WithCancelCause(q.incoming.Context())
 	q.ctx = ctx
@@ -56,8 +56,8 @@
 	}
 }
 
-// abortRunning cuts the requests that run when the time for a planned stop is over, and gives
-// them a moment to say so. It returns how many there were.
+// abortRunning aborts the requests that still run at the end of a planned stop, and waits
+// briefly for them to log it. It returns how many there were.
 func (g *Gateway) abortRunning() (requests int64) {
 	requests = g.activeRequests.Load()
 	g.stop.endRunCtx()
@@ -67,8 +67,9 @@
 	return requests
 }
 
-// stopOutcomeOr is how a request ends whose answer is not whole: cut by this gateway where the time
-// for its stop is over, which breaks connections to both sides, and else as it seems.
+// stopOutcomeOr returns the outcome of a request with an incomplete response: stopped by this
+// gateway if its planned stop is over, which breaks connections on both sides, and else the
+// given one.
 func (g *Gateway) stopOutcomeOr(q *request, o outcome, reason string) (outcome, string) {
 	if g.stop.isOver() {
 		g.recordInterrupted(q, interruptStop, stageStreaming)
@@ -77,8 +78,8 @@
 	return o, reason
 }
 
-// giveUp ends a request that was not answered: by the answer that a backend
-// server did give, by breaking off a stream that began, or by a refusal.
+// giveUp ends a request that was not answered: it closes the connection of a stream that has
+// begun, relays a failure response that a backend server gave, or else refuses the request.
 func (g *Gateway) giveUp(q *request, f *failure.Failure) {
 	switch {
 	case q.headWritten:
@@ -105,7 +106,7 @@
 		g.recordOutcome(q, o, reason)
 		panic(http.ErrAbortHandler)
 	}
-	// It may have closed its sending side only, and still read.
+	// The caller may have closed only its sending side, and still read.
 	f := failure.New(failure.Overloaded, callerLeft)
 	if q.mayHaveRun {
 		f = failure.New(failure.OutcomeUnknown, callerLeft)
@@ -117,7 +118,7 @@
 	g.recordOutcome(q, outcomeCallerLeft, callerLeft)
 }
 
-// recoverPanic answers a request whose handler panicked, and logs where. It is to be
+// recoverPanic answers a request whose handler panicked, and logs the stack. It must be
 // deferred.
 func (g *Gateway) recoverPanic(q *request) {
 	cause := recover()
@@ -125,7 +126,7 @@
 		return
 	}
 	if cause == http.ErrAbortHandler {
-		panic(cause) // the connection is to close
+		panic(cause) // makes net/http close the connection
 	}
 	_ = level.Error(g.process.Logger).Log("msg", "panic", "request", q.head.ID, "cause", cause, "stack", string(debug.Stack()))
 	q.mayHaveRun = q.mayHaveRun || q.sent > 0
--- a/pkg/gateway/events.go
+++ b/pkg/gateway/events.go
@@ -1,6 +1,6 @@
 // ================================================================
-// Events of a stream (text/event-stream), whole ones only: a backend server
-// may stop in the middle of one.
+// Reads server-sent events (text/event-stream), whole events only, since a backend server may
+// stop in the middle of one.
 //
 //	id: 12\n
 //	data: ...\n
@@ -25,7 +25,7 @@
 
 var eventEnd = []byte("\n\n")
 
-// eventReader reads whole events.
+// eventReader splits a response body into whole events.
 type eventReader struct {
 	body   io.Reader
 	buffer []byte
@@ -36,9 +36,8 @@
 	return &eventReader{body: body, buffer: make([]byte, 0, eventBufferSize)}
 }
 
-// next returns the whole events that have come, at least one. It returns
-// io.EOF at the end in good order, and io.ErrUnexpectedEOF when the body ends
-// within an event.
+// next returns the whole events received so far, at least one. It returns io.EOF after a
+// complete body, and io.ErrUnexpectedEOF if the body ends within an event.
 func (r *eventReader) next() ([]byte, error) {
 	for {
 		if end := bytes.LastIndex(r.buffer[r.start:], eventEnd); end >= 0 {
@@ -55,7 +54,7 @@
 func (r *eventReader) fill() error {
 	rest := len(r.buffer) - r.start
 	if rest > maxEvent {
-		return errors.Errorf("an event of more than %d bytes", maxEvent)
+		return errors.Errorf("an event exceeds %d bytes", maxEvent)
 	}
 	if r.start > 0 {
 		copy(r.buffer, r.buffer[r.start:])
@@ -77,8 +76,7 @@
 	return err
 }
 
-// eachEvent calls f with each whole event and its id ("" when it has none),
-// until f returns false.
+// eachEvent calls f with each whole event and its id ("" if it has none) until f returns false.
 func eachEvent(events []byte, f func(event []byte, id string) bool) {
 	for len(events) > 0 {
 		end := bytes.Index(events, eventEnd)
@@ -105,8 +103,8 @@
 	return ""
 }
 
-// isLaterID tells whether an event id comes after another; ids that are no numbers
-// are not compared.
+// isLaterID reports whether an event id comes after another. Ids that are not numbers always
+// count as later.
 func isLaterID(id, after string) bool {
 	a, errA := strconv.ParseUint(id, 10, 64)
 	b, errB := strconv.ParseUint(after, 10, 64)
--- a/pkg/gateway/stand_in_test.go
+++ b/pkg/gateway/fake_backend_test.go
@@ -20,19 +20,19 @@
 	"github.com/tidepost/tidepost/pkg/settings"
 )
 
-// responseScript is what a stand-in of a backend server does with a request:
-// it writes raw bytes to the connection, and tells whether to keep it.
+// responseScript is what a fake backend server does with a request: it writes raw bytes to the
+// connection, and reports whether to keep it.
 type responseScript func(w *bufio.Writer, r *http.Request) (keep bool)
 
-// fakeBackend is a backend server whose answers are scripted byte by byte.
+// fakeBackend is a backend server whose responses are scripted byte by byte.
 type fakeBackend struct {
 	incarnation string
 	listener    net.Listener
 	script      responseScript
-	onAccept    func(net.Conn) // gets each connection; nil for none
+	onAccept    func(net.Conn) // called with each connection; may be nil
 
 	mu   sync.Mutex
-	seen []string // ids of the requests that came
+	seen []string // ids of the received requests
 	gone chan string
 }
 
@@ -41,7 +41,8 @@
 	return newFakeBackendWithAccept(t, incarnation, script, nil)
 }
 
-// newFakeBackendWithAccept is newStandIn where somebody gets each connection.
+// newFakeBackendWithAccept is newFakeBackend with a function that is called with each
+// connection.
 func newFakeBackendWithAccept(t testing.TB, incarnation string, script responseScript, onAccept func(net.Conn)) *fakeBackend {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -94,7 +95,7 @@
 	return append([]string(nil), s.seen...)
 }
 
-// respondWith is a script that answers every request whole.
+// respondWith returns a script that answers every request completely.
 func respondWith(status, body string) responseScript {
 	return func(w *bufio.Writer, r *http.Request) bool {
 		writeResponse(w, r, status, "", body)
@@ -106,7 +107,7 @@
 	_, _ = fmt.Fprintf(w, "HTTP/1.1 %s\r\n%s: %s\r\n%sContent-Length: %d\r\n\r\n%s", status, headerID, r.Header.Get(headerID), header, len(body), body)
 }
 
-// writeEvents writes the head of a stream and events from..to, each as a chunk.
+// writeEvents writes the head of a stream and the events from..to, each as a chunk.
 func writeEvents(w *bufio.Writer, r *http.Request, from, to int) {
 	_, _ = fmt.Fprintf(w, "HTTP/1.1 200 OK\r\n%s: %s\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n", headerID, r.Header.Get(headerID))
 	for i := from; i <= to; i++ {
@@ -129,11 +130,11 @@
 	return b.String()
 }
 
-// fixture is a gateway before stand-ins, without control nodes.
+// fixture is a gateway in front of fake backend servers, without control nodes.
 type fixture struct {
 	gateway *Gateway
 	server  *httptest.Server
-	exited  chan struct{} // closes when the gateway that runs as a program has ended
+	exited  chan struct{} // closed when the gateway started by run has ended
 }
 
 const testSettings = `
@@ -145,13 +146,13 @@
 retries: {reserve: 1000}
 `
 
-// newGateway returns a gateway with some settings that is not running.
+// newGateway returns a gateway with the given settings that is not running.
 func newGateway(t testing.TB, text string) *Gateway {
 	t.Helper()
 	return newLoggedGateway(t, io.Discard, text)
 }
 
-// newLoggedGateway is newGateway with a log.
+// newLoggedGateway is newGateway with a log writer.
 func newLoggedGateway(t testing.TB, log io.Writer, text string) *Gateway {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "gateway.yaml")
@@ -166,17 +167,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// What a gateway does just after its start is for the tests of the budget.
+	// The tests of the budget cover the time just after a start.
 	g.budget = settledBudget(s.RetryRatio(), s.RetryReserve(), s.RetryWindow())
 	return g
 }
 
-// newFixture returns a gateway with one route of a kind to the stand-ins, in
-// the order of their preference.
+// newFixture returns a gateway with one route of a kind to the fake backend servers, preferred
+// in the given order.
 func newFixture(t testing.TB, kind serviceconfig.Kind, resumable bool, servers ...*fakeBackend) *fixture {
 	t.Helper()
 	g := newGateway(t, testSettings)
-	// What a dial finds must not depend on how busy the machine is.
+	// The result of a dial must not depend on how busy the machine is.
 	g.exitWait = func(int) time.Duration { return time.Minute }
 	route := serviceconfig.NewRoute("r", "menus.example", "/draft/", kind, 3*time.Second, 400*time.Millisecond, 400*time.Millisecond, 1,
 		[]serviceconfig.Target{serviceconfig.NewTarget("menu", 1)}, 2, false, resumable)
@@ -199,8 +200,8 @@
 	return f
 }
 
-// prefer has the choice prefer the stand-ins in their order: work that is not there makes
-// the later ones the second choice.
+// prefer makes the gateway prefer the servers in the given order, by pretending that the later
+// ones have more work in flight.
 func (f *fixture) prefer(servers ...*fakeBackend) {
 	for i, server := range servers {
 		for _, b := range f.gateway.backends.of("menu") {
@@ -211,7 +212,7 @@
 	}
 }
 
-// request returns a request of a caller.
+// request returns a caller's request.
 func (f *fixture) request(t testing.TB, method, id, body string) *http.Request {
 	t.Helper()
 	r, err := http.NewRequest(method, f.server.URL+"/draft/x?y=1", strings.NewReader(body))
@@ -225,15 +226,15 @@
 	return r
 }
 
-// do sends a request and returns the status and the body; an error in reading
-// the body is returned beside what came.
+// do sends a request and returns the response. An error in reading the body is returned with
+// the bytes read before it.
 func (f *fixture) do(t *testing.T, r *http.Request) (status int, header http.Header, body string, readError error) {
 	t.Helper()
-	answer, err := http.DefaultTransport.RoundTrip(r)
+	response, err := http.DefaultTransport.RoundTrip(r)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer answer.Body.Close()
-	raw, readError := io.ReadAll(answer.Body)
-	return answer.StatusCode, answer.Header, string(raw), readError
+	defer response.Body.Close()
+	raw, readError := io.ReadAll(response.Body)
+	return response.StatusCode, response.Header, string(raw), readError
 }
--- a/pkg/gateway/forward_test.go
+++ b/pkg/gateway/forward_test.go
@@ -12,7 +12,7 @@
 	"github.com/tidepost/tidepost/pkg/serviceconfig"
 )
 
-// closeWithoutResponse ends the connection without an answer.
+// closeWithoutResponse closes the connection without a response.
 func closeWithoutResponse(*bufio.Writer, *http.Request) bool { return false }
 
 func TestRequestIsForwardedUnchanged(t *testing.T) {
@@ -44,10 +44,10 @@
 	f := newFixture(t, serviceconfig.Once, false, first, second)
 	status, _, _, _ := f.do(t, f.request(t, http.MethodPost, "a", "order"))
 	if status != http.StatusBadGateway {
-		t.Fatalf("status %d promises something", status)
+		t.Fatalf("status %d says that the request has not run", status)
 	}
 	if n := len(second.requests()); n != 0 {
-		t.Fatalf("sent %d times more", n)
+		t.Fatalf("sent %d more times", n)
 	}
 }
 
@@ -57,7 +57,7 @@
 		return false
 	}
 	for name, script := range map[string]responseScript{
-		"no answer": closeWithoutResponse, "half an answer": cut, "own failure": respondWith("500 Internal Server Error", "oops"),
+		"no response": closeWithoutResponse, "half a response": cut, "failure response": respondWith("500 Internal Server Error", "oops"),
 		"no HTTP": func(w *bufio.Writer, _ *http.Request) bool { _, _ = w.WriteString("garbage\r\n\r\n"); return false },
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -71,7 +71,7 @@
 	}
 }
 
-func TestFailureOfLastBackendServerIsPassedOn(t *testing.T) {
+func TestFailureResponseOfLastServerIsRelayed(t *testing.T) {
 	s := newFakeBackend(t, "i-1", respondWith("500 Internal Server Error", "its own words"))
 	f := newFixture(t, serviceconfig.Repeatable, false, s)
 	status, _, body, _ := f.do(t, f.request(t, http.MethodGet, "a", ""))
@@ -100,7 +100,8 @@
 	}
 }
 
-// An answer to another request never reaches this one's caller.
+// Surplus bytes after a response must never reach the caller of the next request on the same
+// connection.
 func TestSurplusResponseIsDropped(t *testing.T) {
 	surplus := func(w *bufio.Writer, r *http.Request) bool {
 		writeResponse(w, r, "200 OK", "", "mine "+r.Header.Get(headerID))
@@ -152,7 +153,7 @@
 	}
 }
 
-// A stream that cannot go on must not look complete.
+// A stream that cannot be resumed must not look complete.
 func TestBrokenStreamDoesNotLookComplete(t *testing.T) {
 	breaks := func(w *bufio.Writer, r *http.Request) bool {
 		writeEvents(w, r, 1, 2)
@@ -165,7 +166,7 @@
 		t.Fatalf("%q looks complete", body)
 	}
 	if !strings.HasPrefix(events(1, 2), body) {
-		t.Fatalf("%q is not what came", body)
+		t.Fatalf("%q is not what was sent", body)
 	}
 }
 
@@ -187,7 +188,7 @@
 		}
 	}
 	if n := len(first.requests()); n != 1 {
-		t.Fatalf("the address was asked %d times", n)
+		t.Fatalf("the address received %d requests", n)
 	}
 }
 
@@ -195,14 +196,14 @@
 	first, second := newFakeBackend(t, "i-1", respondWith("200 OK", "first")), newFakeBackend(t, "i-2", respondWith("200 OK", "second"))
 	f := newFixture(t, serviceconfig.Repeatable, false, first, second)
 	f.gateway.backends.hear(registry.NewRegistration("i-1", "menu", first.listener.Addr().String(), "hall-a", "v1", 4, registry.Draining, 0, nil, 2, 0))
-	// A late heartbeat does not bring it back.
+	// A late heartbeat must not make it ready again.
 	f.gateway.backends.hear(registry.NewRegistration("i-1", "menu", first.listener.Addr().String(), "hall-a", "v1", 4, registry.Ready, 0, nil, 3, 0))
 	if _, _, body, _ := f.do(t, f.request(t, http.MethodGet, "a", "")); body != "second" {
 		t.Fatalf("got %q", body)
 	}
 }
 
-// When the caller leaves, the backend server's connection breaks at once.
+// When the caller disconnects, the gateway closes the connection to the backend server at once.
 func TestCallerDisconnectAbortsAttempt(t *testing.T) {
 	began, ended := make(chan struct{}), make(chan struct{})
 	writesUntilBroken := func(w *bufio.Writer, r *http.Request) bool {
@@ -220,10 +221,10 @@
 	f := newFixture(t, serviceconfig.Stream, true, s)
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
-		answer, err := http.DefaultTransport.RoundTrip(f.request(t, http.MethodPost, "a", "draft").WithContext(ctx))
+		response, err := http.DefaultTransport.RoundTrip(f.request(t, http.MethodPost, "a", "draft").WithContext(ctx))
 		if err == nil {
 			<-ctx.Done()
-			_ = answer.Body.Close()
+			_ = response.Body.Close()
 		}
 	}()
 	<-began
--- a/pkg/gateway/gateway.go
+++ b/pkg/gateway/gateway.go
@@ -1,10 +1,9 @@
 // ================================================================
-// The gateway: puts the parts together, follows the control nodes, serves
-// callers, and ends in good order.
+// The gateway process: assembles its parts, follows the control nodes, serves callers and stops
+// gracefully.
 //
-// It keeps no state that must survive: it learns the configuration and the
-// backend servers anew at each start, and goes on with what it knows while no
-// control node is in reach.
+// It keeps no durable state. It learns the configuration and the backend servers anew at each
+// start, and continues with what it knows while no control node is reachable.
 // ================================================================
 
 package gateway
@@ -41,10 +40,11 @@
 	idleTimeout   = 30 * time.Second
 	maxHeader     = 16 << 10
 	sweepInterval = 2 * time.Second
-	// goMemoryShare of the process's memory is the collector's limit.
+	// goMemoryShare is the share of the process's memory that is set as the Go runtime's memory
+	// limit.
 	goMemoryShare = 0.7
-	// assumedGateways share the reserve of repeats before a control node has
-	// counted them.
+	// assumedGateways is the number of gateways assumed to share the retry reserve until a
+	// control node reports one.
 	assumedGateways = 8
 )
 
@@ -61,32 +61,32 @@
 	gatewayCount gatewayCounter
 	budget       *budget
 	demand       demand
-	// quarantine is what is known of requests under which servers ended.
+	// quarantine records the requests during which backend servers exited.
 	quarantine *quarantine.Table
-	// publishRecords tells control nodes what was learnt of them here, and mayTell bounds
-	// how many ends are told a second.
+	// publishRecords sends new quarantine records to the control nodes, and publishLimiter
+	// bounds how many a second.
 	publishRecords func(records []quarantine.Record)
 	publishLimiter *rate.Limiter
-	// exitWait is how long an attempt waits to know whether its backend server ended.
-	exitWait func(knownEnds int) time.Duration
-	// requestTrial asks to try a barred request once more, as tester, and mayAskTrial bounds
-	// how often.
+	// exitWait returns how long an attempt waits to learn whether its backend server exited.
+	exitWait func(knownExits int) time.Duration
+	// requestTrial asks for permission to try a barred request once more under the name tester,
+	// and trialLimiter bounds how often.
 	requestTrial func(f quarantine.Fingerprint)
 	tester       string
 	trialLimiter *rate.Limiter
-	// limitOwners are the gateways that own limits of backend servers.
+	// limitOwners are the gateways that own the rate limits of backend servers.
 	limitOwners *owners
-	// limitLogLimiter bounds the log lines on limits of backend servers.
+	// limitLogLimiter bounds the log lines about limits of backend servers.
 	limitLogLimiter *rate.Limiter
 	callerRetries   returning
 	silenceDetector silenceDetector
-	// demandByDomain returns the requests for engines that come to all gateways a
-	// second, by failure domain.
+	// demandByDomain returns the requests for engines that all gateways receive per second, by
+	// failure domain.
 	demandByDomain func() map[string]float64
-	// askStager asks the stager at a link address for a place.
+	// askStager asks the stager at a link address to reserve a place at its engine.
 	askStager func(ctx context.Context, address string, a reservation.Ask) (reservation.Answer, error)
-	// askLender asks the gateway at a link address for a repeat, and borrowAgain is when that
-	// may be done next.
+	// askLender asks the gateway at a link address for a retry from its budget, and nextBorrow
+	// is the earliest time to ask again.
 	askLender  func(ctx context.Context, address string, a contract.RepeatAsk) (contract.RepeatAnswer, error)
 	nextBorrow atomicTime
 	metrics    *metrics
@@ -95,13 +95,13 @@
 	index          serviceconfig.Current
 	stop           *gracefulStop
 	connections    connections
-	callerListener atomic.Pointer[callersListener] // nil until it listens
-	runContext     context.Context                 // ends with Run
-	activeRequests atomic.Int64                    // requests that callers wait for
+	callerListener atomic.Pointer[callersListener] // nil until the gateway listens
+	runContext     context.Context                 // ends when Run returns
+	activeRequests atomic.Int64                    // requests in flight
 }
 
-// New returns a gateway that is not running yet. path is its settings file,
-// read again on a reload; it may be empty.
+// New returns a gateway that is not running yet. settingsPath is its settings file, which is
+// read again on a reload; it may be empty. hooks replace the environment in tests.
 func New(s settings.Gateway, settingsPath string, protocol Protocol, hooks daemon.Seams) (*Gateway, error) {
 	debug.SetMemoryLimit(int64(float64(s.Memory()) * goMemoryShare))
 	process, err := daemon.New(s.Common(), vm.FreshIncarnation(), hooks)
@@ -143,7 +143,8 @@
 	return g, nil
 }
 
-// applyUpdate takes what a control node tells. The configuration only ever rises.
+// applyUpdate applies an update from a control node. An older configuration than the current
+// one is ignored.
 func (g *Gateway) applyUpdate(address string, u feed.Update) {
 	for _, r := range u.Registrations() {
 		g.backends.hear(r)
@@ -165,15 +166,15 @@
 	_ = level.Info(g.process.Logger).Log("msg", "configuration in force", "number", d.Number(), "routes", len(d.Routes()), "from", address)
 }
 
-// onResume makes what is known count how long the VM was suspended: ages of versions, and
-// loads that were told before. Attempts that wait look at once whether they still may.
+// onResume adds the duration of a VM suspension to the ages of versions and of reported loads.
+// Waiting attempts check at once whether they may continue.
 func (g *Gateway) onResume(suspended time.Duration) {
 	g.versions.AddSuspension(suspended)
 	g.backends.each(func(b *backend, _ string) { b.suspended(suspended) })
 	g.watchdogs.lookNow()
 }
 
-// countGateways returns how many gateways share what is shared.
+// countGateways returns how many gateways share the retry budget.
 func (g *Gateway) countGateways() int {
 	if n := g.gatewayCount.update(g.follower.Gateways(), time.Now(), g.settings.RetryWindow()); n > 0 {
 		return n
@@ -183,7 +184,7 @@
 
 func (g *Gateway) random() float64 { return rand.Float64() }
 
-// Run runs the gateway until a signal, and then until what is in flight ends.
+// Run runs the gateway until a signal, and then until the requests in flight have ended.
 func (g *Gateway) Run(signals <-chan os.Signal) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
--- a/pkg/gateway/handler.go
+++ b/pkg/gateway/handler.go
@@ -1,7 +1,6 @@
 // ================================================================
-// The way of a request: its route, its organisation, its body, then attempts
-// until one is answered or nothing more may be tried. Whoever is given up on
-// gets the final answer at once.
+// Handles one request: finds its route and organisation, reads its body, then makes attempts
+// until one is answered or no further attempt is allowed.
 // ================================================================
 
 package gateway
@@ -21,23 +20,24 @@
 )
 
 const (
-	// defaultMaxBody bounds a body when the configuration does not.
+	// defaultMaxBody bounds a request body if the configuration sets no limit.
 	defaultMaxBody = 4 << 20
-	// bodyReadTimeout bounds the sending of a body.
+	// bodyReadTimeout bounds the reading of a request body.
 	bodyReadTimeout = 10 * time.Second
-	// maxDials bounds the backend servers that one request is offered to.
+	// maxDials bounds the backend servers to which one request is offered.
 	maxDials = 6
-	// retryAfterSoon is when a refused caller may try again where that is better
-	// than to wait; comeBackLeast and comeBackMost bound it where all backend
-	// servers are full.
+	// retryAfterSoon is the Retry-After of a refusal where retrying is better than waiting.
+	// retryAfterMin and retryAfterMax bound the random Retry-After of a refusal where all
+	// backend servers are full.
 	retryAfterSoon = 300 * time.Millisecond
 	retryAfterMin  = 500 * time.Millisecond
 	retryAfterMax  = 1500 * time.Millisecond
-	// retryAfterShare of a caller's remaining time is when it may try again where
-	// no backend server serves. They serve again seconds later, so the later the
-	// better, and the platform's callers wait for no longer share.
+	// retryAfterShare is the share of a caller's remaining time after which it may retry if no
+	// backend server is serving. Servers serve again seconds later, so a later retry is more
+	// likely to succeed; the platform's callers wait for no larger share.
 	retryAfterShare = 1.0 / 3
-	// maxWaitShare for a place, as a share of the objective, is worth taking.
+	// maxWaitShare is the longest acceptable wait for a place, as a share of the latency
+	// objective.
 	maxWaitShare = 0.5
 )
 
@@ -73,7 +73,7 @@
 	g.forward(q)
 }
 
-// routeRequest finds the route and the organisation of a request.
+// routeRequest finds the route, service and organisation of a request and sets its deadline.
 func (g *Gateway) routeRequest(q *request) error {
 	r, now := q.incoming, q.started
 	q.head = g.protocol.ReadRequest(r.Header)
@@ -92,7 +92,7 @@
 	}
 	service, found := index.Service(route.Pick(g.random()))
 	if !found {
-		return failure.New(failure.Internal, "route %q leads to no service", route.Name())
+		return failure.New(failure.Internal, "route %q has no service", route.Name())
 	}
 	q.service = service
 	timeout := route.Timeout()
@@ -111,8 +111,8 @@
 	return nil
 }
 
-// modelOf returns the model that a request asks for: the only one that the engines serve
-// where it names none, and empty where that is not known.
+// modelOf returns the model that a request asks for. A request that names none gets the
+// engines' only model; the result is empty if they serve several or none.
 func modelOf(h RequestHead, e serviceconfig.Engine) string {
 	if h.Model == "" && len(e.Models()) == 1 {
 		return e.Models()[0]
@@ -120,7 +120,7 @@
 	return h.Model
 }
 
-// pathOf returns the raw path of a request.
+// pathOf returns the undecoded path of a request.
 func pathOf(r *http.Request) string {
 	path, _, _ := strings.Cut(requestTarget(r), "?")
 	return path
@@ -134,7 +134,8 @@
 	return r.URL.RequestURI()
 }
 
-// authenticate finds the organisation by the key, where one is asked for.
+// authenticate sets the organisation that owns the request's key. It fails if the key is
+// unknown and the route requires one.
 func (q *request) authenticate(index *serviceconfig.Index) error {
 	q.urgency = q.route.Priority()
 	if !index.HoldsKeys() {
@@ -148,7 +149,7 @@
 			q.urgency = o.Priority()
 		}
 	case !q.route.Anonymous():
-		return failure.New(failure.UnknownKey, "the key is held by no organisation")
+		return failure.New(failure.UnknownKey, "the key belongs to no organisation")
 	}
 	return nil
 }
@@ -163,7 +164,7 @@
 		limit = int64(l)
 	}
 	if r.ContentLength > limit {
-		return failure.New(failure.TooLarge, "a body of %d bytes; the bound is %d", r.ContentLength, limit)
+		return failure.New(failure.TooLarge, "the body has %d bytes; the limit is %d", r.ContentLength, limit)
 	}
 	control := http.NewResponseController(q.writer)
 	_ = control.SetReadDeadline(time.Now().Add(bodyReadTimeout))
@@ -171,7 +172,7 @@
 	if err != nil {
 		var tooLarge *http.MaxBytesError
 		if errors.As(err, &tooLarge) {
-			return failure.New(failure.TooLarge, "a body of more than %d bytes", limit)
+			return failure.New(failure.TooLarge, "the body exceeds the limit of %d bytes", limit)
 		}
 		return err
 	}
@@ -180,7 +181,7 @@
 	return nil
 }
 
-// content is what tells a request apart from others, whatever try of its caller it is.
+// content returns what identifies a request across its caller's retries.
 func (q *request) content() quarantine.Content {
 	r := q.incoming
 	return quarantine.Content{Organisation: q.organisation, Method: r.Method, Host: r.Host, Target: requestTarget(r), Body: q.body}
@@ -223,36 +224,36 @@
 	}
 }
 
-// retryBudgetSpent is the message of a request that finds no repeat; it takes how the last attempt
-// ended.
+// retryBudgetSpent is the message of a request for which no retry is left; its argument says
+// how the last attempt ended.
 const retryBudgetSpent = "the budget of repeats is used up; last: %s"
 
-// backOff has a stream under way that a server turned away wait, longer each time: whatever is full
-// turns it away again at once, and each time costs a repeat. It tells why the stream ends where its
-// caller waits no longer.
+// backOff delays the retry of a stream in progress that a server rejected, longer each time: a
+// full server rejects it again at once, and each attempt uses up a retry. It returns a failure
+// if the caller no longer waits.
 func (g *Gateway) backOff(q *request, isRejected bool) *failure.Failure {
 	if !q.headWritten || !isRejected {
 		return nil
 	}
 	if !g.waitsForPlace(q, time.Now()) {
-		return q.exhausted("no backend server took it in time; last: %s", q.lastAttempt)
+		return q.exhausted("no backend server accepted it in time; last: %s", q.lastAttempt)
 	}
 	q.rejections++
 	g.pauseFor(q, time.Duration(q.rejections)*yieldLook)
 	return nil
 }
 
-// checkMayAttempt tells why a further attempt may not be made; nil when it may.
+// checkMayAttempt returns why no further attempt may be made; nil if one may.
 func (g *Gateway) checkMayAttempt(q *request, dials int) *failure.Failure {
 	exits := g.quarantine.Ends(q.fingerprint)
-	stopping := g.checkStop(q)
+	stopFailure := g.checkStop(q)
 	switch {
 	case !q.mayRun(exits):
 		return endsServers(q, exits)
 	case q.liveness == signEnded && exits > 1:
-		return q.exhausted("%d backend servers ended under this request; last: %s", exits, q.lastAttempt)
-	case stopping != nil:
-		return stopping
+		return q.exhausted("%d backend servers exited while running this request; last: %s", exits, q.lastAttempt)
+	case stopFailure != nil:
+		return stopFailure
 	case q.sent == 0 && dials < maxDials:
 		return nil
 	case q.sent == 0:
@@ -267,7 +268,7 @@
 	return nil
 }
 
-// exhausted is the failure of a request for which nothing more may be tried.
+// exhausted returns the failure of a request for which no further attempt is possible.
 func (q *request) exhausted(format string, arguments ...any) *failure.Failure {
 	if q.mayHaveRun {
 		return failure.New(failure.OutcomeUnknown, format, arguments...)
@@ -275,7 +276,7 @@
 	return failure.New(failure.Overloaded, format, arguments...).WithRetryAfter(retryAfterSoon)
 }
 
-// criteriaFor is what a backend server must satisfy for the next attempt.
+// criteriaFor returns what a backend server must satisfy for the next attempt.
 func (g *Gateway) criteriaFor(q *request) wanted {
 	w := wanted{service: q.service.Name(), work: q.work, tried: q.tried, engine: q.service.Engine(), avoid: q.avoid}
 	if len(q.ranAt) >= q.route.Attempts() {
@@ -294,13 +295,13 @@
 	return w
 }
 
-// maxWait is the longest wait for a place that is worth taking.
+// maxWait returns the longest acceptable wait for a place at an engine.
 func (q *request) maxWait() time.Duration {
 	return time.Duration(maxWaitShare * float64(q.route.Objective()))
 }
 
-// pick chooses a backend server for the next attempt. A request that no engine
-// would begin in time is refused at once: it is worth more when it comes back.
+// pick chooses a backend server for the next attempt. A request that no engine would begin in
+// time is refused at once, since it is more likely to succeed when its caller retries.
 func (g *Gateway) pick(q *request) (*backend, *failure.Failure) {
 	if b := q.reserved.Swap(nil); b != nil && g.isPermitted(q, b) {
 		return b, nil
@@ -322,8 +323,8 @@
 	return nil, failure.New(failure.Overloaded, "no backend server of %s serves now", q.service.Name()).WithRetryAfter(time.Duration(retryAfterShare * float64(q.remaining())))
 }
 
-// randomRetryAfter returns when a caller refused for load may try again. It is spread,
-// so that those refused together do not return together.
+// randomRetryAfter returns the Retry-After of a caller refused because of load. It is
+// randomised so that callers refused together do not retry together.
 func (g *Gateway) randomRetryAfter() time.Duration {
 	return retryAfterMin + time.Duration(g.random()*float64(retryAfterMax-retryAfterMin))
 }
--- a/pkg/gateway/metrics.go
+++ b/pkg/gateway/metrics.go
@@ -1,5 +1,5 @@
 // ================================================================
-// The metrics of a gateway.
+// The Prometheus metrics of a gateway.
 // ================================================================
 
 package gateway
@@ -10,7 +10,7 @@
 	"github.com/tidepost/tidepost/pkg/metric"
 )
 
-// metrics are a gateway's figures.
+// metrics holds a gateway's Prometheus collectors.
 type metrics struct {
 	requests       *prometheus.CounterVec
 	attempts       *prometheus.CounterVec
--- a/pkg/gateway/own.go
+++ b/pkg/gateway/native_protocol.go
@@ -1,5 +1,5 @@
 // ================================================================
-// The gateway's own protocol: headers named X-Tidepost-.
+// The gateway's own protocol, with headers named X-Tidepost-*.
 // ================================================================
 
 package gateway
@@ -32,7 +32,8 @@
 	return Protocol{Name: "own", ReadyPath: "/readyz", ReadRequest: readNativeRequest, Prepare: prepareNative, ReadResponse: readNativeResponse, StreamIdleTimeout: nativeStreamIdleTimeout}
 }
 
-// nativeStreamIdleTimeout is that of callers of whom nothing else is known.
+// nativeStreamIdleTimeout is the pause after which callers of unknown behaviour are assumed to
+// give up.
 func nativeStreamIdleTimeout(time.Duration, time.Duration) time.Duration { return 2 * time.Second }
 
 func readNativeRequest(h http.Header) RequestHead {
@@ -48,8 +49,8 @@
 	h.Del(headerOrganisation)
 	h.Set(headerIncarnation, a.Incarnation)
 	h.Set(headerDeadline, strconv.FormatInt(a.Remaining.Milliseconds(), 10))
-	setUnlessEmpty(h, headerOrganisation, a.Organisation)
-	setUnlessEmpty(h, headerLastEvent, a.LastEvent)
+	setIfNotEmpty(h, headerOrganisation, a.Organisation)
+	setIfNotEmpty(h, headerLastEvent, a.LastEvent)
 	if a.Version > 0 {
 		h.Set(headerVersion, strconv.FormatUint(a.Version, 10))
 	}
@@ -58,7 +59,7 @@
 	}
 }
 
-func setUnlessEmpty(h http.Header, name, value string) {
+func setIfNotEmpty(h http.Header, name, value string) {
 	if value != "" {
 		h.Set(name, value)
 	}
--- a/pkg/gateway/outcome.go
+++ b/pkg/gateway/outcome.go
@@ -1,6 +1,6 @@
 // ================================================================
-// How requests and attempts end: the words that logs and metrics use, and the
-// refusals. A refusal says when to come back, and whether anything ran.
+// Results of requests and attempts: the values used in logs and metrics, and the refusals. A
+// refusal says when to retry and whether anything has run.
 // ================================================================
 
 package gateway
@@ -16,29 +16,30 @@
 	"github.com/tidepost/tidepost/pkg/failure"
 )
 
-// outcome is how a request ended.
+// outcome is the result of a request, as logs and metrics show it.
 type outcome string
 
 const (
 	outcomeServed     outcome = "served"
-	outcomeFailed     outcome = "failed"  // by its backend server
-	outcomeBroken     outcome = "broken"  // a stream that could not go on
+	outcomeFailed     outcome = "failed"  // by the backend server
+	outcomeBroken     outcome = "broken"  // a stream that could not be resumed
 	outcomeRefused    outcome = "refused" // by the gateway
-	outcomeCallerLeft outcome = "gone"    // the caller left
-	outcomeStopped    outcome = "stopped" // the gateway cut it, as the time for its planned stop was over
-	// outcomeUnwritten is an answer that could not be written: nobody took it.
+	outcomeCallerLeft outcome = "gone"    // the caller disconnected
+	outcomeStopped    outcome = "stopped" // the gateway aborted it at the end of its planned stop
+	// outcomeUnwritten is a response that could not be written to the caller.
 	outcomeUnwritten outcome = "unwritten"
 )
 
-// attemptEnd is how an attempt ended that did not answer the request.
+// attemptEnd is the result of an attempt that did not answer the request, as logs and metrics
+// show it.
 type attemptEnd string
 
 const (
 	attemptUnreachable      attemptEnd = "unreachable"
 	attemptBroken           attemptEnd = "broken"
-	attemptSilentConn       attemptEnd = "silent" // its connection was, not its backend server
+	attemptSilentConn       attemptEnd = "silent" // the connection was silent, not the backend server
 	attemptVersionExpired   attemptEnd = "lapsed"
-	attemptCutByOrder       attemptEnd = "cut" // by an order that the engine was given
+	attemptCutByOrder       attemptEnd = "cut" // by an order to the engine
 	attemptRefused          attemptEnd = "refused"
 	attemptWrongIncarnation attemptEnd = "elsewhere"
 	attemptFailed           attemptEnd = "failed"
@@ -53,7 +54,7 @@
 		"version", q.versionExpiry.served, "lapses_ms", q.millisUntilExpiry(), "interrupted", q.takeInterrupted(), "why", reason)
 }
 
-// recordOutcome logs and counts a request that is over.
+// recordOutcome logs and counts a finished request.
 func (g *Gateway) recordOutcome(q *request, o outcome, reason string) {
 	g.metrics.requests.WithLabelValues(string(o)).Inc()
 	if o == outcomeServed {
@@ -72,8 +73,8 @@
 		"version", q.versionExpiry.served, "lapses_ms", q.millisUntilExpiry(), "stopping_ms", g.stop.elapsedMillis(q.started), "limited", q.blockedByLimits, "interrupted", q.takeInterrupted(), "why", reason)
 }
 
-// millisUntilExpiry is for how long yet, in milliseconds, the version where the request went
-// last may serve, by what was known when it was sent there; nil when it does not lapse.
+// millisUntilExpiry returns for how many more milliseconds the version of the last attempt may
+// be served, as known when the attempt was made; nil if it does not expire.
 func (q *request) millisUntilExpiry() any {
 	if !q.versionExpiry.lapses() {
 		return nil
@@ -81,7 +82,7 @@
 	return time.Until(q.versionExpiry.at).Milliseconds()
 }
 
-// refusal is the body of a refusal.
+// refusal is the JSON body of a refusal.
 type refusal struct {
 	Error  string `json:"error"`
 	Kind   string `json:"kind"`
@@ -89,7 +90,7 @@
 	Remedy string `json:"remedy"`
 }
 
-// refuse answers a request that no backend server answered.
+// refuse answers a request that no backend server answered, and records its outcome.
 func (g *Gateway) refuse(q *request, f *failure.Failure) {
 	if f.RetryAfter() > 0 {
 		g.callerRetries.refused(time.Now())
@@ -101,7 +102,7 @@
 	g.recordOutcome(q, outcomeRefused, f.Error())
 }
 
-// writeRefusal writes the answer of a request that no backend server answered.
+// writeRefusal writes the response to a request that no backend server answered.
 func (q *request) writeRefusal(f *failure.Failure) error {
 	ran := "not run"
 	if q.mayHaveRun {
@@ -122,9 +123,8 @@
 	return q.write(body)
 }
 
-// refusalStatus returns the status of a failure. One that promises that the
-// request has not run is only used when that is so, and where nothing was
-// sent until the deadline it is used.
+// refusalStatus returns the HTTP status of a failure. 503 promises that the request has not
+// run: it replaces 504 if nothing has run, and becomes 502 if something may have.
 func (q *request) refusalStatus(f *failure.Failure) int {
 	status := f.Status()
 	switch {
--- a/pkg/gateway/path_bench_test.go
+++ b/pkg/gateway/path_bench_test.go
@@ -15,8 +15,8 @@
 	"github.com/tidepost/tidepost/pkg/serviceconfig"
 )
 
-// BenchmarkStream measures a stream of 22 events from a caller through the gateway to
-// one of 45 engines, with a place reserved; caller and engine are in the same process.
+// BenchmarkStream measures a stream of 22 events from a caller through the gateway to one of 45
+// engines, with a reserved place. The caller and the engine run in the same process.
 //
 //	go test ./pkg/gateway -bench Stream -cpuprofile cpu.out
 func BenchmarkStream(b *testing.B) {
@@ -42,14 +42,14 @@
 	for b.Loop() {
 		r := f.request(b, http.MethodPost, "id", "a soft breakfast")
 		r.Header.Set(headerModel, "")
-		answer, err := http.DefaultTransport.RoundTrip(r)
+		response, err := http.DefaultTransport.RoundTrip(r)
 		if err != nil {
 			b.Fatal(err)
 		}
-		n, err := io.Copy(io.Discard, answer.Body)
-		_ = answer.Body.Close()
-		if err != nil || answer.StatusCode != http.StatusOK || n == 0 {
-			b.Fatal(answer.Status, n, err)
+		n, err := io.Copy(io.Discard, response.Body)
+		_ = response.Body.Close()
+		if err != nil || response.StatusCode != http.StatusOK || n == 0 {
+			b.Fatal(response.Status, n, err)
 		}
 	}
 }
--- a/pkg/gateway/protocol.go
+++ b/pkg/gateway/protocol.go
@@ -1,11 +1,10 @@
 // ================================================================
-// The seam between the gateway and what callers and backend servers speak:
-// which header says what. The gateway's own protocol stands in own.go; an
-// adapter brings another.
+// The interface between the gateway and the header formats of callers and backend servers.
+// native_protocol.go implements the gateway's own protocol; adapters supply others.
 // ================================================================
 
-// Package gateway takes callers' requests, picks a backend server for each,
-// forwards it and brings its answer back.
+// Package gateway accepts callers' requests, forwards each to a chosen backend server and
+// relays the response.
 package gateway
 
 import (
@@ -15,76 +14,77 @@
 	"github.com/tidepost/tidepost/pkg/serverlimit"
 )
 
-// RequestHead is what a request says of itself.
+// RequestHead is what the headers of a request say.
 type RequestHead struct {
-	// ID is the caller's id of the request; may be empty.
+	// ID is the caller's request id; may be empty.
 	ID string
-	// Key proves the caller's organisation; may be empty.
+	// Key authenticates the caller's organisation; may be empty.
 	Key string
-	// Model is the model asked for; may be empty.
+	// Model is the requested model; may be empty.
 	Model string
-	// Deadline is how long the caller will wait; 0 when it does not say.
+	// Deadline is how long the caller waits; 0 if not given.
 	Deadline time.Duration
-	// PromptTokens and AnswerTokens are the prompt's length and the most that
-	// may be generated; 0 when not said.
+	// PromptTokens is the length of the prompt and AnswerTokens the most tokens to generate; 0
+	// if not given.
 	PromptTokens, AnswerTokens int
-	// ExpectedTokens is the caller's guess of the answer's length; 0 when not said.
+	// ExpectedTokens is the caller's estimate of the answer's length; 0 if not given.
 	ExpectedTokens int
-	// LastEvent is the id of the last event of a stream that the caller has.
+	// LastEvent is the id of the last event of a stream that the caller has received.
 	LastEvent string
 }
 
-// Attempt is what one attempt tells a backend server.
+// Attempt is what the headers of one attempt tell a backend server.
 type Attempt struct {
-	// Incarnation is the only one that may run the request.
+	// Incarnation identifies the only start of a backend server that may run the request.
 	Incarnation string
-	// Organisation is the caller's; empty when it is not known.
+	// Organisation is the caller's organisation; empty if unknown.
 	Organisation string
-	// Remaining is how long the answer is waited for.
+	// Remaining is how long the gateway waits for the response.
 	Remaining time.Duration
-	// Version is the only version of the weights that may be used; 0 is any.
+	// Version is the only version of the weights that may be used; 0 allows any.
 	Version uint64
-	// Urgency is the rank among waiting requests, 0 first; below 0 says nothing.
+	// Urgency is the rank among waiting requests, 0 first; a negative value is not sent.
 	Urgency int
-	// LastEvent is the id after which a stream goes on; may be empty.
+	// LastEvent is the id of the event after which a stream resumes; may be empty.
 	LastEvent string
 }
 
-// ResponseHead is what the head of an answer says of itself.
+// ResponseHead is what the head of a response says.
 type ResponseHead struct {
-	// ID is the request's id as the backend server read it; may be empty.
+	// ID is the request id as the backend server read it; may be empty.
 	ID string
-	// FromBackend says that the answer is a backend server's own.
+	// FromBackend says that the backend server itself made the response, not a proxy or other
+	// process.
 	FromBackend bool
 	// NotRun says that the request has not run there and will not.
 	NotRun bool
-	// Version is the version of the weights; 0 when not said.
+	// Version is the version of the weights that was used; 0 if not given.
 	Version uint64
-	// Incarnation is the one that answers; empty when not said.
+	// Incarnation identifies the backend server that responds; empty if not given.
 	Incarnation string
-	// Limit is what the backend server takes from all gateways together.
+	// Limit is the rate of requests that the backend server accepts from all gateways together.
 	Limit serverlimit.Saying
 }
 
-// IsFromOther tells whether the answer comes from another incarnation.
-func (a ResponseHead) IsFromOther(expected string) bool {
-	return a.Incarnation != "" && a.Incarnation != expected
+// IsFromOther reports whether the response names another incarnation than the expected one.
+func (h ResponseHead) IsFromOther(expected string) bool {
+	return h.Incarnation != "" && h.Incarnation != expected
 }
 
-// Protocol is what callers and backend servers speak.
+// Protocol translates between requests and the headers of callers and backend servers.
 type Protocol struct {
-	// Name is how settings name it.
+	// Name is the protocol's name in the settings.
 	Name string
-	// ReadyPath is where the balancer asks whether to send callers here.
+	// ReadyPath is the HTTP path of the load balancer's readiness check.
 	ReadyPath string
-	// ReadRequest reads a request's header, and must not change it.
+	// ReadRequest reads a request's headers, and must not change them.
 	ReadRequest func(h http.Header) RequestHead
-	// Prepare changes the copy of a request's header that one attempt sends.
+	// Prepare sets the headers of one attempt in a copy of the request's headers.
 	Prepare func(h http.Header, a Attempt)
-	// ReadResponse reads the head of an answer.
+	// ReadResponse reads the head of a response.
 	ReadResponse func(status int, h http.Header) ResponseHead
-	// StreamIdleTimeout is after which pause the caller of a stream gives it up, by what its route
-	// asks of the first event and of pauses.
+	// StreamIdleTimeout returns the pause after which the caller of a stream gives up, from the
+	// route's objectives for the first event and for pauses between events.
 	StreamIdleTimeout func(objective, gap time.Duration) time.Duration
 }
 
--- a/pkg/gateway/request.go
+++ b/pkg/gateway/request.go
@@ -1,6 +1,5 @@
 // ================================================================
-// One request on its way: what it is, how long it may take, and what became of
-// each attempt.
+// The state of one request: what it asks for, its deadline and the result of each attempt.
 // ================================================================
 
 package gateway
@@ -18,67 +17,67 @@
 
 // request is one caller's request.
 type request struct {
-	ctx            context.Context // ends when the caller leaves, and before the head when the gateway stops
-	detachFromStop func() bool     // lets it go on beyond the stop
+	ctx            context.Context // ends when the caller disconnects, or when the gateway stops before the response head
+	detachFromStop func() bool     // keeps the stop from ending ctx
 	writer         http.ResponseWriter
 	incoming       *http.Request
 	head           RequestHead
-	model          string // the one asked for, or the only one there is; empty for plain services
+	model          string // the requested model, or the only one; empty for services without engines
 	route          *serviceconfig.Route
 	service        *serviceconfig.Service
 	organisation   string
 	urgency        int
-	header         http.Header // passed on
+	header         http.Header // the headers to forward
 	body           []byte
-	fingerprint    quarantine.Fingerprint // of what it asks; empty until the body is read
-	configNumber   uint64                 // of the configuration that it was routed by
+	fingerprint    quarantine.Fingerprint // of the content; empty until the body is read
+	configNumber   uint64                 // of the configuration that routed it
 
-	refusedBefore bool // the caller was refused before
+	refusedBefore bool // the caller retries after a refusal
 
-	stop            *gracefulStop // of the gateway
+	stop            *gracefulStop // the gateway's
 	started         time.Time
-	readAt          time.Time         // its last byte
-	deadline        time.Time         // of the answer: the caller's or the route's, if the VM is not suspended
-	suspension      *suspension.Watch // nil where nobody looks
-	suspendedBefore time.Duration     // by when it started
-	work            time.Duration     // what it takes of an engine's time
+	readAt          time.Time         // when its last byte was read
+	deadline        time.Time         // of the response, from caller or route, unless the VM is suspended
+	suspension      *suspension.Watch // nil if suspensions are not tracked
+	suspendedBefore time.Duration     // total suspension when the request started
+	work            time.Duration     // engine time that the request needs
 	prefill         time.Duration
-	maxRun          time.Duration // from its first turn at an engine to its last event, at the most
+	maxRun          time.Duration // upper bound of the time from its first turn at an engine to its last event
 
-	tried map[*backend]bool // not to be sent to again
-	sent  int               // attempts that reached a backend server
-	ranAt map[*backend]bool // where those of them were that may have run
-	// retryTaken says that the repeat of the next attempt is out of the budget already.
+	tried map[*backend]bool // not to be tried again
+	sent  int               // attempts with a connection to a backend server
+	ranAt map[*backend]bool // backend servers where it may have run
+	// retryTaken says that the retry budget is already charged for the next attempt.
 	retryTaken         atomic.Bool
-	reserved           atomic.Pointer[backend]      // granted a place for the next attempt; nil for none
-	interrupted        atomic.Pointer[interruption] // since the last log line
-	borrowed           bool                         // that repeat counts at another gateway, or not at all
-	unknownOutcomes    int                          // attempts whose outcome is not known
-	rejections         int                          // attempts that a server turned away while the stream was under way
-	knownServerExits   int                          // of servers under this request, when it was sent last
-	build              string                       // of the server that it was sent to last
-	avoid              []string                     // builds that it may not be sent to
-	permit             *permit                      // to be sent to a backend server that names a limit; nil for none
-	blockedByLimits    bool                         // limits of backend servers alone kept it from all of them
-	isTrial            bool                         // it is barred, and tried once on another build
+	reserved           atomic.Pointer[backend]      // holds a place for the next attempt; nil if none
+	interrupted        atomic.Pointer[interruption] // not logged yet
+	borrowed           bool                         // the retry is charged to another gateway, or not at all
+	unknownOutcomes    int                          // attempts with an unknown outcome
+	rejections         int                          // attempts that a server rejected while the stream was in progress
+	knownServerExits   int                          // servers known to have exited while running it, at the last attempt
+	build              string                       // software build of the server of the last attempt
+	avoid              []string                     // builds to which it must not be sent
+	permit             *permit                      // to use a backend server that announces a limit; nil if none
+	blockedByLimits    bool                         // only limits of backend servers kept it from being sent
+	isTrial            bool                         // it is barred, and is tried once on another build
 	fallback           *bufferedResponse
-	liveness           sign   // of what became of the backend server where the last attempt broke
-	mayHaveRun         bool   // an attempt's outcome is unknown, or it ran
-	headWritten        bool   // the answer's head was written to the caller
-	lastEvent          string // the last event that the caller has
-	lastAttempt        string // how the last attempt ended, for the log
-	lastBackend        string // where it went last
+	liveness           sign   // what is known of the server of the last broken attempt
+	mayHaveRun         bool   // an attempt ran or has an unknown outcome
+	headWritten        bool   // the response head was written to the caller
+	lastEvent          string // id of the last event that the caller has
+	lastAttempt        string // how the last attempt ended, for logs and refusals
+	lastBackend        string // incarnation of the last backend server
 	timeToFirstByte    time.Duration
-	timeToLastSend     time.Duration // from the start to the last sending
-	lastEventAt        time.Time     // of the last event passed on
-	maxPause           time.Duration // the longest between two events passed on
-	firstEventForecast time.Duration // of the first event, by the stager that granted a place
-	runLostAt          time.Time     // when a run of it was lost behind a silent connection; zero where none was
-	versionExpiry      lapse         // of the version at the last backend server, as known when it was sent there
+	timeToLastSend     time.Duration // from the start to the last attempt
+	lastEventAt        time.Time     // when the last event was relayed
+	maxPause           time.Duration // the longest time between two relayed events
+	firstEventForecast time.Duration // time to the first event, from the stager that reserved a place
+	runLostAt          time.Time     // when a run was lost on a silent connection; zero if none was
+	versionExpiry      lapse         // of the weights' version at the last backend server, as known when the attempt was made
 }
 
-// localDeadline is the deadline by the clock here, which stands still while the VM is suspended and
-// the caller's does not.
+// localDeadline returns the deadline on this VM's clock, which stops while the VM is suspended
+// although the caller's clock does not.
 func (q *request) localDeadline() time.Time {
 	if q.suspension == nil {
 		return q.deadline
@@ -86,14 +85,14 @@
 	return q.deadline.Add(q.suspendedBefore - q.suspension.Total())
 }
 
-// remaining is how much of the time is left.
+// remaining returns the time left until the deadline.
 func (q *request) remaining() time.Duration { return time.Until(q.localDeadline()) }
 
-// isRetryable tells whether the request may be sent once more.
+// isRetryable reports whether the request may be sent once more.
 func (q *request) isRetryable() bool { return !q.mayHaveRun || q.route.Idempotent() }
 
-// hasNoServerLeft tells whether no backend server is left to send the request to: it may have run at
-// as many as its route allows, and may not go back to any of them.
+// hasNoServerLeft reports whether the request has already been tried at every backend server
+// allowed: it may have run at as many as its route permits, and may return to none of them.
 func (q *request) hasNoServerLeft() bool {
 	if len(q.ranAt) < q.route.Attempts() {
 		return false
@@ -106,8 +105,8 @@
 	return true
 }
 
-// isLastServerAt tells whether an attempt at a backend server is the last one that the route
-// allows, but for going back.
+// isLastServerAt reports whether a backend server would be the last one that the route's limit
+// of attempts allows, apart from returning to earlier ones.
 func (q *request) isLastServerAt(b *backend) bool {
 	ranAt := len(q.ranAt)
 	if !q.ranAt[b] {
@@ -116,11 +115,11 @@
 	return ranAt >= q.route.Attempts()
 }
 
-// loadSlowdown is what a request takes at a full engine, which reads the prompts of others
-// between its words, over what it takes by itself.
+// loadSlowdown is the factor by which a request is slower at a full engine, which interleaves
+// the prompts of other requests with its tokens.
 const loadSlowdown = 1.5
 
-// estimateWork fills in how much work the request is for an engine.
+// estimateWork estimates how much engine time the request needs.
 func (q *request) estimateWork() {
 	e := q.service.Engine()
 	if e.Slots() == 0 {
@@ -142,7 +141,7 @@
 	q.work = q.prefill + time.Duration(answer)*e.Step()/time.Duration(e.Slots())
 }
 
-// recordEvents notes that events come, and how long none had come before.
+// recordEvents records that events arrived, and the pause before them.
 func (q *request) recordEvents(now time.Time) {
 	if !q.lastEventAt.IsZero() {
 		q.maxPause = max(q.maxPause, now.Sub(q.lastEventAt))
@@ -150,18 +149,18 @@
 	q.lastEventAt = now
 }
 
-// setWriteDeadline bounds the next write. An answer that is ready is written also where the
-// process stood still until long after the deadline.
+// setWriteDeadline bounds the next write to the caller. A response that is ready is written
+// even if the process was paused until long after the deadline.
 func (q *request) setWriteDeadline() {
 	bound := time.Now()
 	if due := q.localDeadline(); due.After(bound) {
 		bound = due
 	}
-	// A connection that takes no bounds shows in the write.
+	// A connection without deadline support fails in the write itself.
 	_ = http.NewResponseController(q.writer).SetWriteDeadline(bound.Add(writeGrace))
 }
 
-// recordFirstByte notes when the first byte of the answer goes out.
+// recordFirstByte records when the first byte of the response is sent.
 func (q *request) recordFirstByte() {
 	if q.timeToFirstByte == 0 {
 		q.timeToFirstByte = time.Since(q.started)
--- a/pkg/gateway/resume_test.go
+++ b/pkg/gateway/resume_test.go
@@ -9,8 +9,8 @@
 	"github.com/tidepost/tidepost/pkg/serviceconfig"
 )
 
-// newFixtureWithBrokenStream is a gateway before an engine that breaks a stream off after its first event, and
-// others of its version.
+// newFixtureWithBrokenStream returns a gateway in front of an engine that breaks a stream after
+// its first event, and of other servers with the same version.
 func newFixtureWithBrokenStream(t *testing.T, others ...*fakeBackend) *fixture {
 	t.Helper()
 	f := newFixture(t, serviceconfig.Stream, true)
@@ -28,8 +28,8 @@
 	return f
 }
 
-// A stream to be resumed does not go where, as long as requests wait of late, it would begin after
-// the version's end: it is taken back there, and the repeat is spent.
+// A stream must not be resumed at an engine where, judging by recent waits, it would begin
+// after the version expires: the attempt would be withdrawn there and its retry lost.
 func TestResumedStreamAvoidsExpiringServer(t *testing.T) {
 	const left = 1500 * time.Millisecond
 	old := newFakeBackend(t, "i-old", func(w *bufio.Writer, r *http.Request) bool {
@@ -51,11 +51,11 @@
 		t.Fatalf("%d %q %v", status, body, err)
 	}
 	if n := len(old.requests()); n > 0 {
-		t.Errorf("it was sent %d times to an engine that could not begin it in time", n)
+		t.Errorf("it was sent %d times to an engine that could not start it in time", n)
 	}
 }
 
-// While it waits for a server a stream holds no repeat: others may need it.
+// A stream that waits for a server must hold no retry, since others may need it.
 func TestStreamWaitingForServerHoldsNoRetry(t *testing.T) {
 	f := newFixture(t, serviceconfig.Stream, true)
 	f.gateway.index.Raise(engineDocument(t))
@@ -73,13 +73,13 @@
 	}()
 	<-time.After(5 * yieldLook)
 	if !f.gateway.budget.repeat("menu", f.gateway.countGateways()) {
-		t.Error("the only repeat is held by a stream that waits")
+		t.Error("the waiting stream holds the only retry")
 	}
 	<-finished
 }
 
-// A stream under way that full servers turn away waits between two tries, and as long as its caller
-// does: it gave up after six tries within 0.2 s.
+// A stream in progress that full servers reject must back off between attempts, for as long as
+// its caller waits. It used to give up after six attempts within 0.2 s.
 func TestRejectedStreamRetriesWhileCallerWaits(t *testing.T) {
 	const full = time.Second
 	began := time.Now()
--- a/pkg/gateway/stop.go
+++ b/pkg/gateway/stop.go
@@ -1,17 +1,17 @@
 // ================================================================
-// The planned stop. Readiness turns, callers are taken for a while longer, and then the
-// gateway goes once nobody uses it any more or its time is over.
+// The planned stop (graceful shutdown). The gateway reports not ready, accepts callers for some
+// more time, and exits once no connection is in use or its time is over.
 //
-// Every answer of that time says that its connection closes. A stream that began before
-// could not say so in its head, and its caller sends the next request over the same
-// connection: that one is answered, and told. So no connection closes right behind an
-// answer that did not announce it; one that rests for a while does.
+// Every response written during the stop announces that its connection closes. A stream that
+// began earlier could not announce it in its head, and its caller sends the next request over
+// the same connection; that request is answered, with the announcement. So no connection closes
+// right after a response that did not announce it, only after being idle for a while.
 //
-// Nothing is begun late that the end of the process may cut. Rejected: to ask an estimate
-// alone. Engines that become slower after the signal make it wrong.
+// The gateway does not start late what the end of the process may abort. An estimate of the
+// running time alone does not suffice: engines may become slower after the signal.
 //
-// Rejected: http.Server.Shutdown. It closes such a connection as its stream ends, and
-// resets those that the kernel has accepted and the process has not.
+// http.Server.Shutdown is not used. It closes such a connection as its stream ends, and resets
+// connections that the kernel has accepted and the process has not.
 // ================================================================
 
 package gateway
@@ -30,25 +30,25 @@
 )
 
 const (
-	// stopMargin is kept to the limit of a planned stop.
+	// stopMargin is the safety margin to the configured limit of a planned stop.
 	stopMargin = 300 * time.Millisecond
-	// maxSignalDelay is how long before it is taken a signal may have been sent: a busy VM lets
-	// a process run some 100 ms late, and the time of a stop counts from the sending.
+	// maxSignalDelay is how late a signal may be received. A busy VM may delay a process by
+	// some 100 ms, and the time of a stop counts from the sending.
 	maxSignalDelay = 300 * time.Millisecond
 )
 
-// gracefulStop is how far the planned stop of a gateway has come.
+// gracefulStop is the state of a gateway's planned stop.
 type gracefulStop struct {
 	draining    atomic.Bool
-	signalledAt atomicTime // when the signal was taken; never before
-	endsAt      atomicTime // when the time for it is over; never before the signal
-	// answerCtx ends when all that have no head yet have to be answered, and running when
-	// what still runs is cut.
+	signalledAt atomicTime // when the signal was received; zero before
+	endsAt      atomicTime // when the stop must be over; zero before the signal
+	// answerCtx ends when all requests without a response head must be answered, and runCtx
+	// when those still running are aborted.
 	answerCtx, runCtx       context.Context
 	endAnswerCtx, endRunCtx context.CancelFunc
 }
 
-// newGracefulStop returns one that has not begun.
+// newGracefulStop returns a stop that has not begun.
 func newGracefulStop() *gracefulStop {
 	s := &gracefulStop{}
 	s.answerCtx, s.endAnswerCtx = context.WithCancel(context.Background())
@@ -56,7 +56,7 @@
 	return s
 }
 
-// begin begins the stop, and returns when its time is over.
+// begin begins the stop, and returns when it must be over.
 func (s *gracefulStop) begin(now time.Time, duration time.Duration) (limit time.Time) {
 	limit = now.Add(duration)
 	s.signalledAt.set(now)
@@ -65,14 +65,14 @@
 	return limit
 }
 
-// isDraining tells whether the stop has begun.
+// isDraining reports whether the stop has begun.
 func (s *gracefulStop) isDraining() bool { return s.draining.Load() }
 
-// isOver tells whether what still ran was cut.
+// isOver reports whether the requests still running were aborted.
 func (s *gracefulStop) isOver() bool { return s.runCtx.Err() != nil }
 
-// elapsedMillis is for how long, in milliseconds, the stop had gone on at a moment; nil where it had
-// not begun.
+// elapsedMillis returns how many milliseconds after the signal a time is; nil if it is before
+// the signal.
 func (s *gracefulStop) elapsedMillis(at time.Time) any {
 	signalledAt := s.signalledAt.time()
 	if signalledAt.IsZero() || at.Before(signalledAt) {
@@ -81,15 +81,15 @@
 	return at.Sub(signalledAt).Milliseconds()
 }
 
-// announceClose has the head of an answer that is written next say that its connection closes.
+// announceClose adds Connection: close to a response head during the stop.
 func (s *gracefulStop) announceClose(header http.Header) {
 	if s.isDraining() {
 		header.Set("Connection", "close")
 	}
 }
 
-// awaitStop waits for a signal, turns readiness, takes callers for a while
-// longer, and then waits for what is in flight.
+// awaitStop waits for a signal, reports not ready, accepts callers for some more time, and then
+// waits for the requests in flight.
 func (g *Gateway) awaitStop(ctx context.Context, signals <-chan os.Signal) error {
 	select {
 	case <-ctx.Done():
@@ -116,17 +116,18 @@
 	return nil
 }
 
-// checkStop tells why a request is not sent to a backend server in a planned stop; nil
-// where it is. Whatever might still run when the time is over is refused at once: its caller
-// has time to go elsewhere, and half of an answer serves nobody.
+// checkStop returns why a request must not be sent to a backend server during a planned stop;
+// nil if it may. What might still run at the end of the stop is refused at once: its caller has
+// time to retry at another gateway, and an incomplete response is of no use.
 //
-// Late in the stop only what cannot be cut is begun. A stream whose own time ends before the
-// stop does is; one that should be over by then is not, since an estimate knows neither what
-// engines will do next nor, just after a start, what they did. Other answers are whole or a
-// refusal also when the stop is over, and are begun where those of late took less.
+// Late in the stop the gateway starts only what it will not abort. A stream is started if its
+// own deadline ends before the stop does, and not because it is estimated to be over by then:
+// an estimate knows neither what engines will do next nor, just after a start, what they did.
+// Other responses are relayed whole or replaced by a refusal even at the end of the stop, and
+// are started if recent ones took less than the time left.
 //
-// Early in the stop all callers still come, since no other gateway may be ready, and only
-// what would be cut by the estimate is refused.
+// Early in the stop all callers still arrive, since no other gateway may be ready, and only
+// requests estimated to be aborted are refused.
 func (g *Gateway) checkStop(q *request) *failure.Failure {
 	limit := g.stop.endsAt.time()
 	if limit.IsZero() || q.headWritten {
@@ -141,11 +142,11 @@
 	if run <= left && (isEarly || run > 0 && !isStream) {
 		return nil
 	}
-	f := failure.New(failure.Draining, "the gateway stops in %s, and the request may run for longer", left.Round(time.Millisecond))
-	return f.WithRetryAfter(retryAfterSoon) // others serve, unless all stop at one moment
+	f := failure.New(failure.Draining, "the gateway stops in %s, and the request may run longer", left.Round(time.Millisecond))
+	return f.WithRetryAfter(retryAfterSoon) // other gateways serve, unless all stop at once
 }
 
-// lateStopStart is from when on a planned stop begins nothing that it may cut.
+// lateStopStart returns from when on a planned stop starts nothing that it may abort.
 func (g *Gateway) lateStopStart() time.Time {
 	return g.stop.signalledAt.time().Add(g.settings.DrainNotice() - maxSignalDelay)
 }
--- a/pkg/gateway/stop_test.go
+++ b/pkg/gateway/stop_test.go
@@ -1,12 +1,13 @@
 // ================================================================
-// What was seen: a stream was taken over a kept connection 4.35 s after the signal of a
-// planned stop, ran for 3.25 s, and was cut 18 ms before its end, since the time for the
-// stop was over; others, sent 3.2 to 4.8 s after the signal, were cut as the process ended,
-// and their gateway said that the caller had left. How it comes about: a caller whose
-// stream began before the signal is not told that its connection closes, and goes on with
-// it. What caused it: whatever came over such a connection was begun, and later what an
-// estimate takes to be over in time; the estimate knows engines only, by what of late ran
-// at this gateway. What proved it: these cases, and the real programs in soak.
+// Tests of what a gateway starts during its planned stop. They guard against streams that the
+// end of the stop aborts, with logs that blame the caller.
+//
+// A caller whose stream began before the signal is not told that its connection closes, and
+// sends the next request over it. One such stream arrived 4.35 s after the signal, ran for 3.25
+// s and was aborted 18 ms before its end; others, sent 3.2 to 4.8 s after the signal, were
+// aborted as the process ended, and logged as the caller's disconnect. The gateway used to
+// start every such request, and later those estimated to be over in time; the estimate covers
+// engines only, from this gateway's own recent requests.
 // ================================================================
 
 package gateway
@@ -24,8 +25,8 @@
 	"github.com/tidepost/tidepost/pkg/serviceconfig"
 )
 
-// beginStop has the fixture's gateway be in a planned stop that began some time ago and has
-// so much left.
+// beginStop puts the fixture's gateway into a planned stop that began some time ago and has
+// some time left.
 func (f *fixture) beginStop(ago, left time.Duration) {
 	f.gateway.stop.begin(time.Now().Add(-ago), ago+left)
 }
@@ -42,24 +43,24 @@
 			t.Errorf("with %s left: status %d, %v", c.left, status, err)
 		}
 		if c.want == http.StatusServiceUnavailable && header.Get("Retry-After") == "" {
-			t.Error("it is not told when to come back")
+			t.Error("the refusal has no Retry-After")
 		}
 	}
 }
 
-// TestLateStopStartsNoStreamItMayCut asks for streams late in a stop, when more is left than
-// they should take and less than they are allowed. Nothing may run.
+// TestLateStopStartsNoStreamItMayCut requests streams late in a stop, with more time left than
+// they should take and less than their deadline allows. None may run.
 func TestLateStopStartsNoStreamItMayCut(t *testing.T) {
 	const left = 4700 * time.Millisecond
 	late := stopDuration - left
-	t.Run("an engine of which this gateway has seen no runs", func(t *testing.T) {
+	t.Run("an engine without recent runs at this gateway", func(t *testing.T) {
 		f := newLapsing(t, wholeStream, wholeStream)
 		f.beginStop(late, left)
 		if status, _, _, err := f.do(t, f.draft(t)); status != http.StatusServiceUnavailable || err != nil {
 			t.Errorf("status %d, %v", status, err)
 		}
 	})
-	t.Run("a service that is no engine", func(t *testing.T) {
+	t.Run("a service without engines", func(t *testing.T) {
 		server := newFakeBackend(t, "i-1", wholeStream)
 		f := newFixture(t, serviceconfig.Stream, true, server)
 		f.beginStop(stopDuration-time.Second, time.Second)
@@ -72,38 +73,38 @@
 	})
 }
 
-// What a stop begins of requests that are allowed 3 s, by when they come, what is left and
-// how long those of late took.
+// Requests with a deadline of 3 s are started or refused by their time of arrival, the time
+// left and the duration of recent requests.
 func TestRequestsStartedDuringStop(t *testing.T) {
 	const early, late = time.Second, 3 * time.Second
 	for _, c := range []struct {
-		name        string
-		kind        serviceconfig.Kind
-		since, left time.Duration
-		recentRun   time.Duration // 0 where nothing ran
-		want        int
+		name      string
+		kind      serviceconfig.Kind
+		ago, left time.Duration
+		recentRun time.Duration // 0 if nothing ran
+		want      int
 	}{
-		{"a stream whose own time ends before", serviceconfig.Stream, late, 4 * time.Second, 0, http.StatusOK},
-		{"a stream early, nothing known", serviceconfig.Stream, early, 2 * time.Second, 0, http.StatusOK},
-		{"a stream early, longer ones of late", serviceconfig.Stream, early, 2 * time.Second, 2500 * time.Millisecond, http.StatusServiceUnavailable},
-		{"a stream late, short ones of late", serviceconfig.Stream, late, 2 * time.Second, 200 * time.Millisecond, http.StatusServiceUnavailable},
-		{"a plain request late, short ones of late", serviceconfig.Once, late, 2 * time.Second, 200 * time.Millisecond, http.StatusOK},
-		{"a plain request late, longer ones of late", serviceconfig.Once, late, 2 * time.Second, 2500 * time.Millisecond, http.StatusServiceUnavailable},
-		{"a plain request late, nothing known", serviceconfig.Once, late, 2 * time.Second, 0, http.StatusServiceUnavailable},
-		{"a plain request early, nothing known", serviceconfig.Once, early, 2 * time.Second, 0, http.StatusOK},
+		{"a stream whose deadline is before the end of the stop", serviceconfig.Stream, late, 4 * time.Second, 0, http.StatusOK},
+		{"a stream early, no recent runs", serviceconfig.Stream, early, 2 * time.Second, 0, http.StatusOK},
+		{"a stream early, longer recent runs", serviceconfig.Stream, early, 2 * time.Second, 2500 * time.Millisecond, http.StatusServiceUnavailable},
+		{"a stream late, short recent runs", serviceconfig.Stream, late, 2 * time.Second, 200 * time.Millisecond, http.StatusServiceUnavailable},
+		{"a plain request late, short recent runs", serviceconfig.Once, late, 2 * time.Second, 200 * time.Millisecond, http.StatusOK},
+		{"a plain request late, longer recent runs", serviceconfig.Once, late, 2 * time.Second, 2500 * time.Millisecond, http.StatusServiceUnavailable},
+		{"a plain request late, no recent runs", serviceconfig.Once, late, 2 * time.Second, 0, http.StatusServiceUnavailable},
+		{"a plain request early, no recent runs", serviceconfig.Once, early, 2 * time.Second, 0, http.StatusOK},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			answer := wholeStream
+			script := wholeStream
 			if c.kind != serviceconfig.Stream {
-				answer = respondWith("200 OK", "whole")
+				script = respondWith("200 OK", "whole")
 			}
-			f := newFixture(t, c.kind, c.kind == serviceconfig.Stream, newFakeBackend(t, "i-1", answer))
+			f := newFixture(t, c.kind, c.kind == serviceconfig.Stream, newFakeBackend(t, "i-1", script))
 			for range minSamples {
 				if c.recentRun > 0 {
 					f.gateway.silenceDetector.record(timingKey{"menu", timingRun}, time.Now(), c.recentRun)
 				}
 			}
-			f.beginStop(c.since, c.left)
+			f.beginStop(c.ago, c.left)
 			if status, _, _, err := f.do(t, f.request(t, http.MethodPost, "a", "draft")); status != c.want || err != nil {
 				t.Errorf("status %d, %v", status, err)
 			}
@@ -111,8 +112,8 @@
 	}
 }
 
-// A request is begun early in a stop, breaks off before its first event, and would be
-// begun anew when what is left is shorter than what ran of late.
+// A request is started early in a stop and breaks before its first event. It must not be
+// retried when less time is left than recent requests took.
 func TestStopRetriesNothingItMayCut(t *testing.T) {
 	var f *fixture
 	first := newFakeBackend(t, "i-1", func(*bufio.Writer, *http.Request) bool {
@@ -128,15 +129,15 @@
 		t.Errorf("status %d, %v", status, err)
 	}
 	if ran := second.requests(); len(ran) > 0 {
-		t.Errorf("%v ran anew", ran)
+		t.Errorf("%v ran again", ran)
 	}
 }
 
-// stopDuration is how long a planned stop lasts, but for the margin.
+// stopDuration is the duration of a planned stop, less its margin.
 const stopDuration = 7700 * time.Millisecond
 
-// A stream that is under way when the time of the stop is over is cut by the gateway, and
-// the gateway says so.
+// A stream still running at the end of the stop is aborted by the gateway, and the gateway's
+// log must say so.
 func TestLogNamesStreamCutByStop(t *testing.T) {
 	received, testEnded := make(chan struct{}, 1), make(chan struct{})
 	t.Cleanup(func() { close(testEnded) })
@@ -158,7 +159,7 @@
 	<-received
 	stop()
 	if _, err := io.Copy(io.Discard, answer.Body); err == nil {
-		t.Error("half of a stream ends as a whole one")
+		t.Error("an incomplete stream ended like a complete one")
 	}
 	f.awaitExit()
 	for _, want := range []string{`"outcome":"stopped"`, errStopLimit.Error(), `"requests":1`} {
@@ -168,20 +169,20 @@
 	}
 }
 
-// syncBuffer is a log that several goroutines write.
+// syncBuffer is a log buffer that is safe for concurrent use.
 type syncBuffer struct {
 	mu     sync.Mutex
 	buffer bytes.Buffer
 }
 
-// Write appends.
+// Write appends to the buffer.
 func (b *syncBuffer) Write(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.buffer.Write(p)
 }
 
-// String returns all that was written.
+// String returns everything written so far.
 func (b *syncBuffer) String() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/pkg/gateway/stream.go
+++ b/pkg/gateway/stream.go
@@ -1,7 +1,7 @@
 // ================================================================
-// Streams of events, passed on as they come, whole events only. The head goes
-// to the caller with the first event: until then another backend server can
-// take over unseen, and after it one can go on behind the last event.
+// Relays event streams, whole events only. The response head goes to the caller with the first
+// event: before it another backend server can take over unnoticed, and after it a stream can
+// resume there behind the last event.
 // ================================================================
 
 package gateway
@@ -12,15 +12,15 @@
 	"time"
 )
 
-// relayStream passes a stream on and tells whether it came to its end.
-func (x *exchange) relayStream(answer *http.Response) (answered bool) {
+// relayStream relays a stream and reports whether the request is over.
+func (x *exchange) relayStream(response *http.Response) (answered bool) {
 	q := x.request
-	reader := newEventReader(answer.Body)
+	reader := newEventReader(response.Body)
 	var gaps eventGapMeter
 	for {
 		events, err := reader.next()
 		if err == io.EOF {
-			return x.streamEnded(answer, &gaps)
+			return x.streamEnded(response, &gaps)
 		}
 		if err != nil {
 			return x.streamBroken(err)
@@ -36,7 +36,7 @@
 		gaps.record()
 		x.silenceMonitor.receivedEvent(time.Now())
 		q.recordEvents(time.Now())
-		if err := q.relayEvents(answer, events); err != nil {
+		if err := q.relayEvents(response, events); err != nil {
 			x.conn.Abort()
 			o, reason := x.gateway.stopOutcomeOr(q, outcomeCallerLeft, "the caller left the stream: "+err.Error())
 			x.gateway.recordOutcome(q, o, reason)
@@ -45,32 +45,32 @@
 	}
 }
 
-func (x *exchange) streamEnded(answer *http.Response, gaps *eventGapMeter) bool {
+func (x *exchange) streamEnded(response *http.Response, gaps *eventGapMeter) bool {
 	q := x.request
-	x.conn.Finish(answer)
+	x.conn.Finish(response)
 	x.backend.answered()
 	q.sawRun(&x.gateway.silenceDetector, time.Now(), time.Since(x.started))
-	x.sawWhole(answer)
+	x.sawWhole(response)
 	if meanGap, ok := gaps.mean(); ok {
 		x.backend.sawPace(meanGap.Seconds() / nominalGap.Seconds())
 	}
 	if !q.headWritten {
-		q.writeHead(answer.StatusCode, answer.Header, -1)
-		q.setWriteDeadline() // of the head alone, when the handler returns
+		q.writeHead(response.StatusCode, response.Header, -1)
+		q.setWriteDeadline() // net/http writes the head when the handler returns
 	}
-	x.gateway.recordOutcome(q, outcomeServed, answer.Status)
+	x.gateway.recordOutcome(q, outcomeServed, response.Status)
 	return true
 }
 
 func (x *exchange) streamBroken(err error) bool {
 	if x.watch.fired.Load() {
-		return x.recordBroken("the stream stood still", nil)
+		return x.recordBroken("the stream stalled", nil)
 	}
-	return x.recordBroken("the stream broke off", err)
+	return x.recordBroken("the stream was cut short", err)
 }
 
 // relayEvents writes the events that the caller does not have yet.
-func (q *request) relayEvents(answer *http.Response, events []byte) error {
+func (q *request) relayEvents(response *http.Response, events []byte) error {
 	unsent := events
 	if q.headWritten {
 		unsent = unsent[:0:0]
@@ -85,7 +85,7 @@
 		return true
 	})
 	if !q.headWritten {
-		q.writeHead(answer.StatusCode, answer.Header, -1)
+		q.writeHead(response.StatusCode, response.Header, -1)
 	}
 	if len(unsent) == 0 {
 		return nil
@@ -93,7 +93,7 @@
 	return q.write(unsent)
 }
 
-// nominalGap is the pause between events that a pace of 1 stands for.
+// nominalGap is the pause between events that corresponds to a pace of 1.
 const nominalGap = 50 * time.Millisecond
 
 // eventGapMeter measures the pauses between events.
@@ -110,7 +110,7 @@
 	m.count++
 }
 
-// mean returns the mean pause; false when there were too few.
+// mean returns the mean pause; false if there were too few events.
 func (m *eventGapMeter) mean() (time.Duration, bool) {
 	const minEvents = 4
 	if m.count < minEvents {
--- a/pkg/gateway/suspended_test.go
+++ b/pkg/gateway/suspended_test.go
@@ -1,6 +1,6 @@
 // ================================================================
-// A VM may be suspended for seconds. Its steady clock stands still then: what the gateway
-// measures by it is younger than it is.
+// Tests that ages and deadlines include the time for which the VM was suspended. The monotonic
+// clock stops then, so measured ages would be too low.
 // ================================================================
 
 package gateway
@@ -38,13 +38,13 @@
 		t.Errorf("the version is %s old", age)
 	}
 	if left := q.remaining(); left > time.Second {
-		t.Errorf("%s are left of the caller's time", left)
+		t.Errorf("%s are left until the caller's deadline", left)
 	}
 	later := &request{deadline: time.Now().Add(5 * time.Second), suspension: g.suspension, suspendedBefore: g.suspension.Total()}
 	if left := later.remaining(); left < 4*time.Second {
-		t.Errorf("%s are left of a request that came afterwards", left)
+		t.Errorf("%s are left until the deadline of a later request", left)
 	}
 	if g.backends.of("menu")[0].load(time.Now()).fresh {
-		t.Error("a load that was told before counts as fresh")
+		t.Error("a load reported before the suspension counts as fresh")
 	}
 }
