--- a/pkg/gateway/always_answered_test.go
+++ b/pkg/gateway/always_answered_test.go
@@ -221,7 +221,7 @@
 			received <- struct{}{}
 			<-proceed
 			if kind == serviceconfig.Stream {
-				return wholeStream(w, r)
+				return completeStream(w, r)
 			}
 			return respondWith("200 OK", "whole")(w, r)
 		}))
--- a/pkg/gateway/attempt.go
+++ b/pkg/gateway/attempt.go
@@ -30,13 +30,13 @@
 // try makes one attempt at a backend server and reports whether the request is answered.
 func (g *Gateway) try(q *request, b *backend) (answered bool) {
 	q.tried[b] = true
-	registration := b.word()
+	registration := b.latestRegistration()
 	q.lastBackend, q.liveness = registration.Incarnation(), signNone
 	pooled, err := b.pool.Get(q.ctx, min(dialTimeout, q.remaining()))
 	if err != nil {
 		if q.ctx.Err() == nil {
-			b.failed(time.Now())
-			g.doubt(b)
+			b.recordFailure(time.Now())
+			g.probeReachability(b)
 			g.recordAttempt(q, attemptUnreachable, err.Error())
 		}
 		return false
@@ -44,10 +44,10 @@
 	conn := &attemptConn{Connection: pooled}
 	// A connection that has not been released by then is in an unknown state.
 	defer conn.Abort()
-	q.versionExpiry = g.lapseOf(q, b, 0)
+	q.versionExpiry = g.versionExpiryOf(q, b, 0)
 	q.knownServerExits = g.quarantine.Ends(q.fingerprint)
 	q.build = b.build(q.modelAndLayers())
-	if !q.mayRun(q.knownServerExits) || !quarantine.MayBeMended(q.build, q.avoid) || q.remaining() < minAttemptTime || q.versionExpiry.isOver() {
+	if !q.mayRun(q.knownServerExits) || !quarantine.MayBeMended(q.build, q.avoid) || q.remaining() < minAttemptTime || q.versionExpiry.mustCancel() {
 		conn.Close()
 		return false
 	}
@@ -59,7 +59,7 @@
 		return false
 	}
 	if q.sent == 0 {
-		g.budget.request(q.service.Name())
+		g.budget.countRequest(q.service.Name())
 	}
 	q.retryTaken.Store(false)
 	q.borrowed = false
@@ -76,10 +76,10 @@
 	if q.route.Idempotent() {
 		abort, abortWaiting = conn.Abort, x.abortWaiting
 	}
-	x.waitEntry = b.begin(work, abortWaiting)
-	defer b.end(work)
-	defer b.begun(x.waitEntry, false)
-	q.versionExpiry.bounds = x.mayInterrupt(interruptDeadline, x.stage(false), time.Now())
+	x.waitEntry = b.startRequest(work, abortWaiting)
+	defer b.finishRequest(work)
+	defer b.finishWaiting(x.waitEntry, false)
+	q.versionExpiry.boundsDeadline = x.mayInterrupt(interruptDeadline, x.stage(false), time.Now())
 	x.silenceMonitor = g.monitorAttempt(x, abort)
 	defer g.silenceDetector.remove(x.silenceMonitor)
 	stop := context.AfterFunc(q.ctx, conn.Abort)
@@ -95,7 +95,7 @@
 	conn      *attemptConn
 	watch     *watchdog
 	started   time.Time
-	waitEntry *waiting
+	waitEntry *waitingRequest
 	// silenceMonitor detects that the attempt's connection has gone silent.
 	silenceMonitor *attemptMonitor
 	permit         *permit // nil if the backend server announces no limit
@@ -103,7 +103,7 @@
 	resumes        bool    // the caller already has part of the stream
 	// failoverCriteria are what another backend server must satisfy. Their maps are copies,
 	// since other goroutines evaluate them while the request proceeds.
-	failoverCriteria wanted
+	failoverCriteria requirements
 }
 
 // abortWaiting ends an attempt that waits at a backend server which appears unreachable.
@@ -137,7 +137,7 @@
 	if !head.FromBackend && response.StatusCode < http.StatusMultipleChoices {
 		return x.recordBroken("the response does not come from the backend server itself", nil)
 	}
-	x.backend.sawVersion(head.Version)
+	x.backend.recordVersion(head.Version)
 	if isStream(q, response) {
 		return x.relayStream(response)
 	}
@@ -150,9 +150,9 @@
 	q := x.request
 	header := maps.Clone(q.header)
 	x.gateway.protocol.Prepare(header, Attempt{
-		Incarnation:  x.backend.word().Incarnation(),
+		Incarnation:  x.backend.latestRegistration().Incarnation(),
 		Organisation: q.organisation,
-		Remaining:    q.allowed(),
+		Remaining:    q.timeAllowed(),
 		Version:      x.gateway.expectedVersion(q, x.backend),
 		Urgency:      q.urgency,
 		LastEvent:    q.lastEvent,
@@ -174,10 +174,10 @@
 	q.liveness = x.signAfter(cause)
 	switch {
 	case q.ctx.Err() != nil:
-	case x.watch.lapsed.Load() || q.hasLapsed():
+	case x.watch.lapsed.Load() || q.versionDeadlinePassed():
 		if x.silenceMonitor.hasStreamed() {
 			x.gateway.recordInterrupted(q, interruptDeadline, stageStreaming)
-			q.sawRun(&x.gateway.silenceDetector, time.Now(), time.Since(x.started))
+			q.recordRunTime(&x.gateway.silenceDetector, time.Now(), time.Since(x.started))
 		}
 		q.allowRetryAt(x.backend)
 		x.gateway.recordAttempt(q, attemptVersionExpired, fmt.Sprintf("the version of the weights there expires; %s; withdrawn %s late", reason, time.Duration(x.watch.lateBy.Load())))
@@ -190,15 +190,15 @@
 		}
 		detail := x.silenceMonitor.detected.Load().String()
 		if x.conn.NothingAcknowledged() {
-			x.gateway.uncount(q)
+			x.gateway.uncountAttempt(q)
 			detail += "; no byte of the request was acknowledged"
 		}
 		x.gateway.recordAttempt(q, attemptSilentConn, detail)
-	case x.backend.isWithdrawn(time.Now()):
+	case x.backend.hasOrderInProgress(time.Now()):
 		q.allowRetryAt(x.backend)
 		x.gateway.recordAttempt(q, attemptCutByOrder, reason)
 	default:
-		x.backend.failed(time.Now())
+		x.backend.recordFailure(time.Now())
 		if x.watch.fired.Load() || q.liveness == signLives {
 			// The server may only have been slow, or may have received an order of which this
 			// gateway has not heard yet.
@@ -217,17 +217,17 @@
 	} else {
 		x.conn.Finish(response)
 	}
-	if head.IsFromOther(x.backend.word().Incarnation()) {
-		registration := x.backend.word()
-		x.gateway.backends.depart(registration.Incarnation(), registration.StartedAt())
+	if head.IsFromOther(x.backend.latestRegistration().Incarnation()) {
+		registration := x.backend.latestRegistration()
+		x.gateway.backends.markDeparted(registration.Incarnation(), registration.StartedAt())
 		x.gateway.recordAttempt(q, attemptWrongIncarnation, "the address belongs to "+head.Incarnation)
 		return false
 	}
-	if q.hasLapsed() {
+	if q.versionDeadlinePassed() {
 		x.gateway.recordAttempt(q, attemptVersionExpired, response.Status)
 		return false
 	}
-	x.backend.refused(time.Now())
+	x.backend.recordOverload(time.Now())
 	q.allowRetryAt(x.backend)
 	x.gateway.recordAttempt(q, attemptRefused, response.Status)
 	return false
--- a/pkg/gateway/attempt_monitor.go
+++ b/pkg/gateway/attempt_monitor.go
@@ -104,7 +104,7 @@
 }
 
 // domain returns the failure domain of the attempt's backend server.
-func (l *attemptMonitor) domain() string { return l.exchange.backend.word().Domain() }
+func (l *attemptMonitor) domain() string { return l.exchange.backend.latestRegistration().Domain() }
 
 // snapshot returns the attempt's current state.
 func (l *attemptMonitor) snapshot() attemptSnapshot {
--- a/pkg/gateway/backends.go
+++ b/pkg/gateway/backends.go
@@ -26,15 +26,15 @@
 
 const (
 	backendShards = 8
-	// departedLife is how long a departure is remembered; words that are late
+	// departureTTL is how long a departure is remembered; words that are late
 	// are so by seconds.
-	departedLife = 10 * time.Minute
+	departureTTL = 10 * time.Minute
 )
 
 type backendShard struct {
 	mu        sync.RWMutex
 	services  map[string]map[string]*backend // by service, by incarnation
-	addressed map[serviceAddress][]*backend  // those heard of at each address, the latest last
+	byAddress map[serviceAddress][]*backend  // those heard of at each address, the latest last
 }
 
 // serviceAddress is where a backend server takes requests of a service.
@@ -52,15 +52,15 @@
 
 // departure is that all starts of an incarnation up to one are gone.
 type departure struct {
-	born uint64 // the latest of them
-	at   time.Time
+	lastStart  uint64 // the latest of them
+	recordedAt time.Time
 }
 
 func newBackends() *backends {
 	t := &backends{departed: map[string]departure{}}
 	for i := range t.shards {
 		t.shards[i].services = map[string]map[string]*backend{}
-		t.shards[i].addressed = map[serviceAddress][]*backend{}
+		t.shards[i].byAddress = map[serviceAddress][]*backend{}
 	}
 	return t
 }
@@ -69,16 +69,16 @@
 	return &t.shards[xxhash.Sum64String(service)%backendShards]
 }
 
-// hear takes the word of a backend server.
-func (t *backends) hear(r registry.Registration) {
+// applyRegistration takes the word of a backend server.
+func (t *backends) applyRegistration(r registry.Registration) {
 	if r.State() == registry.Gone {
-		t.depart(r.Incarnation(), r.StartedAt())
+		t.markDeparted(r.Incarnation(), r.StartedAt())
 		return
 	}
 	if t.hasDeparted(r) {
 		return
 	}
-	t.endEarlierStarts(r)
+	t.markEarlierStartsGone(r)
 	s := t.shard(r.Service())
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -88,49 +88,49 @@
 		s.services[r.Service()] = service
 	}
 	if b := service[r.Incarnation()]; b != nil {
-		if b.word().StartedAt() >= r.StartedAt() {
-			b.hear(r)
+		if b.latestRegistration().StartedAt() >= r.StartedAt() {
+			b.updateRegistration(r)
 			return
 		}
 		b.pool.Close()
-		s.forgetAddress(b)
+		s.removeAddress(b)
 	}
 	b := newBackend(r)
 	if t.hasDeparted(r) {
 		// The word that it left came after the look above.
-		b.isGone()
+		b.markGone()
 	}
 	service[r.Incarnation()] = b
 	at := serviceAddress{r.Service(), r.Address()}
-	s.addressed[at] = append(s.addressed[at], b)
+	s.byAddress[at] = append(s.byAddress[at], b)
 }
 
-// endEarlierStarts ends what is known of an incarnation's starts before the one of a word:
+// markEarlierStartsGone ends what is known of an incarnation's starts before the one of a word:
 // the later one may be of another service, or at another address.
-func (t *backends) endEarlierStarts(r registry.Registration) {
+func (t *backends) markEarlierStartsGone(r registry.Registration) {
 	if r.StartedAt() == 0 {
 		return
 	}
 	t.each(func(b *backend, id string) {
-		if id == r.Incarnation() && b.word().StartedAt() < r.StartedAt() {
-			b.isGone()
+		if id == r.Incarnation() && b.latestRegistration().StartedAt() < r.StartedAt() {
+			b.markGone()
 		}
 	})
 }
 
-// depart notes that the starts of an incarnation up to one are gone, whatever their
+// markDeparted notes that the starts of an incarnation up to one are gone, whatever their
 // service; with 0 all that are known. That is noted before the backend servers are looked
 // at: a word that comes meanwhile looks there last.
-func (t *backends) depart(incarnation string, born uint64) {
+func (t *backends) markDeparted(incarnation string, born uint64) {
 	if born == 0 {
 		born = t.latestStart(incarnation)
 	}
 	t.departedLock.Lock()
-	t.departed[incarnation] = departure{max(born, t.departed[incarnation].born), time.Now()}
+	t.departed[incarnation] = departure{max(born, t.departed[incarnation].lastStart), time.Now()}
 	t.departedLock.Unlock()
 	t.each(func(b *backend, id string) {
-		if id == incarnation && b.word().StartedAt() <= born {
-			b.isGone()
+		if id == incarnation && b.latestRegistration().StartedAt() <= born {
+			b.markGone()
 		}
 	})
 }
@@ -139,7 +139,7 @@
 func (t *backends) latestStart(incarnation string) (born uint64) {
 	t.each(func(b *backend, id string) {
 		if id == incarnation {
-			born = max(born, b.word().StartedAt())
+			born = max(born, b.latestRegistration().StartedAt())
 		}
 	})
 	return born
@@ -150,7 +150,7 @@
 	t.departedLock.Lock()
 	defer t.departedLock.Unlock()
 	d, gone := t.departed[r.Incarnation()]
-	return gone && r.StartedAt() <= d.born
+	return gone && r.StartedAt() <= d.lastStart
 }
 
 // each calls f with every backend server and its incarnation.
@@ -170,22 +170,22 @@
 	}
 }
 
-// hearLoad takes the load of an engine. Hundreds of engines tell theirs several
+// applyLoadReport takes the load of an engine. Hundreds of engines tell theirs several
 // times a second, so it is found by its address and not by a look at all. A late
 // heartbeat may make an earlier incarnation known after the one that is there now:
 // all at the address take the load, and the first answer tells them apart.
-func (t *backends) hearLoad(l feed.Load) {
+func (t *backends) applyLoadReport(l feed.Load) {
 	s := t.shard(l.Service())
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	for _, b := range s.addressed[serviceAddress{l.Service(), l.Engine()}] {
-		b.hearLoad(l)
+	for _, b := range s.byAddress[serviceAddress{l.Service(), l.Engine()}] {
+		b.recordLoadReport(l)
 	}
 }
 
-// of returns the backend servers of a service. Those that are gone are among
+// forService returns the backend servers of a service. Those that are gone are among
 // them until the next sweep.
-func (t *backends) of(service string) []*backend {
+func (t *backends) forService(service string) []*backend {
 	s := t.shard(service)
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -201,37 +201,37 @@
 func (t *backends) sweep() {
 	t.each(func(b *backend, _ string) { b.pool.CloseOld() })
 	for i := range t.shards {
-		t.shards[i].forgetGone()
+		t.shards[i].removeGone()
 	}
 	t.departedLock.Lock()
 	defer t.departedLock.Unlock()
 	for incarnation, d := range t.departed {
-		if time.Since(d.at) > departedLife {
+		if time.Since(d.recordedAt) > departureTTL {
 			delete(t.departed, incarnation)
 		}
 	}
 }
 
-// forgetGone removes the backend servers that are gone and at rest.
-func (s *backendShard) forgetGone() {
+// removeGone removes the backend servers that are gone and at rest.
+func (s *backendShard) removeGone() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, service := range s.services {
 		for incarnation, b := range service {
-			if b.word().State() == registry.Gone {
+			if b.latestRegistration().State() == registry.Gone {
 				b.pool.Close()
 				delete(service, incarnation)
-				s.forgetAddress(b)
+				s.removeAddress(b)
 			}
 		}
 	}
 }
 
-// forgetAddress forgets where a backend server was; others may be there.
-func (s *backendShard) forgetAddress(gone *backend) {
-	at := serviceAddress{gone.word().Service(), gone.address}
-	s.addressed[at] = slices.DeleteFunc(s.addressed[at], func(b *backend) bool { return b == gone })
-	if len(s.addressed[at]) == 0 {
-		delete(s.addressed, at)
+// removeAddress forgets where a backend server was; others may be there.
+func (s *backendShard) removeAddress(gone *backend) {
+	at := serviceAddress{gone.latestRegistration().Service(), gone.address}
+	s.byAddress[at] = slices.DeleteFunc(s.byAddress[at], func(b *backend) bool { return b == gone })
+	if len(s.byAddress[at]) == 0 {
+		delete(s.byAddress, at)
 	}
 }
--- a/pkg/gateway/budget.go
+++ b/pkg/gateway/budget.go
@@ -22,147 +22,147 @@
 )
 
 const (
-	// slotsInWindow divide the window; a count is dropped a slot at a time. Repeats count
+	// bucketsPerWindow divide the window; a count is dropped a slot at a time. Repeats count
 	// for one slot more, and so never for less than a window, and requests for no more.
-	slotsInWindow = 10
-	budgetSlots   = slotsInWindow + 1
-	// safety keeps the sum below the bound although windows slide and the number of
+	bucketsPerWindow = 10
+	budgetBuckets    = bucketsPerWindow + 1
+	// budgetSafetyFactor keeps the sum below the bound although windows slide and the number of
 	// gateways is known late.
-	safety = 0.75
-	// youngest is the least age, as a share of the window, that counts for the reserve:
+	budgetSafetyFactor = 0.75
+	// minReserveAge is the least age, as a share of the window, that counts for the reserve:
 	// without it there is no repeat at all just after a start.
-	youngest = 0.25
-	// notBegunShare is the share of the budget that requests may use of which their callers
+	minReserveAge = 0.25
+	// unstartedRetryShare is the share of the budget that requests may use of which their callers
 	// have nothing yet: refused, they come back. The rest is for streams under way, which
 	// would end without it.
-	notBegunShare = 0.75
+	unstartedRetryShare = 0.75
 )
 
-// spending is what one service got in the window.
-type spending struct {
-	requests, repeats [budgetSlots]int
+// serviceUsage is what one service got in the window.
+type serviceUsage struct {
+	requests, retries [budgetBuckets]int
 }
 
-// budget counts requests and repeats by service.
-type budget struct {
-	ratio   float64
-	reserve float64
-	slot    time.Duration
-	now     func() time.Time
-	started time.Time
-
-	mu       sync.Mutex
-	services map[string]*spending
-	current  int64
-	// inherits says that what the gateway before this one had spent is counted here, and over
+// retryBudget counts requests and repeats by service.
+type retryBudget struct {
+	ratio          float64
+	reserve        float64
+	bucketDuration time.Duration
+	now            func() time.Time
+	started        time.Time
+
+	mu            sync.Mutex
+	services      map[string]*serviceUsage
+	currentBucket int64
+	// inherited says that what the gateway before this one had spent is counted here, and over
 	// that what was spent here has been told for good.
-	inherits, over bool
+	inherited, closed bool
 }
 
-func newBudget(ratioPercent int, reserve float64, window time.Duration) *budget {
-	return &budget{
-		ratio: float64(ratioPercent) / 100, reserve: reserve, slot: window / slotsInWindow,
-		now: time.Now, started: time.Now(), services: map[string]*spending{},
+func newRetryBudget(ratioPercent int, reserve float64, window time.Duration) *retryBudget {
+	return &retryBudget{
+		ratio: float64(ratioPercent) / 100, reserve: reserve, bucketDuration: window / bucketsPerWindow,
+		now: time.Now, started: time.Now(), services: map[string]*serviceUsage{},
 	}
 }
 
-// request counts a request for a service.
-func (b *budget) request(service string) {
+// countRequest counts a request for a service.
+func (b *retryBudget) countRequest(service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.advance()
-	b.of(service).requests[b.current%budgetSlots]++
+	b.usageOf(service).requests[b.currentBucket%budgetBuckets]++
 }
 
-// repeat takes a repeat out of the budget; false when there is none left.
+// takeRetry takes a repeat out of the budget; false when there is none left.
 // gateways is how many share the reserve.
-func (b *budget) repeat(service string, gateways int) bool {
-	return b.repeatWithin(service, gateways, 1)
+func (b *retryBudget) takeRetry(service string, gateways int) bool {
+	return b.takeRetryWithin(service, gateways, 1)
 }
 
-// repeatWithin is repeat where only a share of the budget may be used.
-func (b *budget) repeatWithin(service string, gateways int, share float64) bool {
+// takeRetryWithin is repeat where only a share of the budget may be used.
+func (b *retryBudget) takeRetryWithin(service string, gateways int, share float64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.advance()
-	s := b.of(service)
-	if !b.hasRepeat(s, gateways, share) {
+	s := b.usageOf(service)
+	if !b.hasRetry(s, gateways, share) {
 		return false
 	}
-	s.repeats[b.current%budgetSlots]++
+	s.retries[b.currentBucket%budgetBuckets]++
 	return true
 }
 
-// hasRepeat tells whether one more repeat stays within a share of what is allowed, for
+// hasRetry tells whether one more repeat stays within a share of what is allowed, for
 // whoever holds the lock.
-func (b *budget) hasRepeat(s *spending, gateways int, share float64) bool {
+func (b *retryBudget) hasRetry(s *serviceUsage, gateways int, share float64) bool {
 	requests, repeats := 0, 0
-	oldest := (b.current + 1) % budgetSlots
-	for i := range int64(budgetSlots) {
-		repeats += s.repeats[i]
+	oldest := (b.currentBucket + 1) % budgetBuckets
+	for i := range int64(budgetBuckets) {
+		repeats += s.retries[i]
 		if i != oldest {
 			requests += s.requests[i]
 		}
 	}
-	return !b.over && float64(repeats+1) <= share*b.allowed(requests, gateways)
+	return !b.closed && float64(repeats+1) <= share*b.allowedRetries(requests, gateways)
 }
 
-// allowed is how many repeats so many requests of a window allow.
-func (b *budget) allowed(requests, gateways int) float64 {
+// allowedRetries is how many repeats so many requests of a window allow.
+func (b *retryBudget) allowedRetries(requests, gateways int) float64 {
 	forRequests := b.ratio * float64(requests)
 	share := b.reserve / float64(max(gateways, 1))
-	age := float64(b.now().Sub(b.started)) / float64(slotsInWindow*b.slot)
-	if age < 1 && !b.inherits {
-		return (1 - safety) * (forRequests + max(age, youngest)*share)
+	age := float64(b.now().Sub(b.started)) / float64(bucketsPerWindow*b.bucketDuration)
+	if age < 1 && !b.inherited {
+		return (1 - budgetSafetyFactor) * (forRequests + max(age, minReserveAge)*share)
 	}
-	return safety * (forRequests + share)
+	return budgetSafetyFactor * (forRequests + share)
 }
 
-// uncount has an attempt that never came to its backend server count for nothing: the one after it
+// uncountAttempt has an attempt that never came to its backend server count for nothing: the one after it
 // is no repeat of it. It is for connections found silent while dials to the same server were answered,
 // which would have brought an acknowledgement.
-func (g *Gateway) uncount(q *request) {
+func (g *Gateway) uncountAttempt(q *request) {
 	if q.retryTaken.Swap(true) && !q.borrowed {
-		g.budget.unspent(q.service.Name())
+		g.budget.refund(q.service.Name())
 	}
 	q.borrowed = true
 	g.metrics.uncounted.Inc()
 }
 
-// returnRepeat puts back a repeat that was taken for an attempt that does not come.
-func (g *Gateway) returnRepeat(q *request) {
+// returnRetry puts back a repeat that was taken for an attempt that does not come.
+func (g *Gateway) returnRetry(q *request) {
 	if q.retryTaken.Swap(false) && !q.borrowed {
-		g.budget.unspent(q.service.Name())
+		g.budget.refund(q.service.Name())
 	}
 }
 
-// unspent puts back a repeat that was taken and not sent. One that was taken in a part of
+// refund puts back a repeat that was taken and not sent. One that was taken in a part of
 // the window that is over stays taken.
-func (b *budget) unspent(service string) {
+func (b *retryBudget) refund(service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.advance()
-	repeats := &b.of(service).repeats[b.current%budgetSlots]
+	repeats := &b.usageOf(service).retries[b.currentBucket%budgetBuckets]
 	*repeats = max(*repeats-1, 0)
 }
 
-func (b *budget) of(service string) *spending {
+func (b *retryBudget) usageOf(service string) *serviceUsage {
 	s := b.services[service]
 	if s == nil {
-		s = &spending{}
+		s = &serviceUsage{}
 		b.services[service] = s
 	}
 	return s
 }
 
 // advance empties the slots that time has gone past.
-func (b *budget) advance() {
-	now := int64(b.now().Sub(b.started) / b.slot)
-	for steps := 0; b.current < now && steps < budgetSlots; steps++ {
-		b.current++
+func (b *retryBudget) advance() {
+	now := int64(b.now().Sub(b.started) / b.bucketDuration)
+	for steps := 0; b.currentBucket < now && steps < budgetBuckets; steps++ {
+		b.currentBucket++
 		for _, s := range b.services {
-			s.requests[b.current%budgetSlots], s.repeats[b.current%budgetSlots] = 0, 0
+			s.requests[b.currentBucket%budgetBuckets], s.retries[b.currentBucket%budgetBuckets] = 0, 0
 		}
 	}
-	b.current = now
+	b.currentBucket = now
 }
--- a/pkg/gateway/budget_fleet_test.go
+++ b/pkg/gateway/budget_fleet_test.go
@@ -18,8 +18,8 @@
 // them, and what all of them sent.
 type budgetFleet struct {
 	now               time.Time
-	gateways          []*budget
-	requests, repeats map[int]int // by 100 ms
+	gateways          []*retryBudget
+	requests, retries map[int]int // by 100 ms
 }
 
 const (
@@ -31,7 +31,7 @@
 )
 
 func newBudgetFleet() *budgetFleet {
-	f := &budgetFleet{now: time.Now(), gateways: make([]*budget, fleetSize), requests: map[int]int{}, repeats: map[int]int{}}
+	f := &budgetFleet{now: time.Now(), gateways: make([]*retryBudget, fleetSize), requests: map[int]int{}, retries: map[int]int{}}
 	for i := range f.gateways {
 		f.restart(i)
 	}
@@ -39,7 +39,7 @@
 }
 
 func (f *budgetFleet) restart(i int) {
-	b := newBudget(fleetRatio, fleetReserve, fleetWindow)
+	b := newRetryBudget(fleetRatio, fleetReserve, fleetWindow)
 	b.now, b.started = func() time.Time { return f.now }, f.now
 	f.gateways[i] = b
 }
@@ -48,10 +48,10 @@
 func (f *budgetFleet) step(number, requests int, repeats bool) {
 	for _, b := range f.gateways {
 		for range requests {
-			b.request("menu")
+			b.countRequest("menu")
 			f.requests[number]++
-			for repeats && b.repeat("menu", fleetSize) {
-				f.repeats[number]++
+			for repeats && b.takeRetry("menu", fleetSize) {
+				f.retries[number]++
 			}
 		}
 	}
@@ -71,13 +71,13 @@
 	for from := 0; from+window <= steps; from++ {
 		requests := max(sum(f.requests, from), sum(f.requests, from-window/2), sum(f.requests, from-window))
 		allowed := float64(fleetRatio*requests)/100 + fleetReserve
-		if sent := sum(f.repeats, from); float64(sent) > allowed {
+		if sent := sum(f.retries, from); float64(sent) > allowed {
 			t.Fatalf("%d repeats within a window from %s on, for %d requests; %.0f are allowed", sent, time.Duration(from)*fleetStep, requests, allowed)
 		}
 	}
 }
 
-func TestGatewaysThatStartAnewKeepTheBudget(t *testing.T) {
+func TestRestartedGatewaysStayWithinBudget(t *testing.T) {
 	const steps = 400
 	for _, c := range []struct {
 		name     string
--- a/pkg/gateway/budget_test.go
+++ b/pkg/gateway/budget_test.go
@@ -8,36 +8,36 @@
 )
 
 // A repeat for which no place was found is not spent: others may have it.
-func TestRepeatThatWasNotSentIsPutBack(t *testing.T) {
-	b := settledBudget(0, 4, time.Hour)
+func TestUnsentRetryIsRefunded(t *testing.T) {
+	b := fullWindowBudget(0, 4, time.Hour)
 	const service = "menu"
 	taken := 0
-	for b.repeat(service, 1) {
+	for b.takeRetry(service, 1) {
 		taken++
 	}
 	if taken == 0 {
 		t.Fatal("the budget is empty from the start")
 	}
-	b.unspent(service)
-	if !b.repeat(service, 1) || b.repeat(service, 1) {
+	b.refund(service)
+	if !b.takeRetry(service, 1) || b.takeRetry(service, 1) {
 		t.Error("one repeat put back is not one repeat")
 	}
 }
 
-// settledBudget is the budget of a gateway that has run for a window.
-func settledBudget(ratioPercent int, reserve float64, window time.Duration) *budget {
-	b := newBudget(ratioPercent, reserve, window)
+// fullWindowBudget is the budget of a gateway that has run for a window.
+func fullWindowBudget(ratioPercent int, reserve float64, window time.Duration) *retryBudget {
+	b := newRetryBudget(ratioPercent, reserve, window)
 	b.started = b.started.Add(-window)
 	return b
 }
 
 // Requests of which their callers have nothing yet leave some of the budget to streams.
-func TestStreamsUnderWayHaveTheLastRepeats(t *testing.T) {
+func TestStartedStreamsHaveReservedRetries(t *testing.T) {
 	f := newFixture(t, serviceconfig.Stream, true)
-	f.gateway.budget = settledBudget(0, 100*assumedGateways, 10*time.Second)
+	f.gateway.budget = fullWindowBudget(0, 100*assumedGateways, 10*time.Second)
 	service, _ := f.gateway.index.Load().Service("menu")
 	ask := func(begun bool) (got int) {
-		for q := (&request{service: service, ctx: t.Context(), headWritten: begun}); f.gateway.budget.repeatWithin("menu", f.gateway.countGateways(), q.repeatShare()); {
+		for q := (&request{service: service, ctx: t.Context(), headWritten: begun}); f.gateway.budget.takeRetryWithin("menu", f.gateway.countGateways(), q.retryShare()); {
 			got++
 		}
 		return got
@@ -49,33 +49,33 @@
 
 // An attempt that never came to its server is no arrival, so the next one costs no repeat; nor is
 // one put back that was never taken.
-func TestAttemptThatNeverArrivedCostsNoRepeat(t *testing.T) {
+func TestUndeliveredAttemptCostsNoRetry(t *testing.T) {
 	f := newFixture(t, serviceconfig.Stream, true)
-	f.gateway.budget = settledBudget(0, 1.5*float64(f.gateway.countGateways()), time.Hour)
+	f.gateway.budget = fullWindowBudget(0, 1.5*float64(f.gateway.countGateways()), time.Hour)
 	service, _ := f.gateway.index.Load().Service("menu")
 	has := func() bool {
-		if !f.gateway.budget.repeat("menu", f.gateway.countGateways()) {
+		if !f.gateway.budget.takeRetry("menu", f.gateway.countGateways()) {
 			return false
 		}
-		f.gateway.budget.unspent("menu")
+		f.gateway.budget.refund("menu")
 		return true
 	}
 	for name, taken := range map[string]bool{"with a repeat in hand": true, "without": false} {
 		q := &request{ctx: t.Context(), service: service, sent: 1, headWritten: true}
-		if taken && !f.gateway.takeRepeat(q) {
+		if taken && !f.gateway.ensureRetry(q) {
 			t.Fatal("there is no repeat")
 		}
-		f.gateway.uncount(q)
+		f.gateway.uncountAttempt(q)
 		if !has() {
 			t.Errorf("%s: the budget's repeat is gone", name)
 		}
-		if !f.gateway.takeRepeat(q) || !has() {
+		if !f.gateway.ensureRetry(q) || !has() {
 			t.Errorf("%s: the next attempt took one", name)
 		}
-		f.gateway.returnRepeat(q)
-		if f.gateway.budget.repeat("menu", f.gateway.countGateways()); has() {
+		f.gateway.returnRetry(q)
+		if f.gateway.budget.takeRetry("menu", f.gateway.countGateways()); has() {
 			t.Errorf("%s: a repeat was put back that was not taken", name)
 		}
-		f.gateway.budget.unspent("menu")
+		f.gateway.budget.refund("menu")
 	}
 }
--- a/pkg/gateway/buffered.go
+++ b/pkg/gateway/buffered.go
@@ -49,7 +49,7 @@
 	if response.StatusCode >= http.StatusInternalServerError {
 		return x.recordFailedAnswer(buffered)
 	}
-	x.backend.answered()
+	x.backend.recordSuccess()
 	x.gateway.deliver(x.request, buffered)
 	return true
 }
@@ -58,7 +58,7 @@
 // duration of an engine's response that is not a stream says nothing about its usual streams.
 func (x *exchange) recordPlainRun() {
 	if q := x.request; q.maxRun == 0 {
-		q.sawRun(&x.gateway.silenceDetector, time.Now(), time.Since(x.started))
+		q.recordRunTime(&x.gateway.silenceDetector, time.Now(), time.Since(x.started))
 	}
 }
 
@@ -69,11 +69,11 @@
 	q.mayHaveRun = true
 	q.ranAt[x.backend] = true
 	q.fallback = buffered
-	if q.hasLapsed() {
+	if q.versionDeadlinePassed() {
 		x.gateway.recordAttempt(q, attemptVersionExpired, strconv.Itoa(buffered.status))
 		return false
 	}
-	x.backend.failedRequest()
+	x.backend.recordRequestError()
 	x.gateway.recordAttempt(q, attemptFailed, strconv.Itoa(buffered.status))
 	return false
 }
@@ -109,7 +109,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	x.conn.Finish(response)
-	x.backend.answered()
+	x.backend.recordSuccess()
 	x.sawWhole(response)
 	x.recordPlainRun()
 	x.gateway.recordOutcome(q, outcomeServed, response.Status)
--- a/pkg/gateway/demand.go
+++ b/pkg/gateway/demand.go
@@ -16,17 +16,17 @@
 )
 
 const (
-	// demandMemory is the time over which the demand is averaged: long enough
+	// demandTimeConstant is the time over which the demand is averaged: long enough
 	// for ten requests at the users' smallest gateways.
-	demandMemory = time.Second
-	// tellDemandEvery is the time between two words of the demand.
-	tellDemandEvery = 300 * time.Millisecond
-	// evenPart of the engines' places are shared evenly, whatever the demand:
+	demandTimeConstant = time.Second
+	// demandReportInterval is the time between two words of the demand.
+	demandReportInterval = 300 * time.Millisecond
+	// evenShare of the engines' places are shared evenly, whatever the demand:
 	// it serves a gateway whose demand is new until the others know of it.
-	evenPart = 0.15
-	// leastFar is the least part of an engine's places that gateways of other
+	evenShare = 0.15
+	// minRemoteShare is the least part of an engine's places that gateways of other
 	// failure domains may take.
-	leastFar = 0.1
+	minRemoteShare = 0.1
 )
 
 // demand is the rate of requests, averaged with exponential weights. The zero
@@ -34,72 +34,72 @@
 type demand struct {
 	mu        sync.Mutex
 	perSecond float64
-	at        time.Time
+	updatedAt time.Time
 }
 
 // add counts a request.
 func (d *demand) add(now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.fade(now)
-	d.perSecond += 1 / demandMemory.Seconds()
+	d.decay(now)
+	d.perSecond += 1 / demandTimeConstant.Seconds()
 }
 
 // rate returns the requests a second.
 func (d *demand) rate(now time.Time) float64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.fade(now)
+	d.decay(now)
 	return d.perSecond
 }
 
-func (d *demand) fade(now time.Time) {
-	d.perSecond *= math.Exp(-now.Sub(d.at).Seconds() / demandMemory.Seconds())
-	d.at = now
+func (d *demand) decay(now time.Time) {
+	d.perSecond *= math.Exp(-now.Sub(d.updatedAt).Seconds() / demandTimeConstant.Seconds())
+	d.updatedAt = now
 }
 
-// tellDemand tells the control nodes the demand here until the context ends.
-func (g *Gateway) tellDemand(ctx context.Context) error {
-	return daemon.Every(ctx, tellDemandEvery, func() { g.follower.ReportDemand(g.demand.rate(time.Now())) })
+// reportDemand tells the control nodes the demand here until the context ends.
+func (g *Gateway) reportDemand(ctx context.Context) error {
+	return daemon.Every(ctx, demandReportInterval, func() { g.follower.ReportDemand(g.demand.rate(time.Now())) })
 }
 
-// shares are the parts of the engines' places that are for requests from here.
-type shares struct {
+// slotShares are the parts of the engines' places that are for requests from here.
+type slotShares struct {
 	domain string  // of this gateway
-	near   float64 // of those of the own failure domain
-	far    float64 // of those of the others, before what their own gateways take
-	// taken is the part that the gateways of a failure domain take of its
+	local  float64 // of those of the own failure domain
+	remote float64 // of those of the others, before what their own gateways take
+	// localUse is the part that the gateways of a failure domain take of its
 	// engines' places.
-	taken map[string]float64
+	localUse map[string]float64
 }
 
-// at returns the share at an engine of a failure domain.
-func (s shares) at(domain string) float64 {
+// forDomain returns the share at an engine of a failure domain.
+func (s slotShares) forDomain(domain string) float64 {
 	if domain == s.domain {
-		return s.near
+		return s.local
 	}
-	return s.far * max(1-s.taken[domain], leastFar)
+	return s.remote * max(1-s.localUse[domain], minRemoteShare)
 }
 
-// shares returns the shares as demand is now, where the engines that may take a
+// slotShares returns the shares as demand is now, where the engines that may take a
 // request finish so many a second, by failure domain.
-func (g *Gateway) shares(now time.Time, capacity map[string]float64) shares {
+func (g *Gateway) slotShares(now time.Time, capacity map[string]float64) slotShares {
 	own := g.demand.rate(now)
 	domain := g.process.Identity.Domain()
 	even := 1 / float64(g.countGateways())
-	s := shares{domain: domain, near: even, far: even, taken: map[string]float64{}}
+	s := slotShares{domain: domain, local: even, remote: even, localUse: map[string]float64{}}
 	demands := g.demandByDomain()
 	all := 0.0
 	for d, perSecond := range demands {
 		all += perSecond
 		if capacity[d] > 0 {
-			s.taken[d] = min(perSecond/capacity[d], 1)
+			s.localUse[d] = min(perSecond/capacity[d], 1)
 		}
 	}
 	if all <= 0 {
 		return s
 	}
-	s.near = evenPart*even + (1-evenPart)*min(own/max(demands[domain], own), 1)
-	s.far = evenPart*even + (1-evenPart)*min(own/max(all, own), 1)
+	s.local = evenShare*even + (1-evenShare)*min(own/max(demands[domain], own), 1)
+	s.remote = evenShare*even + (1-evenShare)*min(own/max(all, own), 1)
 	return s
 }
--- a/pkg/gateway/fake_backend_test.go
+++ b/pkg/gateway/fake_backend_test.go
@@ -168,7 +168,7 @@
 		t.Fatal(err)
 	}
 	// The tests of the budget cover the time just after a start.
-	g.budget = settledBudget(s.RetryRatio(), s.RetryReserve(), s.RetryWindow())
+	g.budget = fullWindowBudget(s.RetryRatio(), s.RetryReserve(), s.RetryWindow())
 	return g
 }
 
@@ -192,7 +192,7 @@
 	}
 	g.index.Raise(d)
 	for _, server := range servers {
-		g.backends.hear(registry.NewRegistration(server.incarnation, "menu", server.listener.Addr().String(), "hall-a", "v1", 4, registry.Ready, 0, nil, 1, 0))
+		g.backends.applyRegistration(registry.NewRegistration(server.incarnation, "menu", server.listener.Addr().String(), "hall-a", "v1", 4, registry.Ready, 0, nil, 1, 0))
 	}
 	f := &fixture{gateway: g, server: httptest.NewServer(g)}
 	f.prefer(servers...)
@@ -204,9 +204,9 @@
 // ones have more work in flight.
 func (f *fixture) prefer(servers ...*fakeBackend) {
 	for i, server := range servers {
-		for _, b := range f.gateway.backends.of("menu") {
-			if b.word().Incarnation() == server.incarnation {
-				b.begin(time.Duration(i)*time.Second, nil)
+		for _, b := range f.gateway.backends.forService("menu") {
+			if b.latestRegistration().Incarnation() == server.incarnation {
+				b.startRequest(time.Duration(i)*time.Second, nil)
 			}
 		}
 	}
--- a/pkg/gateway/forward_test.go
+++ b/pkg/gateway/forward_test.go
@@ -195,9 +195,9 @@
 func TestDrainingBackendServerGetsNoRequests(t *testing.T) {
 	first, second := newFakeBackend(t, "i-1", respondWith("200 OK", "first")), newFakeBackend(t, "i-2", respondWith("200 OK", "second"))
 	f := newFixture(t, serviceconfig.Repeatable, false, first, second)
-	f.gateway.backends.hear(registry.NewRegistration("i-1", "menu", first.listener.Addr().String(), "hall-a", "v1", 4, registry.Draining, 0, nil, 2, 0))
+	f.gateway.backends.applyRegistration(registry.NewRegistration("i-1", "menu", first.listener.Addr().String(), "hall-a", "v1", 4, registry.Draining, 0, nil, 2, 0))
 	// A late heartbeat must not make it ready again.
-	f.gateway.backends.hear(registry.NewRegistration("i-1", "menu", first.listener.Addr().String(), "hall-a", "v1", 4, registry.Ready, 0, nil, 3, 0))
+	f.gateway.backends.applyRegistration(registry.NewRegistration("i-1", "menu", first.listener.Addr().String(), "hall-a", "v1", 4, registry.Ready, 0, nil, 3, 0))
 	if _, _, body, _ := f.do(t, f.request(t, http.MethodGet, "a", "")); body != "second" {
 		t.Fatalf("got %q", body)
 	}
--- a/pkg/gateway/gateway.go
+++ b/pkg/gateway/gateway.go
@@ -57,9 +57,9 @@
 	follower     *feed.Follower
 	backends     *backends
 	versions     *feed.VersionTable
-	watchdogs    *waitingSet
+	watchdogs    *watchdogSet
 	gatewayCount gatewayCounter
-	budget       *budget
+	budget       *retryBudget
 	demand       demand
 	// quarantine records the requests during which backend servers exited.
 	quarantine *quarantine.Table
@@ -78,7 +78,7 @@
 	limitOwners *owners
 	// limitLogLimiter bounds the log lines about limits of backend servers.
 	limitLogLimiter *rate.Limiter
-	callerRetries   returning
+	callerRetries   returningCallers
 	silenceDetector silenceDetector
 	// demandByDomain returns the requests for engines that all gateways receive per second, by
 	// failure domain.
@@ -110,9 +110,9 @@
 	}
 	g := &Gateway{
 		settings: s, process: process, protocol: protocol, runContext: context.Background(),
-		backends: newBackends(), versions: feed.NewVersionTable(), watchdogs: newWaitingSet(),
+		backends: newBackends(), versions: feed.NewVersionTable(), watchdogs: newWatchdogSet(),
 		suspension: suspension.New(), stop: newGracefulStop(),
-		budget:     newBudget(s.RetryRatio(), s.RetryReserve(), s.RetryWindow()),
+		budget:     newRetryBudget(s.RetryRatio(), s.RetryReserve(), s.RetryWindow()),
 		metrics:    newMetrics(process.Registry),
 		quarantine: quarantine.NewTable(nil), publishLimiter: rate.NewLimiter(endsTold, endsToldAtOnce),
 		tester: quarantine.Tester(process.Identity), trialLimiter: rate.NewLimiter(trialsAsked, 1),
@@ -139,7 +139,7 @@
 	g.limitOwners = g.newOwners()
 	process.Endpoint.Handle(link.KindPermit, g.servePermit)
 	process.Endpoint.Handle(link.KindPermitReport, g.serveReport)
-	process.Endpoint.Handle(link.KindRepeat, g.serveRepeat)
+	process.Endpoint.Handle(link.KindRepeat, g.serveRetryLoan)
 	return g, nil
 }
 
@@ -147,17 +147,17 @@
 // one is ignored.
 func (g *Gateway) applyUpdate(address string, u feed.Update) {
 	for _, r := range u.Registrations() {
-		g.backends.hear(r)
+		g.backends.applyRegistration(r)
 	}
 	for _, l := range u.Loads() {
-		g.backends.hearLoad(l)
+		g.backends.applyLoadReport(l)
 	}
 	if moves := g.versions.Merge(u.Versions(), time.Now()); len(moves) > 0 {
 		feed.LogVersionChanges(g.process.Logger, moves, string(feed.RoleNode), address)
-		g.watchdogs.lookNow()
+		g.watchdogs.checkNow()
 	}
 	g.learnRecords(u.Records())
-	g.inheritSpent(u.RetryUsage())
+	g.inheritBudget(u.RetryUsage())
 	d := u.Document()
 	if d == nil || !g.index.Raise(*d) {
 		return
@@ -170,8 +170,8 @@
 // Waiting attempts check at once whether they may continue.
 func (g *Gateway) onResume(suspended time.Duration) {
 	g.versions.AddSuspension(suspended)
-	g.backends.each(func(b *backend, _ string) { b.suspended(suspended) })
-	g.watchdogs.lookNow()
+	g.backends.each(func(b *backend, _ string) { b.ageLoadReport(suspended) })
+	g.watchdogs.checkNow()
 }
 
 // countGateways returns how many gateways share the retry budget.
@@ -207,7 +207,7 @@
 	add(g.serveReadiness)
 	add(g.follower.Run)
 	add(g.sweep)
-	add(g.tellDemand)
+	add(g.reportDemand)
 	add(g.seeds.Run)
 	add(g.suspension.Run)
 	add(func(ctx context.Context) error { return g.awaitStop(ctx, signals) })
--- a/pkg/gateway/handler.go
+++ b/pkg/gateway/handler.go
@@ -106,7 +106,7 @@
 	if service.Engine().Slots() > 0 {
 		q.model = modelOf(q.head, service.Engine())
 		g.demand.add(now)
-		q.refusedBefore = g.callerRetries.cameBack(route.Timeout(), q.head.Deadline, now)
+		q.refusedBefore = g.callerRetries.isReturning(route.Timeout(), q.head.Deadline, now)
 	}
 	return nil
 }
@@ -190,7 +190,7 @@
 // forward tries backend servers until the request is answered or given up.
 func (g *Gateway) forward(q *request) {
 	defer g.returnPermit(q)
-	defer g.returnRepeat(q)
+	defer g.returnRetry(q)
 	for dials := 0; ; dials++ {
 		if q.ctx.Err() != nil {
 			g.endCancelled(q)
@@ -210,7 +210,7 @@
 			g.giveUp(q, f)
 			return
 		}
-		if q.headWritten && !g.takeRepeat(q) {
+		if q.headWritten && !g.ensureRetry(q) {
 			g.giveUp(q, q.exhausted(retryBudgetSpent, q.lastAttempt))
 			return
 		}
@@ -235,11 +235,11 @@
 	if !q.headWritten || !isRejected {
 		return nil
 	}
-	if !g.waitsForPlace(q, time.Now()) {
+	if !g.mayKeepWaiting(q, time.Now()) {
 		return q.exhausted("no backend server accepted it in time; last: %s", q.lastAttempt)
 	}
 	q.rejections++
-	g.pauseFor(q, time.Duration(q.rejections)*yieldLook)
+	g.pauseWithJitter(q, time.Duration(q.rejections)*yieldRetryInterval)
 	return nil
 }
 
@@ -262,7 +262,7 @@
 		return failure.New(failure.OutcomeUnknown, "the request may have run: %s", q.lastAttempt)
 	case q.hasNoServerLeft() || !q.headWritten && dials >= maxDials:
 		return q.exhausted("all %d attempts are used up; last: %s", q.route.Attempts(), q.lastAttempt)
-	case !q.headWritten && !g.takeRepeat(q):
+	case !q.headWritten && !g.ensureRetry(q):
 		return q.exhausted(retryBudgetSpent, q.lastAttempt)
 	}
 	return nil
@@ -277,19 +277,19 @@
 }
 
 // criteriaFor returns what a backend server must satisfy for the next attempt.
-func (g *Gateway) criteriaFor(q *request) wanted {
-	w := wanted{service: q.service.Name(), work: q.work, tried: q.tried, engine: q.service.Engine(), avoid: q.avoid}
+func (g *Gateway) criteriaFor(q *request) requirements {
+	w := requirements{service: q.service.Name(), work: q.work, tried: q.tried, engine: q.service.Engine(), avoidBuilds: q.avoid}
 	if len(q.ranAt) >= q.route.Attempts() {
 		w.only = q.ranAt
 	}
 	if q.headWritten {
-		w.begins = g.silenceDetector.longestResponseWait(q.service.Name(), time.Now())
+		w.firstEventLatency = g.silenceDetector.longestResponseWait(q.service.Name(), time.Now())
 	}
 	if q.model != "" {
 		w.model, w.layers = q.model, max(w.engine.Layers(), 1)
-		w.least = func(begins, back time.Duration) uint64 { return g.leastVersion(q.model, begins, q.maxRun, back) }
+		w.minVersion = func(begins, back time.Duration) uint64 { return g.minUsableVersion(q.model, begins, q.maxRun, back) }
 		if q.sent == 0 {
-			w.wait = q.maxWait()
+			w.maxWait = q.maxWait()
 		}
 	}
 	return w
@@ -307,7 +307,7 @@
 		return b, nil
 	}
 	w := g.criteriaFor(q)
-	b, allFull := g.awaitPlace(q, w)
+	b, allFull := g.awaitBackend(q, w)
 	if b != nil {
 		return b, nil
 	}
--- a/pkg/gateway/inherit.go
+++ b/pkg/gateway/inherit.go
@@ -17,62 +17,62 @@
 	"github.com/tidepost/tidepost/pkg/feed"
 )
 
-// inheritWithin is how long before this gateway started the one before it may have ended: in a
+// maxHandoverGap is how long before this gateway started the one before it may have ended: in a
 // longer time another one may have started there, and been killed without a word.
-const inheritWithin = 5 * time.Second
+const maxHandoverGap = 5 * time.Second
 
-// spent is what this gateway has spent, the last slot first.
-func (b *budget) spent(gateways int) feed.RetryUsage {
+// usage is what this gateway has spent, the last slot first.
+func (b *retryBudget) usage(gateways int) feed.RetryUsage {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.advance()
 	var all []feed.ServiceRetryUsage
 	for _, name := range slices.Sorted(maps.Keys(b.services)) {
 		s := b.services[name]
-		requests, repeats := make([]int, budgetSlots), make([]int, budgetSlots)
-		for back := range int64(budgetSlots) {
-			i := (b.current - back + budgetSlots) % budgetSlots
-			requests[back], repeats[back] = s.requests[i], s.repeats[i]
+		requests, repeats := make([]int, budgetBuckets), make([]int, budgetBuckets)
+		for back := range int64(budgetBuckets) {
+			i := (b.currentBucket - back + budgetBuckets) % budgetBuckets
+			requests[back], repeats[back] = s.requests[i], s.retries[i]
 		}
 		all = append(all, feed.NewServiceRetryUsage(name, requests, repeats))
 	}
-	return feed.NewRetryUsage(gateways, b.slot, 0, all)
+	return feed.NewRetryUsage(gateways, b.bucketDuration, 0, all)
 }
 
 // inherit counts what the gateway before this one had spent; false where that can't be
 // compared, is counted already, or is of one that ended long before.
-func (b *budget) inherit(spent feed.RetryUsage) bool {
+func (b *retryBudget) inherit(spent feed.RetryUsage) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	before := spent.Age() - b.now().Sub(b.started)
-	if b.inherits || spent.Slot() != b.slot || before > inheritWithin {
+	if b.inherited || spent.Slot() != b.bucketDuration || before > maxHandoverGap {
 		return false
 	}
 	b.advance()
-	b.inherits = true
-	passed := int(spent.Age() / b.slot)
+	b.inherited = true
+	passed := int(spent.Age() / b.bucketDuration)
 	for _, one := range spent.Services() {
-		s := b.of(one.Service())
+		s := b.usageOf(one.Service())
 		for back, n := range one.Retries() {
-			b.put(&s.repeats, max(passed+back-1, 0), n)
+			b.addCount(&s.retries, max(passed+back-1, 0), n)
 		}
 		for back, n := range one.Requests() {
-			b.put(&s.requests, passed+back+1, n)
+			b.addCount(&s.requests, passed+back+1, n)
 		}
 	}
 	return true
 }
 
-// put adds a count so many slots back, unless that is longer than counts are kept, for
+// addCount adds a count so many slots back, unless that is longer than counts are kept, for
 // whoever holds the lock.
-func (b *budget) put(counts *[budgetSlots]int, back, count int) {
-	if back < budgetSlots {
-		counts[(b.current-int64(back)+budgetSlots)%budgetSlots] += count
+func (b *retryBudget) addCount(counts *[budgetBuckets]int, back, count int) {
+	if back < budgetBuckets {
+		counts[(b.currentBucket-int64(back)+budgetBuckets)%budgetBuckets] += count
 	}
 }
 
-// inheritSpent takes what the gateway that ended in order before this one had spent.
-func (g *Gateway) inheritSpent(spent *feed.RetryUsage) {
+// inheritBudget takes what the gateway that ended in order before this one had spent.
+func (g *Gateway) inheritBudget(spent *feed.RetryUsage) {
 	if spent == nil || !g.budget.inherit(*spent) {
 		return
 	}
@@ -81,15 +81,15 @@
 	_ = level.Info(g.process.Logger).Log("msg", "goes on with the budget of repeats of the gateway before", "ended_ms", spent.Age().Milliseconds(), "gateways", spent.Gateways())
 }
 
-// end has nothing spent or lent any more.
-func (b *budget) end() {
+// stop has nothing spent or lent any more.
+func (b *retryBudget) stop() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.over = true
+	b.closed = true
 }
 
-// tellSpent tells control nodes what this gateway has spent, when it sends nothing more.
-func (g *Gateway) tellSpent() {
-	g.budget.end()
-	g.follower.ReportRetryUsage(g.budget.spent(g.countGateways()))
+// reportSpent tells control nodes what this gateway has spent, when it sends nothing more.
+func (g *Gateway) reportSpent() {
+	g.budget.stop()
+	g.follower.ReportRetryUsage(g.budget.usage(g.countGateways()))
 }
--- a/pkg/gateway/inherit_test.go
+++ b/pkg/gateway/inherit_test.go
@@ -18,16 +18,16 @@
 	"github.com/tidepost/tidepost/pkg/feed"
 )
 
-// follow has a gateway end in order and another one start in its place after a time.
-func (f *budgetFleet) follow(i int, after time.Duration) {
-	told := f.gateways[i].spent(fleetSize)
+// replaceGateway has a gateway end in order and another one start in its place after a time.
+func (f *budgetFleet) replaceGateway(i int, after time.Duration) {
+	told := f.gateways[i].usage(fleetSize)
 	f.restart(i)
 	if after >= 0 {
 		f.gateways[i].inherit(feed.NewRetryUsage(told.Gateways(), told.Slot(), after, told.Services()))
 	}
 }
 
-func TestGatewaysThatFollowOthersKeepTheBudget(t *testing.T) {
+func TestBudgetHoldsAcrossHandovers(t *testing.T) {
 	const steps = 400
 	always := func(int) bool { return true }
 	for _, c := range []struct {
@@ -48,7 +48,7 @@
 				if step%c.every == c.every-1 {
 					for i := range f.gateways {
 						if c.all || i == step/c.every%fleetSize {
-							f.follow(i, 0)
+							f.replaceGateway(i, 0)
 						}
 					}
 				}
@@ -60,14 +60,14 @@
 }
 
 // A gateway that follows one which had spent nothing has its whole share at once.
-func TestGatewayThatFollowsAnotherHasItsShare(t *testing.T) {
+func TestSuccessorHasItsShareAtOnce(t *testing.T) {
 	f := newBudgetFleet()
 	for step := range 150 {
 		f.step(step, 3, false)
 	}
-	f.follow(0, 300*time.Millisecond)
-	got, want := 0, int(math.Floor(safety*fleetReserve/fleetSize))
-	for f.gateways[0].repeat("menu", fleetSize) {
+	f.replaceGateway(0, 300*time.Millisecond)
+	got, want := 0, int(math.Floor(budgetSafetyFactor*fleetReserve/fleetSize))
+	for f.gateways[0].takeRetry("menu", fleetSize) {
 		got++
 	}
 	if got < want {
@@ -75,7 +75,7 @@
 	}
 	f.restart(1)
 	alone := 0
-	for f.gateways[1].repeat("menu", fleetSize) {
+	for f.gateways[1].takeRetry("menu", fleetSize) {
 		alone++
 	}
 	if alone >= want {
@@ -85,29 +85,29 @@
 
 // What was spent counts for a window, whatever the ages of the two gateways' slots, and is
 // counted once.
-func TestWhatWasSpentCountsForAWindow(t *testing.T) {
-	const slot = fleetWindow / slotsInWindow
+func TestInheritedUsageCountsForOneWindow(t *testing.T) {
+	const slot = fleetWindow / bucketsPerWindow
 	for shift := time.Duration(0); shift < slot; shift += slot / 7 {
 		now := time.Now()
 		at := func() time.Time { return now }
-		before := newBudget(0, 40, fleetWindow)
+		before := newRetryBudget(0, 40, fleetWindow)
 		before.now, before.started = at, now.Add(-2*fleetWindow)
 		now = now.Add(shift)
 		spentAt := now
-		if !before.repeat("menu", 1) {
+		if !before.takeRetry("menu", 1) {
 			t.Fatal("no repeat")
 		}
 		now = now.Add(shift / 2)
-		after := newBudget(0, 40, fleetWindow)
+		after := newRetryBudget(0, 40, fleetWindow)
 		after.now, after.started = at, now
-		told := before.spent(1)
+		told := before.usage(1)
 		if !after.inherit(told) || after.inherit(told) {
 			t.Fatal("counted not once")
 		}
-		full := int(safety * 40)
+		full := int(budgetSafetyFactor * 40)
 		for now.Sub(spentAt) < fleetWindow {
 			counted := 0
-			for _, n := range after.spent(1).Services()[0].Retries() {
+			for _, n := range after.usage(1).Services()[0].Retries() {
 				counted += n
 			}
 			if counted != 1 {
@@ -117,7 +117,7 @@
 		}
 		now = spentAt.Add(fleetWindow + 2*slot)
 		for range full {
-			if !after.repeat("menu", 1) {
+			if !after.takeRetry("menu", 1) {
 				t.Fatal("it still counts two slots after the window")
 			}
 		}
@@ -125,21 +125,21 @@
 }
 
 // Counts by other slots can't be compared.
-func TestOtherWindowsAreNotFollowed(t *testing.T) {
-	told := newBudget(10, 40, fleetWindow).spent(1)
-	if newBudget(10, 40, 2*fleetWindow).inherit(told) {
+func TestUsageOfOtherWindowIsRejected(t *testing.T) {
+	told := newRetryBudget(10, 40, fleetWindow).usage(1)
+	if newRetryBudget(10, 40, 2*fleetWindow).inherit(told) {
 		t.Error("counts of other slots were taken")
 	}
 }
 
 // A word of long ago is not followed: another gateway may have been there since.
-func TestOldWordsAreNotFollowed(t *testing.T) {
-	told := newBudget(10, 40, fleetWindow).spent(1)
-	old := feed.NewRetryUsage(told.Gateways(), told.Slot(), inheritWithin+time.Second, told.Services())
-	if newBudget(10, 40, fleetWindow).inherit(old) {
+func TestStaleUsageIsRejected(t *testing.T) {
+	told := newRetryBudget(10, 40, fleetWindow).usage(1)
+	old := feed.NewRetryUsage(told.Gateways(), told.Slot(), maxHandoverGap+time.Second, told.Services())
+	if newRetryBudget(10, 40, fleetWindow).inherit(old) {
 		t.Error("a word of long before the start was taken")
 	}
-	late := newBudget(10, 40, fleetWindow)
+	late := newRetryBudget(10, 40, fleetWindow)
 	late.started = late.started.Add(-3 * time.Second)
 	if !late.inherit(old) {
 		t.Error("a word that came late was not taken")
--- a/pkg/gateway/interrupt.go
+++ b/pkg/gateway/interrupt.go
@@ -160,12 +160,12 @@
 	if q.retryTaken.Load() {
 		return true
 	}
-	if !x.gateway.budget.repeat(q.service.Name(), x.gateway.countGateways()) {
+	if !x.gateway.budget.takeRetry(q.service.Name(), x.gateway.countGateways()) {
 		return false
 	}
 	if q.retryTaken.Swap(true) {
 		// Two checks took a retry at the same time, and one is enough.
-		x.gateway.budget.unspent(q.service.Name())
+		x.gateway.budget.refund(q.service.Name())
 	}
 	return true
 }
@@ -174,7 +174,7 @@
 // attempt then takes. Where no stager answers, a server that could take the request as far as is
 // known will do. It waits for answers, so only the attempt's own watchdog calls it, not the check
 // of all attempts.
-func (x *exchange) reserveCandidate(w wanted, now time.Time) bool {
+func (x *exchange) reserveCandidate(w requirements, now time.Time) bool {
 	g, q := x.gateway, x.request
 	if w.engine.Slots() == 0 {
 		return x.hasCandidate(w)
@@ -199,14 +199,14 @@
 
 // hasCandidate reports whether a suitable backend server could take the request now, as far as is
 // known without asking it.
-func (x *exchange) hasCandidate(w wanted) bool { return x.candidate(w) != nil }
+func (x *exchange) hasCandidate(w requirements) bool { return x.candidate(w) != nil }
 
 // candidate returns such a backend server, or nil.
-func (x *exchange) candidate(w wanted) *backend {
+func (x *exchange) candidate(w requirements) *backend {
 	g, q := x.gateway, x.request
 	b, _ := g.choose(w)
-	if b == nil && g.mayRunOn(q) {
-		b, _ = g.choose(g.runningOn(q, w))
+	if b == nil && g.mayRunPastExpiry(q) {
+		b, _ = g.choose(g.allowRunPastExpiry(q, w))
 	}
 	return b
 }
@@ -218,7 +218,7 @@
 }
 
 // includeOwnServer also allows the attempt's own server.
-func (x *exchange) includeOwnServer(w wanted) wanted {
+func (x *exchange) includeOwnServer(w requirements) requirements {
 	w.tried = maps.Clone(w.tried)
 	delete(w.tried, x.backend)
 	return w
@@ -226,17 +226,17 @@
 
 // elsewhereWithRecentWait returns the requirements for another backend server, where the first
 // event is expected to take the longest recent wait of the service.
-func (x *exchange) elsewhereWithRecentWait(now time.Time) wanted {
+func (x *exchange) elsewhereWithRecentWait(now time.Time) requirements {
 	w := x.failoverCriteria
-	w.begins = x.gateway.silenceDetector.longestResponseWait(x.request.service.Name(), now)
+	w.firstEventLatency = x.gateway.silenceDetector.longestResponseWait(x.request.service.Name(), now)
 	return w
 }
 
 // outlastsCaller reports whether the caller of an answer that has been silent for a time is
 // expected to leave before the next event, where that takes the longest recent wait for a first
 // event.
-func (x *exchange) outlastsCaller(w wanted, silent time.Duration) bool {
-	return silent+w.begins >= x.gateway.patienceOf(x.request)
+func (x *exchange) outlastsCaller(w requirements, silent time.Duration) bool {
+	return silent+w.firstEventLatency >= x.gateway.callerTimeout(x.request)
 }
 
 // isOverdue reports whether an attempt has waited longer than expected, and can resume in time.
@@ -248,7 +248,7 @@
 // server has a free slot where the answer resumes before its caller leaves.
 func (x *exchange) isSilentAsStall(now time.Time) bool {
 	w, silent := x.includeOwnServer(x.elsewhereWithRecentWait(now)), x.silenceMonitor.snapshot().silentFor(now)
-	w.wait, w.begins = noWait, max(w.begins, goesOnWithin)
+	w.maxWait, w.firstEventLatency = noWait, max(w.firstEventLatency, resumeLatency)
 	return silent > x.longestEventGap() && !x.outlastsCaller(w, silent) && x.hasCandidate(w)
 }
 
@@ -257,13 +257,13 @@
 // server rejects it, and returning to the first server takes another retry. Where its own server
 // is unreachable any other will do.
 func (x *exchange) isStalledAlone(now time.Time) bool {
-	if x.backend.load(now).lost {
+	if x.backend.load(now).unreachable {
 		return !x.isLastServer && x.hasCandidate(x.failoverCriteria)
 	}
 	w, silent := x.elsewhereWithRecentWait(now), x.watch.silentFor(now)
-	w.wait = noWait
+	w.maxWait = noWait
 	// A caller that stays longer than callers are known to gains nothing from further waiting.
-	tooLate := silent < x.gateway.patienceOf(x.request) && x.outlastsCaller(w, silent)
+	tooLate := silent < x.gateway.callerTimeout(x.request) && x.outlastsCaller(w, silent)
 	if x.isLastServer || tooLate || x.gateway.silenceDetector.allStreamsSilent(x.silenceMonitor) {
 		return false
 	}
--- a/pkg/gateway/lapse.go
+++ b/pkg/gateway/lapse.go
@@ -26,54 +26,54 @@
 )
 
 const (
-	// lapseMargin is how long before a version lapses a request that has not begun on it
+	// defaultCancelMargin is how long before a version lapses a request that has not begun on it
 	// is taken back: the break takes that long to a backend server at the worst.
-	lapseMargin = 600 * time.Millisecond
-	// chunksMargin is the same where chunks are on the link: the break lies behind several.
-	chunksMargin = time.Second
-	// deadlineMargin is how long before a version lapses the request's own deadline ends:
+	defaultCancelMargin = 600 * time.Millisecond
+	// transferCancelMargin is the same where chunks are on the link: the break lies behind several.
+	transferCancelMargin = time.Second
+	// versionDeadlineMargin is how long before a version lapses the request's own deadline ends:
 	// the way to the backend server, from where it counts, and the word of the version to
 	// this gateway. While chunks are on that way it is lapseMargin.
-	deadlineMargin = 100 * time.Millisecond
+	versionDeadlineMargin = 100 * time.Millisecond
 )
 
-// lapse is what is known of a version's end. The zero value is a version that does not
+// versionExpiry is what is known of a version's end. The zero value is a version that does not
 // lapse, or none.
-type lapse struct {
-	served uint64        // the version that the backend server serves
-	at     time.Time     // when its time ends; zero when no later version is named
-	margin time.Duration // how long before that a request's own deadline ends
-	back   time.Duration // how long before that a request that waits is taken back
-	bounds bool          // the request's own deadline ends there
+type versionExpiry struct {
+	served         uint64        // the version that the backend server serves
+	at             time.Time     // when its time ends; zero when no later version is named
+	deadlineMargin time.Duration // how long before that a request's own deadline ends
+	cancelMargin   time.Duration // how long before that a request that waits is taken back
+	boundsDeadline bool          // the request's own deadline ends there
 }
 
 // needsVersionDeadline tells whether the request carries the end of its version as its deadline: it
 // may run once and should be over by then, also if it runs as slowly as those of late.
 func (x *exchange) needsVersionDeadline(now time.Time) bool {
 	q := x.request
-	return !q.route.Idempotent() && q.versionExpiry.lapses() && q.versionExpiry.left() > max(q.longestRun(&x.gateway.silenceDetector, now), minAttemptTime)
+	return !q.route.Idempotent() && q.versionExpiry.expires() && q.versionExpiry.deadlineLeft() > max(q.maxRunTime(&x.gateway.silenceDetector, now), minAttemptTime)
 }
 
-// isOver tells whether a request that waits is taken back by now.
-func (l lapse) isOver() bool { return l.lapses() && time.Until(l.at) <= l.back }
+// mustCancel tells whether a request that waits is taken back by now.
+func (l versionExpiry) mustCancel() bool { return l.expires() && time.Until(l.at) <= l.cancelMargin }
 
-// left is for how long a request's own deadline may still be.
-func (l lapse) left() time.Duration { return time.Until(l.at) - l.margin }
+// deadlineLeft is for how long a request's own deadline may still be.
+func (l versionExpiry) deadlineLeft() time.Duration { return time.Until(l.at) - l.deadlineMargin }
 
-// lapses tells whether the version's time ends.
-func (l lapse) lapses() bool { return !l.at.IsZero() }
+// expires tells whether the version's time ends.
+func (l versionExpiry) expires() bool { return !l.at.IsZero() }
 
-// lapseOf returns the lapse of the version that a backend server serves of a request's
+// versionExpiryOf returns the lapse of the version that a backend server serves of a request's
 // model, as known now. Where none is known now, for instance while an order is under way,
 // it is the one known before, or the oldest that may still serve.
-func (g *Gateway) lapseOf(q *request, b *backend, before uint64) lapse {
+func (g *Gateway) versionExpiryOf(q *request, b *backend, before uint64) versionExpiry {
 	engine := q.service.Engine()
 	if engine.Slots() == 0 || q.model == "" {
-		return lapse{}
+		return versionExpiry{}
 	}
-	l := lapse{served: b.servedVersion(q.model, max(engine.Layers(), 1)), margin: deadlineMargin, back: b.takeBackMargin()}
-	if b.isExchanging(time.Now()) {
-		l.margin = lapseMargin
+	l := versionExpiry{served: b.servedVersion(q.model, max(engine.Layers(), 1)), deadlineMargin: versionDeadlineMargin, cancelMargin: b.versionCancelMargin()}
+	if b.isTransferringChunks(time.Now()) {
+		l.deadlineMargin = defaultCancelMargin
 	}
 	if l.served == 0 {
 		l.served = before
@@ -87,20 +87,20 @@
 	return l
 }
 
-// sawRun learns from a request that ran for a time: until its end, or until its deadline
+// recordRunTime learns from a request that ran for a time: until its end, or until its deadline
 // cut it.
-func (q *request) sawRun(s *silenceDetector, now time.Time, took time.Duration) {
+func (q *request) recordRunTime(s *silenceDetector, now time.Time, took time.Duration) {
 	if q.maxRun > 0 {
 		took = took * time.Second / q.maxRun
 	}
 	s.record(timingKey{q.service.Name(), timingRun}, now, took)
 }
 
-// longestRun is how long a request runs at the most: at an engine by its size and by how
+// maxRunTime is how long a request runs at the most: at an engine by its size and by how
 // long those of late ran for theirs, elsewhere as long as those of late; 0 where that is not
 // known. Engines on VMs that are short of processor time take several times what the
 // configuration says of them.
-func (q *request) longestRun(s *silenceDetector, now time.Time) time.Duration {
+func (q *request) maxRunTime(s *silenceDetector, now time.Time) time.Duration {
 	ofLate := s.recentLimit(timingKey{q.service.Name(), timingRun}, now)
 	if q.maxRun == 0 {
 		return ofLate
@@ -108,34 +108,34 @@
 	return max(q.maxRun, time.Duration(float64(q.maxRun)*ofLate.Seconds()))
 }
 
-// allowed is how long a backend server may work on a request: what is left to its caller,
+// timeAllowed is how long a backend server may work on a request: what is left to its caller,
 // and no longer than the version there may serve, where it should be over by then.
-func (q *request) allowed() time.Duration {
+func (q *request) timeAllowed() time.Duration {
 	left := q.remaining()
-	if q.versionExpiry.bounds {
-		left = min(left, q.versionExpiry.left())
+	if q.versionExpiry.boundsDeadline {
+		left = min(left, q.versionExpiry.deadlineLeft())
 	}
 	return left
 }
 
-// hasLapsed tells whether what the backend server was allowed ended with its version, and
+// versionDeadlinePassed tells whether what the backend server was allowed ended with its version, and
 // is over. It counts whole milliseconds and may end a little earlier.
-func (q *request) hasLapsed() bool {
-	return q.versionExpiry.bounds && q.remaining() > minAttemptTime && q.allowed() < minAttemptTime
+func (q *request) versionDeadlinePassed() bool {
+	return q.versionExpiry.boundsDeadline && q.remaining() > minAttemptTime && q.timeAllowed() < minAttemptTime
 }
 
-// untilTakenBack is for how long yet an attempt may wait for its first event, by what is
+// untilCancel is for how long yet an attempt may wait for its first event, by what is
 // known now of the version where it waits; false while that does not lapse.
-func (w *watchdog) untilTakenBack() (time.Duration, bool) {
+func (w *watchdog) untilCancel() (time.Duration, bool) {
 	q := w.exchange.request
-	l := w.exchange.gateway.lapseOf(q, w.exchange.backend, w.servedVersion)
-	return time.Until(l.at) - l.back, l.lapses()
+	l := w.exchange.gateway.versionExpiryOf(q, w.exchange.backend, w.servedVersion)
+	return time.Until(l.at) - l.cancelMargin, l.expires()
 }
 
-// takeBackLapsed takes the attempt back when it waits for its first event and the version
+// cancelExpired takes the attempt back when it waits for its first event and the version
 // where it waits is about to lapse.
-func (w *watchdog) takeBackLapsed() bool {
-	left, lapses := w.untilTakenBack()
+func (w *watchdog) cancelExpired() bool {
+	left, lapses := w.untilCancel()
 	if !lapses || left > 0 {
 		return false
 	}
@@ -153,28 +153,28 @@
 // ----------------------------------------------------------------
 // What is heard of versions while requests wait
 
-// waitingSet holds the watchdogs of the attempts under way.
-type waitingSet struct {
+// watchdogSet holds the watchdogs of the attempts under way.
+type watchdogSet struct {
 	mu  sync.Mutex
 	all map[*watchdog]bool
 }
 
-func newWaitingSet() *waitingSet { return &waitingSet{all: map[*watchdog]bool{}} }
+func newWatchdogSet() *watchdogSet { return &watchdogSet{all: map[*watchdog]bool{}} }
 
-func (s *waitingSet) add(w *watchdog) {
+func (s *watchdogSet) add(w *watchdog) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.all[w] = true
 }
 
-func (s *waitingSet) remove(w *watchdog) {
+func (s *watchdogSet) remove(w *watchdog) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.all, w)
 }
 
-// lookNow has all watchdogs look: a version, or an earlier naming of one, was heard of.
-func (s *waitingSet) lookNow() {
+// checkNow has all watchdogs look: a version, or an earlier naming of one, was heard of.
+func (s *watchdogSet) checkNow() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for w := range s.all {
--- a/pkg/gateway/lapse_test.go
+++ b/pkg/gateway/lapse_test.go
@@ -28,21 +28,21 @@
 
 // lapsing is a gateway before two engines, of which the first is preferred and serves
 // version 1, and the second version 2.
-func newLapsing(t *testing.T, first, second responseScript) *fixture {
+func newExpiringFixture(t *testing.T, first, second responseScript) *fixture {
 	t.Helper()
-	return newLapsingOf(t, newFakeBackend(t, "i-old", first), newFakeBackend(t, "i-young", second))
+	return newExpiringFixtureOf(t, newFakeBackend(t, "i-old", first), newFakeBackend(t, "i-young", second))
 }
 
-// newLapsingOf is newLapsing before two stand-ins.
-func newLapsingOf(t *testing.T, old, young *fakeBackend) *fixture {
+// newExpiringFixtureOf is newLapsing before two stand-ins.
+func newExpiringFixtureOf(t *testing.T, old, young *fakeBackend) *fixture {
 	t.Helper()
 	f := newFixture(t, serviceconfig.Stream, true)
 	f.gateway.index.Raise(engineDocument(t))
-	f.hearVersion(old, 1)
-	f.hearVersion(young, 2)
-	for _, b := range f.gateway.backends.of("menu") {
-		if b.word().Incarnation() == young.incarnation {
-			b.begin(time.Second, nil)
+	f.registerVersion(old, 1)
+	f.registerVersion(young, 2)
+	for _, b := range f.gateway.backends.forService("menu") {
+		if b.latestRegistration().Incarnation() == young.incarnation {
+			b.startRequest(time.Second, nil)
 		}
 	}
 	return f
@@ -68,15 +68,15 @@
 	return d
 }
 
-// hearVersion makes an engine known by a heartbeat that tells what it serves.
-func (f *fixture) hearVersion(s *fakeBackend, version uint64) {
-	f.gateway.backends.hear(registry.NewRegistration(s.incarnation, "menu", s.listener.Addr().String(), "hall-a", "v1", 16, registry.Ready, 0,
+// registerVersion makes an engine known by a heartbeat that tells what it serves.
+func (f *fixture) registerVersion(s *fakeBackend, version uint64) {
+	f.gateway.backends.applyRegistration(registry.NewRegistration(s.incarnation, "menu", s.listener.Addr().String(), "hall-a", "v1", 16, registry.Ready, 0,
 		[]registry.Holding{registry.NewHolding("menu", version, 0, 1)}, 1, 0))
 }
 
-// hearNamed has the gateway know that version 2 was named, when so much of its time is
+// setNamedVersion has the gateway know that version 2 was named, when so much of its time is
 // left; it is not woken.
-func (f *fixture) hearNamed(left time.Duration) {
+func (f *fixture) setNamedVersion(left time.Duration) {
 	f.gateway.versions.Add(f.namedUpdate(left).Versions(), time.Now())
 }
 
@@ -86,18 +86,18 @@
 	return feed.NewUpdate(0, nil, named, nil, true, nil, 0, false, nil, nil, nil, nil, nil, nil)
 }
 
-func (f *fixture) draft(t *testing.T) *http.Request {
+func (f *fixture) draftRequest(t *testing.T) *http.Request {
 	r := f.request(t, http.MethodPost, "a", "draft")
 	r.Header.Set(headerModel, "menu")
 	r.Header.Set(headerDeadline, "60000")
 	return r
 }
 
-// lapsed counts the attempts that were taken back for their version.
-func (f *fixture) lapsed(t *testing.T) float64 { return f.countEnds(t, attemptVersionExpired) }
+// expiredAttempts counts the attempts that were taken back for their version.
+func (f *fixture) expiredAttempts(t *testing.T) float64 { return f.countEnds(t, attemptVersionExpired) }
 
-// waitsUntilBroken is an engine that says nothing until its connection breaks.
-func waitsUntilBroken(came chan<- *http.Request) responseScript {
+// silentUntilClosed is an engine that says nothing until its connection breaks.
+func silentUntilClosed(came chan<- *http.Request) responseScript {
 	return func(w *bufio.Writer, r *http.Request) bool {
 		came <- r
 		for {
@@ -109,33 +109,33 @@
 	}
 }
 
-func wholeStream(w *bufio.Writer, r *http.Request) bool {
+func completeStream(w *bufio.Writer, r *http.Request) bool {
 	writeEvents(w, r, 1, 3)
 	_, _ = w.WriteString("0\r\n\r\n")
 	return true
 }
 
-func TestVersionHeardWhileTheRequestWaitsTakesItBack(t *testing.T) {
+func TestVersionReceivedWhileRequestWaitsCancelsIt(t *testing.T) {
 	cases := map[string]func(f *fixture){
 		"named and heard of after the sending": func(*fixture) {},
 		"heard of too young before the sending": func(f *fixture) {
-			f.hearNamed(f.gateway.settings.WeightsWithin())
+			f.setNamedVersion(f.gateway.settings.WeightsWithin())
 		},
 	}
 	for name, before := range cases {
 		t.Run(name, func(t *testing.T) {
 			came := make(chan *http.Request, 1)
-			f := newLapsing(t, waitsUntilBroken(came), wholeStream)
+			f := newExpiringFixture(t, silentUntilClosed(came), completeStream)
 			before(f)
 			go func() {
 				<-came
-				f.gateway.applyUpdate("10.0.0.9:7700", f.namedUpdate(lapseMargin/2))
+				f.gateway.applyUpdate("10.0.0.9:7700", f.namedUpdate(defaultCancelMargin/2))
 			}()
-			status, _, body, err := f.do(t, f.draft(t))
+			status, _, body, err := f.do(t, f.draftRequest(t))
 			if status != http.StatusOK || body != events(1, 3) || err != nil {
 				t.Fatalf("%d %q %v", status, body, err)
 			}
-			if f.lapsed(t) != 1 {
+			if f.expiredAttempts(t) != 1 {
 				t.Fatal("the request was not taken back for its version")
 			}
 		})
@@ -144,36 +144,36 @@
 
 // An engine that has gone on to the next version while the request waits serves it, and
 // one of which nothing is known now counts as it did when the request was sent.
-func TestLapseGoesByWhatIsKnownNow(t *testing.T) {
-	f := newLapsing(t, closeWithoutResponse, closeWithoutResponse)
+func TestExpiryUsesCurrentKnowledge(t *testing.T) {
+	f := newExpiringFixture(t, closeWithoutResponse, closeWithoutResponse)
 	q := &request{service: f.service(t), model: "menu"}
 	old := f.backend("i-old")
-	f.hearNamed(time.Second)
-	first := f.gateway.lapseOf(q, old, 1)
-	if !first.lapses() {
+	f.setNamedVersion(time.Second)
+	first := f.gateway.versionExpiryOf(q, old, 1)
+	if !first.expires() {
 		t.Fatal("version 1 does not lapse")
 	}
-	f.hearNamed(time.Second / 2)
-	if second := f.gateway.lapseOf(q, old, 1); !second.at.Before(first.at) {
+	f.setNamedVersion(time.Second / 2)
+	if second := f.gateway.versionExpiryOf(q, old, 1); !second.at.Before(first.at) {
 		t.Fatalf("an earlier naming did not move the lapse from %s to before %s", second.at, first.at)
 	}
-	old.hearLoad(feed.NewLoad("menu", old.address, "menu", 0, 1, 0, 1, true, false))
-	if third := f.gateway.lapseOf(q, old, 1); third.served != 1 || !third.lapses() {
+	old.recordLoadReport(feed.NewLoad("menu", old.address, "menu", 0, 1, 0, 1, true, false))
+	if third := f.gateway.versionExpiryOf(q, old, 1); third.served != 1 || !third.expires() {
 		t.Fatalf("an engine of which nothing is known: %+v", third)
 	}
-	f.hearNamed(-time.Second)
-	if late := f.gateway.lapseOf(q, old, 1); !late.isOver() {
+	f.setNamedVersion(-time.Second)
+	if late := f.gateway.versionExpiryOf(q, old, 1); !late.mustCancel() {
 		t.Fatalf("the same after its time: %+v", late)
 	}
-	old.hearLoad(feed.NewLoad("menu", old.address, "menu", 2, 1, 0, 1, false, false))
-	if fourth := f.gateway.lapseOf(q, old, 1); fourth.lapses() {
+	old.recordLoadReport(feed.NewLoad("menu", old.address, "menu", 2, 1, 0, 1, false, false))
+	if fourth := f.gateway.versionExpiryOf(q, old, 1); fourth.expires() {
 		t.Fatalf("the newest version lapses at %s", fourth.at)
 	}
 }
 
 func (f *fixture) backend(incarnation string) *backend {
-	for _, b := range f.gateway.backends.of("menu") {
-		if b.word().Incarnation() == incarnation {
+	for _, b := range f.gateway.backends.forService("menu") {
+		if b.latestRegistration().Incarnation() == incarnation {
 			return b
 		}
 	}
@@ -190,33 +190,33 @@
 
 // A request that would still run when the version's time ends goes to an engine that
 // serves the next one, however short it would wait.
-func TestRequestThatWouldNotEndInTimeGoesElsewhere(t *testing.T) {
-	f := newLapsing(t, wholeStream, wholeStream)
-	f.hearNamed(leastMargin + time.Second)
-	if v := f.gateway.leastVersion("menu", 0, 0, lapseMargin); v != 0 {
+func TestLongRequestNeedsNextVersion(t *testing.T) {
+	f := newExpiringFixture(t, completeStream, completeStream)
+	f.setNamedVersion(minVersionMargin + time.Second)
+	if v := f.gateway.minUsableVersion("menu", 0, 0, defaultCancelMargin); v != 0 {
 		t.Fatalf("a short request needs version %d", v)
 	}
-	if v := f.gateway.leastVersion("menu", 0, 2*time.Second, lapseMargin); v != 2 {
+	if v := f.gateway.minUsableVersion("menu", 0, 2*time.Second, defaultCancelMargin); v != 2 {
 		t.Fatalf("a request of 2 s may go where version %d serves for 1.3 s yet", v)
 	}
 	// What would be taken back at once is not sent.
-	f.hearNamed(lapseMargin - time.Millisecond)
-	if v := f.gateway.leastVersion("menu", 0, 0, lapseMargin); v != 2 {
+	f.setNamedVersion(defaultCancelMargin - time.Millisecond)
+	if v := f.gateway.minUsableVersion("menu", 0, 0, defaultCancelMargin); v != 2 {
 		t.Fatalf("a request may go to version %d within the time in which it is taken back", v)
 	}
 }
 
 // Where no engine of the next version has a place, a request may run on past the end; it
 // must have begun by then, and its caller's deadline stays its own.
-func TestLongRequestRunsOnWhereNoOtherEngineServes(t *testing.T) {
+func TestLongRequestRunsPastExpiryWithoutAlternative(t *testing.T) {
 	came := make(chan *http.Request, 1)
-	f := newLapsing(t, func(w *bufio.Writer, r *http.Request) bool {
+	f := newExpiringFixture(t, func(w *bufio.Writer, r *http.Request) bool {
 		came <- r
-		return wholeStream(w, r)
+		return completeStream(w, r)
 	}, closeWithoutResponse)
-	f.gateway.backends.depart("i-young", 0)
-	f.hearNamed(lapseMargin + 50*time.Millisecond)
-	if status, _, _, _ := f.do(t, f.draft(t)); status != http.StatusOK {
+	f.gateway.backends.markDeparted("i-young", 0)
+	f.setNamedVersion(defaultCancelMargin + 50*time.Millisecond)
+	if status, _, _, _ := f.do(t, f.draftRequest(t)); status != http.StatusOK {
 		t.Fatalf("status %d", status)
 	}
 	if told, _ := strconv.Atoi((<-came).Header.Get(headerDeadline)); told < 10_000 {
@@ -225,10 +225,10 @@
 }
 
 // A request that names no model uses the only one that there is.
-func TestRequestWithoutAModelUsesTheOnlyOne(t *testing.T) {
-	f := newLapsing(t, closeWithoutResponse, wholeStream)
-	f.hearNamed(-time.Second)
-	r := f.draft(t)
+func TestRequestWithoutModelUsesOnlyModel(t *testing.T) {
+	f := newExpiringFixture(t, closeWithoutResponse, completeStream)
+	f.setNamedVersion(-time.Second)
+	r := f.draftRequest(t)
 	r.Header.Del(headerModel)
 	if status, _, body, err := f.do(t, r); status != http.StatusOK || body != events(1, 3) || err != nil {
 		t.Fatalf("%d %q %v", status, body, err)
@@ -237,8 +237,8 @@
 
 // The watchdog looks at the moment itself, takes back then and not before, and leaves a
 // stream alone that has begun.
-func TestWatchdogLooksWhenTheVersionLapses(t *testing.T) {
-	f := newLapsing(t, closeWithoutResponse, closeWithoutResponse)
+func TestWatchdogChecksAtVersionExpiry(t *testing.T) {
+	f := newExpiringFixture(t, closeWithoutResponse, closeWithoutResponse)
 	q := &request{ctx: t.Context(), service: f.service(t), model: "menu"}
 	old := f.backend("i-old")
 	conn, err := old.pool.Get(t.Context(), time.Second)
@@ -249,25 +249,25 @@
 	if pause := w.untilNextCheck(); pause != watchdogInterval {
 		t.Fatalf("next look after %s where nothing lapses", pause)
 	}
-	f.hearNamed(lapseMargin + watchdogInterval/2)
-	if pause := w.untilNextCheck(); pause > watchdogInterval/2 || w.takeBackLapsed() {
+	f.setNamedVersion(defaultCancelMargin + watchdogInterval/2)
+	if pause := w.untilNextCheck(); pause > watchdogInterval/2 || w.cancelExpired() {
 		t.Fatalf("next look after %s, taken back %v, %s before", pause, w.lapsed.Load(), watchdogInterval/2)
 	}
-	f.hearNamed(lapseMargin)
+	f.setNamedVersion(defaultCancelMargin)
 	w.startStreaming()
-	if w.takeBackLapsed() {
+	if w.cancelExpired() {
 		t.Fatal("a stream that has begun was taken back")
 	}
 	w.streaming.Store(false)
-	if !w.takeBackLapsed() || !w.lapsed.Load() {
+	if !w.cancelExpired() || !w.lapsed.Load() {
 		t.Fatal("not taken back when the version lapses")
 	}
 }
 
 // Whoever waits looks again as soon as a version, or an earlier naming of one, is heard of:
 // by the next look it may be too late.
-func TestWordOfAVersionHasAllLook(t *testing.T) {
-	f := newLapsing(t, closeWithoutResponse, closeWithoutResponse)
+func TestVersionUpdateTriggersAllWatchdogs(t *testing.T) {
+	f := newExpiringFixture(t, closeWithoutResponse, closeWithoutResponse)
 	looked := make(chan bool)
 	f.gateway.watchdogs.add(&watchdog{timer: time.AfterFunc(time.Hour, func() { looked <- true })})
 	for _, left := range []time.Duration{time.Minute, time.Second} {
@@ -277,38 +277,38 @@
 }
 
 // No look touches the connection once the attempt is over: another request may have it.
-func TestWatchdogThatIsOverLeavesTheConnection(t *testing.T) {
-	f := newLapsing(t, closeWithoutResponse, closeWithoutResponse)
+func TestStoppedWatchdogLeavesConnection(t *testing.T) {
+	f := newExpiringFixture(t, closeWithoutResponse, closeWithoutResponse)
 	route := f.gateway.index.Load().Document().Routes()[0]
 	q := &request{ctx: t.Context(), service: f.service(t), model: "menu", route: &route}
 	w := newWatchdog(&exchange{gateway: f.gateway, request: q, backend: f.backend("i-old")})
 	w.stop()
-	f.hearNamed(0)
-	f.gateway.watchdogs.lookNow()
+	f.setNamedVersion(0)
+	f.gateway.watchdogs.checkNow()
 	w.check() // would break a connection that is not there
 }
 
 // A request that may run once can't be taken back, so its engine has to drop it.
-func TestRequestThatMayRunOnceCarriesTheTimeThatItsVersionHasLeft(t *testing.T) {
+func TestNonIdempotentRequestCarriesVersionDeadline(t *testing.T) {
 	came := make(chan *http.Request, 1)
-	f := newLapsing(t, func(w *bufio.Writer, r *http.Request) bool {
+	f := newExpiringFixture(t, func(w *bufio.Writer, r *http.Request) bool {
 		came <- r
-		return wholeStream(w, r)
+		return completeStream(w, r)
 	}, closeWithoutResponse)
-	f.mayRunOnce(t)
+	f.disableResume(t)
 	const left = 4 * time.Second
-	f.hearNamed(left)
-	if status, _, _, _ := f.do(t, f.draft(t)); status != http.StatusOK {
+	f.setNamedVersion(left)
+	if status, _, _, _ := f.do(t, f.draftRequest(t)); status != http.StatusOK {
 		t.Fatalf("status %d", status)
 	}
 	told, err := strconv.Atoi((<-came).Header.Get(headerDeadline))
-	if err != nil || time.Duration(told)*time.Millisecond > left-deadlineMargin {
+	if err != nil || time.Duration(told)*time.Millisecond > left-versionDeadlineMargin {
 		t.Fatalf("the engine may begin it for %d ms, %v; its version has %s left", told, err, left)
 	}
 }
 
-// mayRunOnce has the route's streams not be resumed.
-func (f *fixture) mayRunOnce(t *testing.T) {
+// disableResume has the route's streams not be resumed.
+func (f *fixture) disableResume(t *testing.T) {
 	t.Helper()
 	d := documentOf(t, testEngine(), false)
 	f.gateway.index.Raise(serviceconfig.NewDocument(d.Number()+1, d.Routes(), d.Services(), d.Organisations(), d.Limits()))
@@ -316,28 +316,28 @@
 
 // A stream that has begun runs on past the end of its version at the server that has it, however
 // much longer it takes than was thought: a deadline set to that end broke it off there.
-func TestStreamRunsOnPastTheEndOfItsVersion(t *testing.T) {
+func TestStreamRunsPastVersionExpiry(t *testing.T) {
 	const left = 1600 * time.Millisecond
 	old := newFakeBackend(t, "i-old", endsAtDeadline(left+watchdogInterval, 1, 3))
-	f := newLapsingOf(t, old, newFakeBackend(t, "i-young", wholeStream))
-	f.hearNamed(left)
-	status, _, body, err := f.do(t, f.draft(t))
+	f := newExpiringFixtureOf(t, old, newFakeBackend(t, "i-young", completeStream))
+	f.setNamedVersion(left)
+	status, _, body, err := f.do(t, f.draftRequest(t))
 	if status != http.StatusOK || body != events(1, 3) || err != nil {
 		t.Fatalf("%d %q %v", status, body, err)
 	}
-	if f.lapsed(t) > 0 || f.interrupted(t, interruptDeadline) > 0 {
+	if f.expiredAttempts(t) > 0 || f.interruptedStreams(t, interruptDeadline) > 0 {
 		t.Error("it was interrupted at the end of the version")
 	}
 }
 
-// interrupted counts the streams under way that a guard ended.
-func (f *fixture) interrupted(t *testing.T, why interruption) float64 {
+// interruptedStreams counts the streams under way that a guard ended.
+func (f *fixture) interruptedStreams(t *testing.T, why interruption) float64 {
 	t.Helper()
-	return countOf(t, f.gateway.metrics.interrupted.WithLabelValues(string(why)))
+	return counterValue(t, f.gateway.metrics.interrupted.WithLabelValues(string(why)))
 }
 
-// countOf returns what a counter counts.
-func countOf(t *testing.T, c prometheus.Counter) float64 {
+// counterValue returns what a counter counts.
+func counterValue(t *testing.T, c prometheus.Counter) float64 {
 	t.Helper()
 	var m dto.Metric
 	if err := c.Write(&m); err != nil {
@@ -348,17 +348,17 @@
 
 // A break lies behind the chunks on its link, so a request that waits there is taken back sooner,
 // and not sent within that time.
-func TestRequestBehindChunksIsTakenBackSooner(t *testing.T) {
-	f := newLapsing(t, closeWithoutResponse, closeWithoutResponse)
+func TestRequestBehindTransfersIsCanceledEarlier(t *testing.T) {
+	f := newExpiringFixture(t, closeWithoutResponse, closeWithoutResponse)
 	q := &request{service: f.service(t), model: "menu"}
 	old := f.backend("i-old")
-	const left = (lapseMargin + chunksMargin) / 2
-	f.hearNamed(left)
+	const left = (defaultCancelMargin + transferCancelMargin) / 2
+	f.setNamedVersion(left)
 	report := func(exchanging bool) {
-		old.hearLoad(feed.NewLoad("menu", old.address, "menu", 1, 1, 0, 1, false, exchanging))
+		old.recordLoadReport(feed.NewLoad("menu", old.address, "menu", 1, 1, 0, 1, false, exchanging))
 	}
-	wants := wanted{service: "menu", model: "menu", layers: 1, least: func(_, back time.Duration) uint64 {
-		return f.gateway.leastVersion("menu", 0, 0, back)
+	wants := requirements{service: "menu", model: "menu", layers: 1, minVersion: func(_, back time.Duration) uint64 {
+		return f.gateway.minUsableVersion("menu", 0, 0, back)
 	}}
 	for _, c := range []struct {
 		name   string
@@ -368,10 +368,10 @@
 		{"free", func() { report(false) }, false},
 		{"chunks", func() { report(true) }, true},
 		{"free again", func() { report(false) }, false},
-		{"chunks again, reported long ago", func() { report(true); old.suspended(2 * toldLife) }, true},
+		{"chunks again, reported long ago", func() { report(true); old.ageLoadReport(2 * reportTTL) }, true},
 	} {
 		c.begin()
-		if over := f.gateway.lapseOf(q, old, 1).isOver(); over != c.sooner {
+		if over := f.gateway.versionExpiryOf(q, old, 1).mustCancel(); over != c.sooner {
 			t.Errorf("%s: taken back %s before the end: %t", c.name, left, over)
 		}
 		if sent := wants.allows(old, time.Now()); sent == c.sooner {
@@ -385,27 +385,27 @@
 // as its deadline, since it should have been over by then, and its engine broke it off
 // there. Cause: how long a request runs was taken from the configuration's figures alone.
 // A request may run on past that end; only to begin late is not allowed.
-func TestRunsThatTakeLongerOfLateKeepTheirDeadline(t *testing.T) {
+func TestRecentLongRunsKeepCallerDeadline(t *testing.T) {
 	came := make(chan *http.Request, 1)
-	f := newLapsing(t, func(w *bufio.Writer, r *http.Request) bool {
+	f := newExpiringFixture(t, func(w *bufio.Writer, r *http.Request) bool {
 		came <- r
-		return wholeStream(w, r)
-	}, wholeStream)
+		return completeStream(w, r)
+	}, completeStream)
 	q := &request{service: f.service(t), model: "menu"}
 	q.estimateWork()
 	left := 4 * q.maxRun
-	f.hearNamed(left)
+	f.setNamedVersion(left)
 	for range minSamples {
-		q.sawRun(&f.gateway.silenceDetector, time.Now(), 5*q.maxRun)
+		q.recordRunTime(&f.gateway.silenceDetector, time.Now(), 5*q.maxRun)
 	}
-	if status, _, _, err := f.do(t, f.draft(t)); status != http.StatusOK || err != nil {
+	if status, _, _, err := f.do(t, f.draftRequest(t)); status != http.StatusOK || err != nil {
 		t.Fatalf("%d %v", status, err)
 	}
 	if told, _ := strconv.Atoi((<-came).Header.Get(headerDeadline)); time.Duration(told)*time.Millisecond < 2*left {
 		t.Errorf("it carries %d ms as its deadline; the version has %s left", told, left)
 	}
-	f.mayRunOnce(t)
-	if status, _, _, err := f.do(t, f.draft(t)); status != http.StatusOK || err != nil {
+	f.disableResume(t)
+	if status, _, _, err := f.do(t, f.draftRequest(t)); status != http.StatusOK || err != nil {
 		t.Fatalf("%d %v", status, err)
 	}
 	if told, _ := strconv.Atoi((<-came).Header.Get(headerDeadline)); time.Duration(told)*time.Millisecond < 2*left {
--- a/pkg/gateway/lend.go
+++ b/pkg/gateway/lend.go
@@ -25,12 +25,12 @@
 	// asked at a time.
 	lendTimeout  = 40 * time.Millisecond
 	lendersAsked = 2
-	// lendRest is how long none are asked when none had a repeat: their windows pass slowly.
-	lendRest = 250 * time.Millisecond
+	// borrowBackoff is how long none are asked when none had a repeat: their windows pass slowly.
+	borrowBackoff = 250 * time.Millisecond
 )
 
-// borrow takes a repeat for a stream under way out of the budget of another gateway.
-func (g *Gateway) borrow(q *request) bool {
+// borrowRetry takes a repeat for a stream under way out of the budget of another gateway.
+func (g *Gateway) borrowRetry(q *request) bool {
 	now := time.Now()
 	if !q.headWritten || now.Before(g.nextBorrow.time()) {
 		return false
@@ -45,7 +45,7 @@
 			return true
 		}
 	}
-	g.nextBorrow.set(now.Add(lendRest))
+	g.nextBorrow.set(now.Add(borrowBackoff))
 	return false
 }
 
@@ -65,19 +65,19 @@
 	return all[:min(lendersAsked, len(all))]
 }
 
-// serveRepeat answers another gateway that asks for a repeat.
-func (g *Gateway) serveRepeat(_ context.Context, stream *link.Stream) error {
+// serveRetryLoan answers another gateway that asks for a repeat.
+func (g *Gateway) serveRetryLoan(_ context.Context, stream *link.Stream) error {
 	stream.SetDeadline(time.Now().Add(lendTimeout))
 	var a contract.RepeatAsk
 	if err := stream.Receive(&a); err != nil {
 		return err
 	}
-	return stream.Send(contract.NewRepeatAnswer(g.lend(a.Service())))
+	return stream.Send(contract.NewRepeatAnswer(g.lendRetry(a.Service())))
 }
 
-// lend takes a repeat out of the budget here for another gateway.
-func (g *Gateway) lend(service string) bool {
-	return g.budget.repeatWithin(service, g.countGateways(), lendShare)
+// lendRetry takes a repeat out of the budget here for another gateway.
+func (g *Gateway) lendRetry(service string) bool {
+	return g.budget.takeRetryWithin(service, g.countGateways(), lendShare)
 }
 
 // callLender asks another gateway over a link.
--- a/pkg/gateway/limit_heard.go
+++ b/pkg/gateway/limit_heard.go
@@ -52,7 +52,7 @@
 		// Nearly all answers: nothing is said, and nothing was granted.
 		return
 	}
-	if told.IsFromOther(x.backend.word().Incarnation()) {
+	if told.IsFromOther(x.backend.latestRegistration().Incarnation()) {
 		return
 	}
 	x.backend.mu.Lock()
@@ -74,7 +74,7 @@
 	if !g.limitLogLimiter.Allow() {
 		return
 	}
-	word := b.word()
+	word := b.latestRegistration()
 	message := "backend server names a limit"
 	if s.Kind() != serverlimit.Named {
 		message = "backend server names no limit any more"
--- a/pkg/gateway/limit_permit.go
+++ b/pkg/gateway/limit_permit.go
@@ -45,7 +45,7 @@
 
 // choosePermitted chooses a backend server that takes one more request by its own limit, if
 // it names one.
-func (g *Gateway) choosePermitted(q *request, w wanted) (b *backend, loaded bool) {
+func (g *Gateway) choosePermitted(q *request, w requirements) (b *backend, loaded bool) {
 	for asks := 1; q.ctx.Err() == nil; asks++ {
 		chosen, full := g.choose(w)
 		loaded = loaded || full
@@ -53,7 +53,7 @@
 			return chosen, loaded
 		}
 		// The next choice passes over it until it has another permit.
-		loaded, w.unlimited = true, asks >= permitsAsked
+		loaded, w.excludeLimited = true, asks >= permitsAsked
 	}
 	return nil, loaded
 }
@@ -115,7 +115,7 @@
 
 // limitsSpent returns the failure of a request that only limits keep from all backend
 // servers of its service, with when one of them takes another; nil where it is not so.
-func (g *Gateway) limitsSpent(q *request, w wanted) *failure.Failure {
+func (g *Gateway) limitsSpent(q *request, w requirements) *failure.Failure {
 	now := time.Now()
 	var next time.Time
 	for _, c := range g.candidates(w, now) {
--- a/pkg/gateway/limit_test.go
+++ b/pkg/gateway/limit_test.go
@@ -114,7 +114,7 @@
 				t.Errorf("%q: status %d", text, status)
 			}
 		}
-		b := f.gateway.backends.of("menu")[0]
+		b := f.gateway.backends.forService("menu")[0]
 		b.limit.hear(serverlimit.Read([]string{"1"}), time.Now())
 		if b.limit.hear(serverlimit.Read([]string{text}), time.Now()) || !b.isLimited() || b.limit.perSecond != 1 {
 			t.Errorf("%q changed a limit", text)
@@ -128,7 +128,7 @@
 	server := newFakeBackend(t, "s-1", limiting(says, "200 OK"))
 	f := newFixture(t, serviceconfig.Repeatable, false, server).ownsAll()
 	f.get(t, "first")
-	b := f.gateway.backends.of("menu")[0]
+	b := f.gateway.backends.forService("menu")[0]
 	if !b.isLimited() {
 		t.Fatal("no limit is known")
 	}
@@ -177,14 +177,14 @@
 		servers = append(servers, newFakeBackend(t, fmt.Sprint("s-", i), respondWith("200 OK", "done")))
 	}
 	f := newFixture(t, serviceconfig.Repeatable, false, servers...).ownsAll()
-	for _, b := range f.gateway.backends.of("menu") {
+	for _, b := range f.gateway.backends.forService("menu") {
 		b.limit.hear(serverlimit.Read([]string{"0"}), time.Now())
 	}
 	if status, _ := f.get(t, "first"); status != http.StatusServiceUnavailable {
 		t.Fatalf("status %d", status)
 	}
 	asked := 0
-	for _, b := range f.gateway.backends.of("menu") {
+	for _, b := range f.gateway.backends.forService("menu") {
 		if b.load(time.Now()).isHeldBack(time.Now()) {
 			asked++
 		}
@@ -206,9 +206,9 @@
 		leave()
 		return serverlimit.Answer{}, ctx.Err()
 	}
-	b := g.backends.of("menu")[0]
+	b := g.backends.forService("menu")[0]
 	b.limit.hear(serverlimit.Read([]string{"1"}), time.Now())
-	if chosen, _ := g.choosePermitted(&request{ctx: ctx}, wanted{service: "menu"}); chosen != nil {
+	if chosen, _ := g.choosePermitted(&request{ctx: ctx}, requirements{service: "menu"}); chosen != nil {
 		t.Error("chosen without a permit")
 	}
 	if b.load(time.Now()).isHeldBack(time.Now()) {
@@ -221,7 +221,7 @@
 	limited := newFakeBackend(t, "s-1", limiting(saying("1"), "200 OK"))
 	f := newFixture(t, serviceconfig.Repeatable, false, limited).ownsAll()
 	g := f.gateway
-	b := g.backends.of("menu")[0]
+	b := g.backends.forService("menu")[0]
 	b.limit.hear(serverlimit.Read([]string{"1"}), time.Now())
 	q := &request{ctx: t.Context()}
 	for !g.isPermitted(q, b) {
@@ -235,7 +235,7 @@
 
 // An engine that names a limit counts as what it takes, where that is less than it could do.
 func TestCapacityOfLimitedEngines(t *testing.T) {
-	w := wanted{engine: serviceconfig.NewEngine(16, []string{"menu"}, 1, 96, 24576, 9*time.Millisecond, 0, 20000, 979, 92, 0, 5)}
+	w := requirements{engine: serviceconfig.NewEngine(16, []string{"menu"}, 1, 96, 24576, 9*time.Millisecond, 0, 20000, 979, 92, 0, 5)}
 	whole := 1 / w.engine.Turn().Seconds()
 	for _, c := range []struct {
 		load load
--- a/pkg/gateway/order_cut_test.go
+++ b/pkg/gateway/order_cut_test.go
@@ -24,12 +24,12 @@
 	after := newFakeBackend(t, "i-after-its-order", streamAfter(1))
 	f := newFixture(t, serviceconfig.Stream, true)
 	f.gateway.index.Raise(engineDocument(t))
-	f.hearVersion(cut, 1)
-	f.hearVersion(before, 1)
-	f.hearVersion(after, 2)
+	f.registerVersion(cut, 1)
+	f.registerVersion(before, 1)
+	f.registerVersion(after, 2)
 	f.prefer(cut, before, after)
-	f.hearNamed(f.gateway.settings.WeightsWithin())
-	status, _, body, err := f.do(t, f.draft(t))
+	f.setNamedVersion(f.gateway.settings.WeightsWithin())
+	status, _, body, err := f.do(t, f.draftRequest(t))
 	if status != http.StatusOK || body != events(1, 3) || err != nil {
 		t.Fatalf("%d %q %v", status, body, err)
 	}
@@ -59,8 +59,8 @@
 		<-time.After(maxAttemptSilence + 2*watchdogInterval)
 		return streamAfter(1)(w, r)
 	})
-	f := newLapsingOf(t, cut, slow)
-	status, _, body, err := f.do(t, f.draft(t))
+	f := newExpiringFixtureOf(t, cut, slow)
+	status, _, body, err := f.do(t, f.draftRequest(t))
 	if status != http.StatusOK || body != events(1, 3) || err != nil {
 		t.Fatalf("%d %q %v", status, body, err)
 	}
@@ -73,7 +73,7 @@
 	var f *fixture
 	var old, next *fakeBackend
 	reportLoad := func(s *fakeBackend, version uint64, busy bool) {
-		f.gateway.backends.hearLoad(feed.NewLoad("menu", s.listener.Addr().String(), "menu", version, 1, 0, 1, busy, false))
+		f.gateway.backends.applyLoadReport(feed.NewLoad("menu", s.listener.Addr().String(), "menu", version, 1, 0, 1, busy, false))
 	}
 	old = newFakeBackend(t, "i-old", func(w *bufio.Writer, r *http.Request) bool {
 		if len(old.requests()) > 1 {
@@ -89,8 +89,8 @@
 		writeEvents(w, r, 2, 2)
 		return false
 	})
-	f = newLapsingOf(t, old, next)
-	status, _, body, err := f.do(t, f.draft(t))
+	f = newExpiringFixtureOf(t, old, next)
+	status, _, body, err := f.do(t, f.draftRequest(t))
 	if status != http.StatusOK || body != events(1, 3) || err != nil {
 		t.Fatalf("%d %q %v", status, body, err)
 	}
@@ -111,7 +111,7 @@
 		return false
 	})
 	f := newFixture(t, serviceconfig.Stream, true, alone)
-	status, _, body, err := f.do(t, f.draft(t))
+	status, _, body, err := f.do(t, f.draftRequest(t))
 	if status != http.StatusOK || body != events(1, 3) || err != nil {
 		t.Fatalf("%d %q %v", status, body, err)
 	}
@@ -126,7 +126,7 @@
 		return false
 	})
 	f := newFixture(t, serviceconfig.Stream, true, alone)
-	if _, _, body, err := f.do(t, f.draft(t)); err == nil || body != events(1, 1) {
+	if _, _, body, err := f.do(t, f.draftRequest(t)); err == nil || body != events(1, 1) {
 		t.Fatalf("%q %v", body, err)
 	}
 	if came := alone.requests(); len(came) != 1 {
--- a/pkg/gateway/outcome.go
+++ b/pkg/gateway/outcome.go
@@ -76,7 +76,7 @@
 // millisUntilExpiry returns for how many more milliseconds the version of the last attempt may
 // be served, as known when the attempt was made; nil if it does not expire.
 func (q *request) millisUntilExpiry() any {
-	if !q.versionExpiry.lapses() {
+	if !q.versionExpiry.expires() {
 		return nil
 	}
 	return time.Until(q.versionExpiry.at).Milliseconds()
@@ -93,7 +93,7 @@
 // refuse answers a request that no backend server answered, and records its outcome.
 func (g *Gateway) refuse(q *request, f *failure.Failure) {
 	if f.RetryAfter() > 0 {
-		g.callerRetries.refused(time.Now())
+		g.callerRetries.recordRefusal(time.Now())
 	}
 	if err := q.writeRefusal(f); err != nil {
 		g.recordOutcome(q, outcomeUnwritten, err.Error()+"; "+f.Error())
--- a/pkg/gateway/path_bench_test.go
+++ b/pkg/gateway/path_bench_test.go
@@ -37,7 +37,7 @@
 		[]serviceconfig.Service{serviceconfig.NewService("menu", "", 0, "", testEngine(), true)},
 		[]serviceconfig.Organisation{serviceconfig.NewOrganisation("larder", []string{"k1"}, 0, false)}, serviceconfig.Limits{}))
 	for i := range engines {
-		g.backends.hear(registry.NewRegistration(fmt.Sprintf("i-%d", i), "menu", s.listener.Addr().String(), "hall-a", "v1", 16, registry.Ready, 0, nil, 1, 0))
+		g.backends.applyRegistration(registry.NewRegistration(fmt.Sprintf("i-%d", i), "menu", s.listener.Addr().String(), "hall-a", "v1", 16, registry.Ready, 0, nil, 1, 0))
 	}
 	for b.Loop() {
 		r := f.request(b, http.MethodPost, "id", "a soft breakfast")
--- a/pkg/gateway/places.go
+++ b/pkg/gateway/places.go
@@ -24,55 +24,57 @@
 )
 
 const (
-	// waitingPlaces is how many requests may wait at an engine whose places are
+	// queuedPerEngine is how many requests may wait at an engine whose places are
 	// all taken, so that none stays empty until the next word.
-	waitingPlaces = 1
-	// readingAhead bounds the prompts that wait to be read at an engine, as the
+	queuedPerEngine = 1
+	// maxQueuedPrefill bounds the prompts that wait to be read at an engine, as the
 	// time that it reads: tokens of others pause meanwhile.
-	readingAhead = 150 * time.Millisecond
+	maxQueuedPrefill = 150 * time.Millisecond
 )
 
-// toldLoad is the load that a stager told, and what was sent from here since.
-type toldLoad struct {
-	load feed.Load
-	at   time.Time
-	sent int     // since this word
-	late int     // between the word before and this one: it may not count them yet
-	lot  float64 // rounds the share up or down
+// reportedLoad is the load that a stager told, and what was sent from here since.
+type reportedLoad struct {
+	load       feed.Load
+	at         time.Time
+	sent       int     // since this word
+	sentBefore int     // between the word before and this one: it may not count them yet
+	rounding   float64 // rounds the share up or down
 }
 
-func newToldLoad(l feed.Load, now time.Time, before toldLoad) toldLoad {
-	return toldLoad{load: l, at: now, late: before.sent, lot: rand.Float64()}
+func newReportedLoad(l feed.Load, now time.Time, before reportedLoad) reportedLoad {
+	return reportedLoad{load: l, at: now, sentBefore: before.sent, rounding: rand.Float64()}
 }
 
 // isFresh tells whether the load counts still.
-func (t toldLoad) isFresh(now time.Time) bool { return !t.at.IsZero() && now.Sub(t.at) < toldLife }
+func (t reportedLoad) isFresh(now time.Time) bool { return !t.at.IsZero() && now.Sub(t.at) < reportTTL }
 
-// taken is how many requests the engine has, with those from here that the word
+// estimatedRequests is how many requests the engine has, with those from here that the word
 // may not count.
-func (t toldLoad) taken() int { return t.load.Running() + t.load.Queued() + t.sent + t.late/2 }
+func (t reportedLoad) estimatedRequests() int {
+	return t.load.Running() + t.load.Queued() + t.sent + t.sentBefore/2
+}
 
-// hasPlace tells whether a gateway with a share of the places may send one more
+// hasSlot tells whether a gateway with a share of the places may send one more
 // request.
-func (t toldLoad) hasPlace(e serviceconfig.Engine, share float64, now time.Time) bool {
-	return float64(t.sent+1) <= share*t.freePlaces(e, now)+t.lot
+func (t reportedLoad) hasSlot(e serviceconfig.Engine, share float64, now time.Time) bool {
+	return float64(t.sent+1) <= share*t.freeSlots(e, now)+t.rounding
 }
 
-// freePlaces is how many requests an engine may be sent by all gateways
+// freeSlots is how many requests an engine may be sent by all gateways
 // together, from the word on until now.
-func (t toldLoad) freePlaces(e serviceconfig.Engine, now time.Time) float64 {
-	free := e.Slots() + waitingPlaces - t.load.Running() - t.load.Queued()
+func (t reportedLoad) freeSlots(e serviceconfig.Engine, now time.Time) float64 {
+	free := e.Slots() + queuedPerEngine - t.load.Running() - t.load.Queued()
 	unread := min(t.load.Queued(), e.Slots()-t.load.Running())
 	if reads := e.UsualReading(); reads > 0 {
 		// An engine that reads longer for a single prompt gets one at a time.
-		free = min(free, max(int(readingAhead/reads), 1)-unread)
+		free = min(free, max(int(maxQueuedPrefill/reads), 1)-unread)
 	}
-	return max(float64(free)+t.endedSince(e, now), 0)
+	return max(float64(free)+t.finishedSince(e, now), 0)
 }
 
-// endedSince is how many requests a full engine has ended since the word; 0 when
+// finishedSince is how many requests a full engine has ended since the word; 0 when
 // it is not known how long they take.
-func (t toldLoad) endedSince(e serviceconfig.Engine, now time.Time) float64 {
+func (t reportedLoad) finishedSince(e serviceconfig.Engine, now time.Time) float64 {
 	turn := float64(e.Turn()) * max(t.load.StepTimeRatio(), 1)
 	if turn <= 0 {
 		return 0
--- a/pkg/gateway/quarantine.go
+++ b/pkg/gateway/quarantine.go
@@ -70,7 +70,7 @@
 // hasMendedBuild tells whether a server serves that may be mended.
 func (g *Gateway) hasMendedBuild(q *request) bool {
 	model, layers := q.modelAndLayers()
-	for _, b := range g.backends.of(q.service.Name()) {
+	for _, b := range g.backends.forService(q.service.Name()) {
 		l := b.load(time.Now())
 		holds := model == "" || b.servedVersion(model, layers) > 0
 		if l.serves() && l.state == registry.Ready && holds && quarantine.MayBeMended(b.build(model, layers), q.avoid) {
@@ -106,7 +106,7 @@
 
 // endOfServer is what is told of the backend server if it ended under the attempt.
 func (x *exchange) endOfServer() quarantine.End {
-	word := x.backend.word()
+	word := x.backend.latestRegistration()
 	return quarantine.NewEnd(word.Incarnation(), word.StartedAt(), word.Domain(), x.request.build, x.request.knownServerExits, 0)
 }
 
@@ -155,7 +155,7 @@
 	if model != "" {
 		version = b.servedVersion(model, layers)
 	}
-	return quarantine.Build(b.word().Software(), version)
+	return quarantine.Build(b.latestRegistration().Software(), version)
 }
 
 // modelAndLayers are the model that a request needs, empty for plain services, and its layers.
--- a/pkg/gateway/quarantine_test.go
+++ b/pkg/gateway/quarantine_test.go
@@ -14,7 +14,7 @@
 
 // hearBuild has the gateway hear of a server that runs some software.
 func (f *fixture) hearBuild(one *mortal, software string) {
-	f.gateway.backends.hear(registry.NewRegistration(one.incarnation, "menu", one.listener.Addr().String(), "hall-a", software, 4, registry.Ready, 0, nil, 1, 0))
+	f.gateway.backends.applyRegistration(registry.NewRegistration(one.incarnation, "menu", one.listener.Addr().String(), "hall-a", software, 4, registry.Ready, 0, nil, 1, 0))
 }
 
 // barred returns a gateway that keeps a request away, after three servers ended under it,
--- a/pkg/gateway/reach.go
+++ b/pkg/gateway/reach.go
@@ -23,18 +23,18 @@
 )
 
 const (
-	// dialAgain lies between two dials of a backend server that is lost, and
+	// redialInterval lies between two dials of a backend server that is lost, and
 	// dialSeldom where it has been lost for longer than lostForGood.
-	dialAgain   = 400 * time.Millisecond
-	dialSeldom  = 5 * time.Second
-	lostForGood = 15 * time.Second
-	// silentBeforeDial is for how long a backend server may be silent to all
+	redialInterval     = 400 * time.Millisecond
+	longRedialInterval = 5 * time.Second
+	longOutage         = 15 * time.Second
+	// silenceBeforeDial is for how long a backend server may be silent to all
 	// requests from here before it is dialed.
-	silentBeforeDial = 450 * time.Millisecond
+	silenceBeforeDial = 450 * time.Millisecond
 )
 
-// doubt has a backend server dialed that was silent to a request.
-func (g *Gateway) doubt(b *backend) {
+// probeReachability has a backend server dialed that was silent to a request.
+func (g *Gateway) probeReachability(b *backend) {
 	if b.startDialing() {
 		go g.dialUntilReached(b, true)
 	}
@@ -45,22 +45,22 @@
 func (g *Gateway) dialUntilReached(b *backend, first bool) {
 	defer b.stopDialing()
 	began := time.Now()
-	for g.runContext.Err() == nil && !b.isOver() {
+	for g.runContext.Err() == nil && !b.hasLeft() {
 		dialed := time.Now()
 		if b.pool.Reaches(g.runContext, dialTimeout) {
-			b.setLost(false)
+			b.setUnreachable(false)
 			b.recordDial(dialed, time.Since(dialed))
 			return
 		}
-		if b.setLost(true) {
-			g.logReach(b)
+		if b.setUnreachable(true) {
+			g.logUnreachable(b)
 			if first {
-				g.doubtDomain(b.word().Domain())
+				g.probeDomain(b.latestRegistration().Domain())
 			}
 		}
-		pause := dialAgain
-		if time.Since(began) > lostForGood {
-			pause = dialSeldom
+		pause := redialInterval
+		if time.Since(began) > longOutage {
+			pause = longRedialInterval
 		}
 		select {
 		case <-g.runContext.Done():
@@ -69,10 +69,10 @@
 	}
 }
 
-// doubtDomain has all backend servers of a failure domain dialed.
-func (g *Gateway) doubtDomain(domain string) {
+// probeDomain has all backend servers of a failure domain dialed.
+func (g *Gateway) probeDomain(domain string) {
 	g.backends.each(func(b *backend, _ string) {
-		if b.word().Domain() == domain && !b.isOver() && b.startDialing() {
+		if b.latestRegistration().Domain() == domain && !b.hasLeft() && b.startDialing() {
 			go g.dialUntilReached(b, false)
 		}
 	})
@@ -86,15 +86,15 @@
 
 func (b *backend) stopDialing() { b.dialing.Store(false) }
 
-// setLost notes whether it can be reached, and tells whether that is new. The
+// setUnreachable notes whether it can be reached, and tells whether that is new. The
 // requests that wait for a lost one are taken back.
-func (b *backend) setLost(lost bool) (changed bool) {
+func (b *backend) setUnreachable(lost bool) (changed bool) {
 	b.mu.Lock()
-	changed = b.lost != lost
-	b.lost = lost
+	changed = b.unreachable != lost
+	b.unreachable = lost
 	var back []func()
 	if lost && changed {
-		back = b.waits.takeBack()
+		back = b.waiting.cancelFuncs()
 	}
 	b.mu.Unlock()
 	for _, f := range back {
@@ -103,22 +103,22 @@
 	return changed
 }
 
-// isOver tells whether it has left.
-func (b *backend) isOver() bool { return b.word().State() == registry.Gone }
+// hasLeft tells whether it has left.
+func (b *backend) hasLeft() bool { return b.latestRegistration().State() == registry.Gone }
 
-// takeBack returns what takes back the requests that wait.
-func (w *waits) takeBack() []func() {
+// cancelFuncs returns what takes back the requests that wait.
+func (w *waitingRequests) cancelFuncs() []func() {
 	var all []func()
-	for _, one := range w.all {
-		if one.takeBack != nil {
-			all = append(all, one.takeBack)
+	for _, one := range w.pending {
+		if one.cancel != nil {
+			all = append(all, one.cancel)
 		}
 	}
 	return all
 }
 
-func (g *Gateway) logReach(b *backend) {
-	word := b.word()
+func (g *Gateway) logUnreachable(b *backend) {
+	word := b.latestRegistration()
 	_ = level.Info(g.process.Logger).Log("msg", "backend server out of reach", "backend", word.Incarnation(),
 		"address", word.Address(), "failure_domain", word.Domain())
 }
--- a/pkg/gateway/reach_test.go
+++ b/pkg/gateway/reach_test.go
@@ -14,7 +14,7 @@
 
 // A request that waits at a backend server that can't be reached any more goes
 // on elsewhere, and the next one is not sent there.
-func TestRequestsLeaveWhatIsOutOfReach(t *testing.T) {
+func TestRequestsLeaveUnreachableBackend(t *testing.T) {
 	came, hold := make(chan struct{}), make(chan struct{})
 	silent := func(*bufio.Writer, *http.Request) bool {
 		close(came)
@@ -26,9 +26,9 @@
 	f := newFixture(t, serviceconfig.Repeatable, false, first, second)
 	go func() {
 		<-came
-		for _, b := range f.gateway.backends.of("menu") {
-			if b.word().Incarnation() == "i-1" {
-				b.setLost(true)
+		for _, b := range f.gateway.backends.forService("menu") {
+			if b.latestRegistration().Incarnation() == "i-1" {
+				b.setUnreachable(true)
 			}
 		}
 	}()
@@ -44,16 +44,16 @@
 }
 
 // A request that may run once is not taken back: it may have run.
-func TestOnceRequestIsNotTakenBack(t *testing.T) {
-	var w waits
+func TestNonIdempotentRequestIsNotCanceled(t *testing.T) {
+	var w waitingRequests
 	w.add(time.Now(), nil)
-	if back := w.takeBack(); len(back) != 0 {
+	if back := w.cancelFuncs(); len(back) != 0 {
 		t.Fatal("a request that may run once would be sent again")
 	}
 }
 
 // A port that refuses is reached: the VM is there.
-func TestRefusalIsNoSilence(t *testing.T) {
+func TestRefusedConnectionCountsAsReachable(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/pkg/gateway/request.go
+++ b/pkg/gateway/request.go
@@ -73,7 +73,7 @@
 	maxPause           time.Duration // the longest time between two relayed events
 	firstEventForecast time.Duration // time to the first event, from the stager that reserved a place
 	runLostAt          time.Time     // when a run was lost on a silent connection; zero if none was
-	versionExpiry      lapse         // of the weights' version at the last backend server, as known when the attempt was made
+	versionExpiry      versionExpiry // of the weights' version at the last backend server, as known when the attempt was made
 }
 
 // localDeadline returns the deadline on this VM's clock, which stops while the VM is suspended
@@ -123,7 +123,7 @@
 func (q *request) estimateWork() {
 	e := q.service.Engine()
 	if e.Slots() == 0 {
-		q.work = unitWork
+		q.work = minRequestWork
 		return
 	}
 	prompt, answer := q.head.PromptTokens, q.head.AnswerTokens
--- a/pkg/gateway/resume_test.go
+++ b/pkg/gateway/resume_test.go
@@ -20,9 +20,9 @@
 		writeEvents(w, r, 1, 1)
 		return false
 	})
-	f.hearVersion(breaking, 1)
+	f.registerVersion(breaking, 1)
 	for _, other := range others {
-		f.hearVersion(other, 1)
+		f.registerVersion(other, 1)
 	}
 	f.prefer(append([]*fakeBackend{breaking}, others...)...)
 	return f
@@ -38,15 +38,15 @@
 	})
 	next := newFakeBackend(t, "i-next", streamAfter(1))
 	f := newFixtureWithBrokenStream(t, old)
-	f.hearNamed(left)
+	f.setNamedVersion(left)
 	for range minSamples {
 		f.gateway.silenceDetector.record(timingKey{"menu", timingWait}, time.Now(), left)
 	}
 	go func() {
-		<-time.After(3 * yieldLook)
-		f.hearVersion(next, 2)
+		<-time.After(3 * yieldRetryInterval)
+		f.registerVersion(next, 2)
 	}()
-	status, _, body, err := f.do(t, f.draft(t))
+	status, _, body, err := f.do(t, f.draftRequest(t))
 	if status != http.StatusOK || body != events(1, 3) || err != nil {
 		t.Fatalf("%d %q %v", status, body, err)
 	}
@@ -59,20 +59,20 @@
 func TestStreamWaitingForServerHoldsNoRetry(t *testing.T) {
 	f := newFixture(t, serviceconfig.Stream, true)
 	f.gateway.index.Raise(engineDocument(t))
-	f.gateway.protocol.StreamIdleTimeout = func(time.Duration, time.Duration) time.Duration { return 20 * yieldLook }
-	f.hearVersion(newFakeBackend(t, "i-gone", func(w *bufio.Writer, r *http.Request) bool {
+	f.gateway.protocol.StreamIdleTimeout = func(time.Duration, time.Duration) time.Duration { return 20 * yieldRetryInterval }
+	f.registerVersion(newFakeBackend(t, "i-gone", func(w *bufio.Writer, r *http.Request) bool {
 		writeEvents(w, r, 1, 1)
-		f.gateway.backends.depart("i-gone", 0)
+		f.gateway.backends.markDeparted("i-gone", 0)
 		return false
 	}), 1)
-	f.gateway.budget = settledBudget(0, 1.5*float64(f.gateway.countGateways()), time.Hour)
+	f.gateway.budget = fullWindowBudget(0, 1.5*float64(f.gateway.countGateways()), time.Hour)
 	finished := make(chan bool)
 	go func() {
 		defer close(finished)
-		_, _, _, _ = f.do(t, f.draft(t))
+		_, _, _, _ = f.do(t, f.draftRequest(t))
 	}()
-	<-time.After(5 * yieldLook)
-	if !f.gateway.budget.repeat("menu", f.gateway.countGateways()) {
+	<-time.After(5 * yieldRetryInterval)
+	if !f.gateway.budget.takeRetry("menu", f.gateway.countGateways()) {
 		t.Error("the waiting stream holds the only retry")
 	}
 	<-finished
@@ -91,7 +91,7 @@
 		return streamAfter(1)(w, r)
 	})
 	f := newFixtureWithBrokenStream(t, other)
-	status, _, body, err := f.do(t, f.draft(t))
+	status, _, body, err := f.do(t, f.draftRequest(t))
 	if status != http.StatusOK || body != events(1, 3) || err != nil {
 		t.Fatalf("%d %q %v", status, body, err)
 	}
--- a/pkg/gateway/returning.go
+++ b/pkg/gateway/returning.go
@@ -21,71 +21,71 @@
 )
 
 const (
-	// calmAfter is for how long nobody may have been refused here for the times that
+	// calmPeriod is for how long nobody may have been refused here for the times that
 	// callers bring to be those of first tries: refused callers are back within it.
-	calmAfter = 3 * time.Second
-	// rememberedTimes of first tries are kept for each route, and leastTimes have
+	calmPeriod = 3 * time.Second
+	// maxTimeSamples of first tries are kept for each route, and leastTimes have
 	// to be known before anybody is taken to have come back.
-	rememberedTimes = 128
-	leastTimes      = 24
-	// retriedShare of the callers may have come back also while nobody is refused
+	maxTimeSamples = 128
+	minTimeSamples = 24
+	// returningShare of the callers may have come back also while nobody is refused
 	// here, for instance after a failure.
-	retriedShare = 0.03
+	returningShare = 0.03
 )
 
-// returning knows the times that callers bring. The zero value knows none; it is
+// returningCallers knows the times that callers bring. The zero value knows none; it is
 // safe for concurrent use.
-type returning struct {
-	mu        sync.Mutex
-	refusedAt time.Time
-	routes    map[time.Duration]*firstTimes // by the time that the route allows
+type returningCallers struct {
+	mu            sync.Mutex
+	lastRefusalAt time.Time
+	routes        map[time.Duration]*firstAttemptTimes // by the time that the route allows
 }
 
-// firstTimes are the times that callers of one route brought at first tries.
-type firstTimes struct {
-	ring  []time.Duration
-	next  int
-	least time.Duration // all but retriedShare brought more
+// firstAttemptTimes are the times that callers of one route brought at first tries.
+type firstAttemptTimes struct {
+	samples   []time.Duration
+	next      int
+	threshold time.Duration // all but retriedShare brought more
 }
 
-// refused notes that a caller was refused: it may come back.
-func (r *returning) refused(now time.Time) {
+// recordRefusal notes that a caller was refused: it may come back.
+func (r *returningCallers) recordRefusal(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.refusedAt = now
+	r.lastRefusalAt = now
 }
 
-// cameBack tells whether a caller that brings some time, on a route that allows
+// isReturning tells whether a caller that brings some time, on a route that allows
 // some, has come back, and learns from it.
-func (r *returning) cameBack(allowed, brings time.Duration, now time.Time) bool {
+func (r *returningCallers) isReturning(allowed, brings time.Duration, now time.Time) bool {
 	if brings <= 0 {
 		return false
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f := r.routes[allowed]
-	if now.Sub(r.refusedAt) > calmAfter {
+	if now.Sub(r.lastRefusalAt) > calmPeriod {
 		if f == nil {
-			f = &firstTimes{}
+			f = &firstAttemptTimes{}
 			if r.routes == nil {
-				r.routes = map[time.Duration]*firstTimes{}
+				r.routes = map[time.Duration]*firstAttemptTimes{}
 			}
 			r.routes[allowed] = f
 		}
 		f.add(brings)
 		return false
 	}
-	return f != nil && len(f.ring) >= leastTimes && brings < f.least
+	return f != nil && len(f.samples) >= minTimeSamples && brings < f.threshold
 }
 
 // add notes a time, in place of the oldest.
-func (f *firstTimes) add(brings time.Duration) {
-	if len(f.ring) < rememberedTimes {
-		f.ring = append(f.ring, brings)
+func (f *firstAttemptTimes) add(brings time.Duration) {
+	if len(f.samples) < maxTimeSamples {
+		f.samples = append(f.samples, brings)
 	} else {
-		f.ring[f.next] = brings
-		f.next = (f.next + 1) % rememberedTimes
+		f.samples[f.next] = brings
+		f.next = (f.next + 1) % maxTimeSamples
 	}
-	sorted := slices.Sorted(slices.Values(f.ring))
-	f.least = sorted[int(retriedShare*float64(len(sorted)))]
+	sorted := slices.Sorted(slices.Values(f.samples))
+	f.threshold = sorted[int(returningShare*float64(len(sorted)))]
 }
--- a/pkg/gateway/silence_actions.go
+++ b/pkg/gateway/silence_actions.go
@@ -33,7 +33,7 @@
 			g.closeSilentIdle(b, a.silentSince.Add(minSilence), now, f.evidence)
 		}
 		if f.dial && b.reached.needsDial(now, globalSince) {
-			g.doubt(b)
+			g.probeReachability(b)
 		}
 		if f.evidence == evidenceSuspected || l.abort == nil || l.detected.Load() != nil {
 			continue
@@ -74,7 +74,7 @@
 func (g *Gateway) dialSilent(now, since time.Time, all []attemptSnapshot) {
 	for _, a := range all {
 		if a.isEvidenceOf(now, since) && a.backend.reached.needsDial(now, since) {
-			g.doubt(a.backend)
+			g.probeReachability(a.backend)
 		}
 	}
 }
@@ -87,7 +87,7 @@
 		return
 	}
 	g.metrics.distrusted.WithLabelValues(string(e)).Add(float64(closed))
-	_ = level.Info(g.process.Logger).Log("msg", "idle connections closed as silent", "backend", b.word().Incarnation(),
+	_ = level.Info(g.process.Logger).Log("msg", "idle connections closed as silent", "backend", b.latestRegistration().Incarnation(),
 		"address", b.address, "closed", closed, "silent_ms", now.Sub(since).Milliseconds(), "evidence", string(e))
 }
 
@@ -114,5 +114,5 @@
 // needsDial reports whether no dial that began after a moment, or none recently, was answered.
 func (r *dialTimes) needsDial(now, since time.Time) bool {
 	at := r.lastAnswered.time()
-	return at.Before(since) || now.Sub(at) > dialAgain
+	return at.Before(since) || now.Sub(at) > redialInterval
 }
--- a/pkg/gateway/silence_detect_test.go
+++ b/pkg/gateway/silence_detect_test.go
@@ -99,7 +99,7 @@
 // After a pause of this process, silence counts from the end of the pause.
 func TestProcessPauseIsNotCountedAsSilence(t *testing.T) {
 	f := newFixture(t, serviceconfig.Repeatable, false, newFakeBackend(t, "i-1", closeWithoutResponse))
-	b := f.gateway.backends.of("menu")[0]
+	b := f.gateway.backends.forService("menu")[0]
 	index := f.gateway.index.Load()
 	service, _ := index.Service("menu")
 	route, _ := index.Route("menus.example", "/draft/x")
--- a/pkg/gateway/silence_test.go
+++ b/pkg/gateway/silence_test.go
@@ -75,14 +75,14 @@
 	f.fixture = newFixture(t, kind, true, reached...)
 	// Distinct ends make the gateway spread requests over the servers.
 	for i, server := range reached {
-		f.backend(server.incarnation).end(time.Duration(i) * time.Second)
+		f.backend(server.incarnation).finishRequest(time.Duration(i) * time.Second)
 	}
 	return f
 }
 
 func (f *silencedFixture) backend(incarnation string) *backend {
-	for _, b := range f.gateway.backends.of("menu") {
-		if b.word().Incarnation() == incarnation {
+	for _, b := range f.gateway.backends.forService("menu") {
+		if b.latestRegistration().Incarnation() == incarnation {
 			return b
 		}
 	}
@@ -357,12 +357,12 @@
 			f := newFixture(t, serviceconfig.Stream, true)
 			f.gateway.index.Raise(engineDocument(t))
 			own := newFakeBackend(t, "i-own", closeWithoutResponse)
-			f.hearVersion(own, 1)
-			f.hearVersion(newFakeBackend(t, "i-other", closeWithoutResponse), 1)
+			f.registerVersion(own, 1)
+			f.registerVersion(newFakeBackend(t, "i-other", closeWithoutResponse), 1)
 			if c.newVersionServed {
-				f.hearVersion(newFakeBackend(t, "i-newest", closeWithoutResponse), 2)
+				f.registerVersion(newFakeBackend(t, "i-newest", closeWithoutResponse), 2)
 			}
-			f.hearNamed(left)
+			f.setNamedVersion(left)
 			now := time.Now()
 			for range minSamples {
 				f.gateway.silenceDetector.record(timingKey{"menu", timingWait}, now, c.wait)
@@ -387,21 +387,21 @@
 	f := newFixture(t, serviceconfig.Stream, true)
 	route, _ := f.gateway.index.Load().Route("menus.example", "/draft/x")
 	service, _ := f.gateway.index.Load().Service("menu")
-	f.gateway.budget = settledBudget(0, 1.5*float64(f.gateway.countGateways()), time.Hour)
-	if !f.gateway.budget.repeat("menu", f.gateway.countGateways()) {
+	f.gateway.budget = fullWindowBudget(0, 1.5*float64(f.gateway.countGateways()), time.Hour)
+	if !f.gateway.budget.takeRetry("menu", f.gateway.countGateways()) {
 		t.Fatal("there is no retry to spend")
 	}
 	now := time.Now()
 	q := &request{ctx: t.Context(), route: route, service: service, headWritten: true, lastEventAt: now.Add(time.Hour), deadline: now.Add(2 * time.Hour)}
 	go func() {
-		<-time.After(yieldLook)
-		f.gateway.budget.unspent("menu")
+		<-time.After(yieldRetryInterval)
+		f.gateway.budget.refund("menu")
 	}()
-	if !f.gateway.awaitRepeat(q) {
+	if !f.gateway.awaitRetry(q) {
 		t.Error("it did not wait for the retry that was put back")
 	}
-	q.lastEventAt = now.Add(-mostYield)
-	if f.gateway.awaitRepeat(q) {
+	q.lastEventAt = now.Add(-maxYield)
+	if f.gateway.awaitRetry(q) {
 		t.Error("it got a retry that is not in the budget")
 	}
 }
@@ -413,7 +413,7 @@
 	route, _ := f.gateway.index.Load().Route("menus.example", "/draft/x")
 	service, _ := f.gateway.index.Load().Service("menu")
 	// One retry for this gateway, after the safety reserve.
-	f.gateway.budget = settledBudget(0, 1.5*float64(f.gateway.countGateways()), time.Hour)
+	f.gateway.budget = fullWindowBudget(0, 1.5*float64(f.gateway.countGateways()), time.Hour)
 	q := &request{route: route, service: service, sent: 1, ranAt: map[*backend]bool{{}: true}}
 	last := &exchange{gateway: f.gateway, request: q, isLastServer: true}
 	if last.mayInterrupt(interruptUnreachable, stageResuming, time.Now()) {
--- a/pkg/gateway/silent_links_test.go
+++ b/pkg/gateway/silent_links_test.go
@@ -48,7 +48,7 @@
 // newLinkedGateway returns a gateway that asks its stagers over links.
 func newLinkedGateway(t *testing.T) (*Gateway, *request, *silencedLinks) {
 	t.Helper()
-	g, q := newReserving(t, &stagerStandIn{})
+	g, q := newReservingGateway(t, &fakeStager{})
 	s := &silencedLinks{}
 	stager := link.NewEndpoint(link.Config{
 		Own: vm.NewIdentity("stager", 1, "", "", ""), Clock: clocks.NewClock(time.Now), Logger: log.NewNopLogger(),
@@ -93,14 +93,14 @@
 	g.askStager = g.callStager
 	// Links to all stagers are open, as in a gateway that has served for a while.
 	deadline := time.Now().Add(linkTestTimeout)
-	for _, b := range g.backends.of("menu") {
+	for _, b := range g.backends.forService("menu") {
 		for !g.reserve(q, b, 0, time.Now().Add(linkTestTimeout)).granted {
 			if time.Now().After(deadline) {
 				t.Fatal("a working stager does not answer")
 			}
-			b.hearLoadNow(feed.NewLoad("menu", b.address, "menu", 1, 3, 0, 1, false, false))
+			b.recordCurrentLoad(feed.NewLoad("menu", b.address, "menu", 1, 3, 0, 1, false, false))
 			b.mu.Lock()
-			b.unaskedUntil = time.Time{}
+			b.stagerBackoffUntil = time.Time{}
 			b.mu.Unlock()
 		}
 	}
@@ -111,8 +111,8 @@
 func reportFreeSlots(g *Gateway) {
 	// All demand comes to this gateway, so its share is all slots.
 	g.demand.add(time.Now())
-	for _, b := range g.backends.of("menu") {
-		b.hearLoad(feed.NewLoad("menu", b.address, "menu", 1, 3, 0, 1, false, false))
+	for _, b := range g.backends.forService("menu") {
+		b.recordLoadReport(feed.NewLoad("menu", b.address, "menu", 1, 3, 0, 1, false, false))
 	}
 }
 
@@ -132,8 +132,8 @@
 				t.Fatalf("refused with %v while engines have free slots", refused)
 			}
 		}
-		for _, b := range g.backends.of("menu") {
-			for !b.mayBeAsked(time.Now()) || !g.reserve(q, b, 0, time.Now().Add(linkTestTimeout)).granted {
+		for _, b := range g.backends.forService("menu") {
+			for !b.canReserve(time.Now()) || !g.reserve(q, b, 0, time.Now().Add(linkTestTimeout)).granted {
 				if time.Now().After(deadline) {
 					t.Fatalf("%s is not asked within %s", b.address, linkTestTimeout)
 				}
@@ -148,8 +148,8 @@
 func TestDeadStagersAreNotAskedAgain(t *testing.T) {
 	g, q, s := newLinkedGateway(t)
 	s.silence(true)
-	for _, b := range g.backends.of("menu") {
-		if o := g.reserve(q, b, 0, time.Now().Add(linkTestTimeout)); !o.unanswered || b.mayBeAsked(time.Now()) {
+	for _, b := range g.backends.forService("menu") {
+		if o := g.reserve(q, b, 0, time.Now().Add(linkTestTimeout)); !o.unanswered || b.canReserve(time.Now()) {
 			t.Errorf("%s: %+v, asked again at once", b.address, o)
 		}
 	}
--- a/pkg/gateway/stall_test.go
+++ b/pkg/gateway/stall_test.go
@@ -16,8 +16,8 @@
 	f = newFixture(t, serviceconfig.Stream, true)
 	f.gateway.index.Raise(engineDocument(t))
 	own, other := newFakeBackend(t, "i-own", closeWithoutResponse), newFakeBackend(t, "i-other", closeWithoutResponse)
-	f.hearVersion(own, 1)
-	f.hearVersion(other, 1)
+	f.registerVersion(own, 1)
+	f.registerVersion(other, 1)
 	route, _ := f.gateway.index.Load().Route("menus.example", "/draft/x")
 	b := f.backend("i-own")
 	q := &request{ctx: t.Context(), route: route, service: f.service(t), model: "menu", sent: 1, headWritten: true, tried: map[*backend]bool{b: true}}
@@ -49,7 +49,7 @@
 			}
 			if c.full {
 				other := f.backend("i-other")
-				f.gateway.backends.hearLoad(feed.NewLoad("menu", other.address, "menu", 1, 16, 1, 1, false, false))
+				f.gateway.backends.applyLoadReport(feed.NewLoad("menu", other.address, "menu", 1, 16, 1, 1, false, false))
 			}
 			if moves := x.mayInterrupt(interruptStall, stageStreaming, time.Now()); moves != c.moves {
 				t.Errorf("moved: %t", moves)
@@ -67,7 +67,7 @@
 			asked := 0
 			f.gateway.askStager = func(context.Context, string, reservation.Ask) (reservation.Answer, error) {
 				asked++
-				return reservation.NewAnswer(granted, idleBegin, feed.NewLoad("menu", "", "menu", 1, 1, 0, 1, false, false)), nil
+				return reservation.NewAnswer(granted, idleStartDelay, feed.NewLoad("menu", "", "menu", 1, 1, 0, 1, false, false)), nil
 			}
 			if moves := x.mayInterrupt(interruptStall, stageStreaming, time.Now()); moves != granted || asked != 1 {
 				t.Fatalf("moved: %t, after %d reservation requests", moves, asked)
--- a/pkg/gateway/stop.go
+++ b/pkg/gateway/stop.go
@@ -112,7 +112,7 @@
 	if inUse := g.connections.drain(ctx); inUse > 0 {
 		_ = level.Warn(g.process.Logger).Log("msg", "the stop closes connections in use", "connections", inUse, "requests", g.abortRunning())
 	}
-	g.tellSpent()
+	g.reportSpent()
 	return nil
 }
 
@@ -137,7 +137,7 @@
 	if q.remaining() <= left {
 		return nil
 	}
-	run := q.longestRun(&g.silenceDetector, time.Now())
+	run := q.maxRunTime(&g.silenceDetector, time.Now())
 	isEarly, isStream := q.readAt.Before(g.lateStopStart()), q.route.Kind() == serviceconfig.Stream
 	if run <= left && (isEarly || run > 0 && !isStream) {
 		return nil
--- a/pkg/gateway/stop_test.go
+++ b/pkg/gateway/stop_test.go
@@ -32,13 +32,13 @@
 }
 
 func TestRequestThatMayOutlastStopIsRefused(t *testing.T) {
-	f := newLapsing(t, wholeStream, wholeStream)
+	f := newExpiringFixture(t, completeStream, completeStream)
 	for _, c := range []struct {
 		left time.Duration
 		want int
 	}{{time.Hour, http.StatusOK}, {20 * time.Millisecond, http.StatusServiceUnavailable}} {
 		f.beginStop(time.Hour, c.left)
-		status, header, _, err := f.do(t, f.draft(t))
+		status, header, _, err := f.do(t, f.draftRequest(t))
 		if status != c.want || err != nil {
 			t.Errorf("with %s left: status %d, %v", c.left, status, err)
 		}
@@ -54,14 +54,14 @@
 	const left = 4700 * time.Millisecond
 	late := stopDuration - left
 	t.Run("an engine without recent runs at this gateway", func(t *testing.T) {
-		f := newLapsing(t, wholeStream, wholeStream)
+		f := newExpiringFixture(t, completeStream, completeStream)
 		f.beginStop(late, left)
-		if status, _, _, err := f.do(t, f.draft(t)); status != http.StatusServiceUnavailable || err != nil {
+		if status, _, _, err := f.do(t, f.draftRequest(t)); status != http.StatusServiceUnavailable || err != nil {
 			t.Errorf("status %d, %v", status, err)
 		}
 	})
 	t.Run("a service without engines", func(t *testing.T) {
-		server := newFakeBackend(t, "i-1", wholeStream)
+		server := newFakeBackend(t, "i-1", completeStream)
 		f := newFixture(t, serviceconfig.Stream, true, server)
 		f.beginStop(stopDuration-time.Second, time.Second)
 		if status, _, _, err := f.do(t, f.request(t, http.MethodPost, "a", "draft")); status != http.StatusServiceUnavailable || err != nil {
@@ -94,7 +94,7 @@
 		{"a plain request early, no recent runs", serviceconfig.Once, early, 2 * time.Second, 0, http.StatusOK},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			script := wholeStream
+			script := completeStream
 			if c.kind != serviceconfig.Stream {
 				script = respondWith("200 OK", "whole")
 			}
@@ -120,7 +120,7 @@
 		f.beginStop(3*time.Second, 300*time.Millisecond)
 		return false
 	})
-	second := newFakeBackend(t, "i-2", wholeStream)
+	second := newFakeBackend(t, "i-2", completeStream)
 	f = newFixture(t, serviceconfig.Stream, true, first, second)
 	for range minSamples {
 		f.gateway.silenceDetector.record(timingKey{"menu", timingRun}, time.Now(), time.Second)
--- a/pkg/gateway/stream.go
+++ b/pkg/gateway/stream.go
@@ -27,9 +27,9 @@
 		}
 		if gaps.count == 0 {
 			x.watch.startStreaming()
-			x.backend.begun(x.waitEntry, true)
-			x.backend.less(q.prefill)
-			defer x.backend.less(-q.prefill)
+			x.backend.finishWaiting(x.waitEntry, true)
+			x.backend.reduceWork(q.prefill)
+			defer x.backend.reduceWork(-q.prefill)
 		} else {
 			x.watch.recordProgress()
 		}
@@ -48,11 +48,11 @@
 func (x *exchange) streamEnded(response *http.Response, gaps *eventGapMeter) bool {
 	q := x.request
 	x.conn.Finish(response)
-	x.backend.answered()
-	q.sawRun(&x.gateway.silenceDetector, time.Now(), time.Since(x.started))
+	x.backend.recordSuccess()
+	q.recordRunTime(&x.gateway.silenceDetector, time.Now(), time.Since(x.started))
 	x.sawWhole(response)
 	if meanGap, ok := gaps.mean(); ok {
-		x.backend.sawPace(meanGap.Seconds() / nominalGap.Seconds())
+		x.backend.recordSlowdown(meanGap.Seconds() / nominalGap.Seconds())
 	}
 	if !q.headWritten {
 		q.writeHead(response.StatusCode, response.Header, -1)
--- a/pkg/gateway/stream_interrupt_test.go
+++ b/pkg/gateway/stream_interrupt_test.go
@@ -52,8 +52,8 @@
 	})
 	old := newFakeBackend(t, "i-old", endsAtDeadline(2*time.Second, 2, 3))
 	f := newOldVersionFixture(t, cut, old)
-	f.hearNamed(1600 * time.Millisecond)
-	status, _, body, err := f.do(t, f.draft(t))
+	f.setNamedVersion(1600 * time.Millisecond)
+	status, _, body, err := f.do(t, f.draftRequest(t))
 	if status != http.StatusOK || body != events(1, 3) || err != nil {
 		t.Fatalf("%d %q %v", status, body, err)
 	}
@@ -65,23 +65,23 @@
 	t.Helper()
 	f := newFixture(t, serviceconfig.Stream, true)
 	f.gateway.index.Raise(engineDocument(t))
-	f.hearVersion(first, 1)
-	f.hearVersion(second, 1)
+	f.registerVersion(first, 1)
+	f.registerVersion(second, 1)
 	f.prefer(first, second)
 	return f
 }
 
 // reportVersion reports to the gateway which version an engine serves.
 func (f *fixture) reportVersion(s *fakeBackend, version uint64) {
-	f.gateway.backends.hearLoad(feed.NewLoad("menu", s.listener.Addr().String(), "menu", version, 0, 0, 1, false, false))
+	f.gateway.backends.applyLoadReport(feed.NewLoad("menu", s.listener.Addr().String(), "menu", version, 0, 0, 1, false, false))
 }
 
 // Without a retry in the budget the attempt is the last one as well.
 func TestStreamWithoutARetryIsNotBoundByItsVersion(t *testing.T) {
-	f := newLapsing(t, endsAtDeadline(2*time.Second, 1, 3), wholeStream)
-	f.gateway.budget = settledBudget(0, 0, 10*time.Second)
-	f.hearNamed(1600 * time.Millisecond)
-	status, _, body, err := f.do(t, f.draft(t))
+	f := newExpiringFixture(t, endsAtDeadline(2*time.Second, 1, 3), completeStream)
+	f.gateway.budget = fullWindowBudget(0, 0, 10*time.Second)
+	f.setNamedVersion(1600 * time.Millisecond)
+	status, _, body, err := f.do(t, f.draftRequest(t))
 	if status != http.StatusOK || body != events(1, 3) || err != nil {
 		t.Fatalf("%d %q %v", status, body, err)
 	}
@@ -105,7 +105,7 @@
 	}
 	bodies := make(chan string, 2)
 	ask := func(id string) {
-		r := f.draft(t)
+		r := f.draftRequest(t)
 		r.Header.Set(headerID, id)
 		go func() {
 			_, _, body, _ := f.do(t, r)
@@ -114,7 +114,7 @@
 		<-began
 	}
 	ask("a")
-	f.backend("i-near").begin(3*time.Second, nil) // the next request goes to the other
+	f.backend("i-near").startRequest(3*time.Second, nil) // the next request goes to the other
 	ask("b")
 	for range 2 {
 		if body := <-bodies; body != events(1, 3) {
@@ -128,7 +128,7 @@
 
 // addEngineIn registers an engine in a failure domain that serves version 1.
 func (f *fixture) addEngineIn(s *fakeBackend, domain string) {
-	f.gateway.backends.hear(registry.NewRegistration(s.incarnation, "menu", s.listener.Addr().String(), domain, "v1", 16, registry.Ready, 0,
+	f.gateway.backends.applyRegistration(registry.NewRegistration(s.incarnation, "menu", s.listener.Addr().String(), domain, "v1", 16, registry.Ready, 0,
 		[]registry.Holding{registry.NewHolding("menu", 1, 0, 1)}, 1, 0))
 }
 
@@ -149,7 +149,7 @@
 	f.addEngineIn(newFakeBackend(t, "i-far", streamAfter(1)), "hall-b")
 	whole := make(chan bool, 2)
 	for _, id := range []string{"a", "b"} {
-		r := f.draft(t)
+		r := f.draftRequest(t)
 		r.Header.Set(headerID, id)
 		go func() {
 			_, _, body, _ := f.do(t, r)
@@ -167,12 +167,12 @@
 
 // A stream that stalls alone resumes on another engine.
 func TestStreamStalledAloneIsMoved(t *testing.T) {
-	f := newLapsing(t, func(w *bufio.Writer, r *http.Request) bool {
+	f := newExpiringFixture(t, func(w *bufio.Writer, r *http.Request) bool {
 		writeEvents(w, r, 1, 1)
 		<-time.After(maxEventGap + 2*watchdogInterval)
 		return false
 	}, func(w *bufio.Writer, r *http.Request) bool { return streamAfter(1)(w, r) })
-	status, _, body, err := f.do(t, f.draft(t))
+	status, _, body, err := f.do(t, f.draftRequest(t))
 	if status != http.StatusOK || body != events(1, 3) || err != nil {
 		t.Fatalf("%d %q %v", status, body, err)
 	}
@@ -181,13 +181,13 @@
 // A stalled stream stays where no other server can take it: a retry without a server would end
 // it.
 func TestStalledStreamStaysWithoutAnotherServer(t *testing.T) {
-	f := newLapsing(t, func(w *bufio.Writer, r *http.Request) bool {
+	f := newExpiringFixture(t, func(w *bufio.Writer, r *http.Request) bool {
 		writeEvents(w, r, 1, 1)
 		<-time.After(maxEventGap + 2*watchdogInterval)
 		return writeRest(w, 2, 3)
 	}, closeWithoutResponse)
-	f.gateway.backends.depart("i-young", 0)
-	status, _, body, err := f.do(t, f.draft(t))
+	f.gateway.backends.markDeparted("i-young", 0)
+	status, _, body, err := f.do(t, f.draftRequest(t))
 	if status != http.StatusOK || body != events(1, 3) || err != nil {
 		t.Fatalf("%d %q %v", status, body, err)
 	}
@@ -217,11 +217,11 @@
 			f.gateway.index.Raise(engineDocument(t))
 			f.addEngineIn(first, "hall-a")
 			f.addEngineIn(second, "hall-b")
-			f.hearNamed(left)
+			f.setNamedVersion(left)
 			for range minSamples {
 				f.gateway.silenceDetector.record(timingKey{"menu", timingWait}, time.Now(), c.wait)
 			}
-			status, _, body, err := f.do(t, f.draft(t))
+			status, _, body, err := f.do(t, f.draftRequest(t))
 			if status != http.StatusOK || body != events(1, 3) || err != nil {
 				t.Fatalf("%d %q %v", status, body, err)
 			}
@@ -250,7 +250,7 @@
 	defer close(over)
 	go func() {
 		for full := feed.NewLoad("menu", second.listener.Addr().String(), "menu", 1, 16, 32, 1, false, false); ; {
-			f.gateway.backends.hearLoad(full)
+			f.gateway.backends.applyLoadReport(full)
 			select {
 			case <-over:
 				return
@@ -258,7 +258,7 @@
 			}
 		}
 	}()
-	status, _, body, err := f.do(t, f.draft(t))
+	status, _, body, err := f.do(t, f.draftRequest(t))
 	if status != http.StatusOK || body != events(1, 3) || err != nil {
 		t.Fatalf("%d %q %v", status, body, err)
 	}
@@ -272,7 +272,7 @@
 func TestStreamOfAnEngineReadingPromptsStays(t *testing.T) {
 	const pause = maxEventGap + watchdogInterval
 	began := make(chan bool, 1)
-	f := newLapsing(t, func(w *bufio.Writer, r *http.Request) bool {
+	f := newExpiringFixture(t, func(w *bufio.Writer, r *http.Request) bool {
 		writeEvents(w, r, 1, 1)
 		began <- true
 		<-time.After(pause)
@@ -282,11 +282,11 @@
 	go func() {
 		<-began
 		for range int(pause / watchdogInterval) {
-			f.gateway.backends.hearLoad(feed.NewLoad("menu", f.backend("i-old").address, "menu", 1, 1, 3, 1, false, false))
+			f.gateway.backends.applyLoadReport(feed.NewLoad("menu", f.backend("i-old").address, "menu", 1, 1, 3, 1, false, false))
 			<-time.After(watchdogInterval)
 		}
 	}()
-	status, _, body, err := f.do(t, f.draft(t))
+	status, _, body, err := f.do(t, f.draftRequest(t))
 	if status != http.StatusOK || body != events(1, 3) || err != nil {
 		t.Fatalf("%d %q %v", status, body, err)
 	}
@@ -311,17 +311,17 @@
 	})
 	second = newFakeBackend(t, "i-second", func(w *bufio.Writer, r *http.Request) bool {
 		f.reportVersion(first, 2)
-		f.gateway.applyUpdate("10.0.0.9:7700", f.namedUpdate(lapseMargin+watchdogInterval/2))
+		f.gateway.applyUpdate("10.0.0.9:7700", f.namedUpdate(defaultCancelMargin+watchdogInterval/2))
 		<-time.After(2 * watchdogInterval)
 		return false
 	})
 	f = newOldVersionFixture(t, first, second)
 	f.gateway.protocol.StreamIdleTimeout = func(time.Duration, time.Duration) time.Duration { return time.Minute }
-	status, _, body, err := f.do(t, f.draft(t))
+	status, _, body, err := f.do(t, f.draftRequest(t))
 	if status != http.StatusOK || body != events(1, 3) || err != nil {
 		t.Fatalf("%d %q %v", status, body, err)
 	}
-	if f.lapsed(t) != 1 {
+	if f.expiredAttempts(t) != 1 {
 		t.Error("the second attempt was not interrupted for its version")
 	}
 }
@@ -335,12 +335,12 @@
 		return false
 	})
 	unreachable := newFakeBackend(t, "i-seems-lost", func(w *bufio.Writer, r *http.Request) bool {
-		f.backend("i-seems-lost").setLost(true)
+		f.backend("i-seems-lost").setUnreachable(true)
 		<-time.After(watchdogInterval)
 		return streamAfter(1)(w, r)
 	})
-	f = newLapsingOf(t, cut, unreachable)
-	status, _, body, err := f.do(t, f.draft(t))
+	f = newExpiringFixtureOf(t, cut, unreachable)
+	status, _, body, err := f.do(t, f.draftRequest(t))
 	if status != http.StatusOK || body != events(1, 3) || err != nil {
 		t.Fatalf("%d %q %v", status, body, err)
 	}
--- a/pkg/gateway/stream_sim_test.go
+++ b/pkg/gateway/stream_sim_test.go
@@ -168,7 +168,7 @@
 	s.networkDelay()
 	for _, m := range s.gateways {
 		if g := m.process(); g.process.Identity.Address() == address {
-			return contract.NewRepeatAnswer(g.lend(a.Service())), nil
+			return contract.NewRepeatAnswer(g.lendRetry(a.Service())), nil
 		}
 	}
 	return contract.RepeatAnswer{}, errCut
@@ -241,7 +241,7 @@
 	s.result.interruptions = map[interruption]int{}
 	for _, r := range interruptRules {
 		for _, g := range s.startedGateways {
-			s.result.interruptions[r.reason] += int(countOf(s.t, g.metrics.interrupted.WithLabelValues(string(r.reason))))
+			s.result.interruptions[r.reason] += int(counterValue(s.t, g.metrics.interrupted.WithLabelValues(string(r.reason))))
 		}
 	}
 	return &s.result
@@ -251,21 +251,21 @@
 func (s *streamSim) start(m *simGateway, first bool) {
 	g := m.processes[0]
 	m.processes = m.processes[1:]
-	g.budget = newBudget(g.settings.RetryRatio(), g.settings.RetryReserve(), g.settings.RetryWindow())
+	g.budget = newRetryBudget(g.settings.RetryRatio(), g.settings.RetryReserve(), g.settings.RetryWindow())
 	if first {
 		g.budget.started = g.budget.started.Add(-g.settings.RetryWindow())
 	}
 	g.index.Raise(documentOf(s.t, simEngineConfig, true))
 	for i, e := range s.engines {
 		id := fmt.Sprintf("e-%d", i+1)
-		g.backends.hear(registry.NewRegistration(id, "menu", e.address, e.domain, "v1", simEngineConfig.Slots(), registry.Ready, 0,
+		g.backends.applyRegistration(registry.NewRegistration(id, "menu", e.address, e.domain, "v1", simEngineConfig.Slots(), registry.Ready, 0,
 			[]registry.Holding{registry.NewHolding("menu", 1, 0, 1)}, 1, 0))
-		for _, b := range g.backends.of("menu") {
-			if b.word().Incarnation() == id {
+		for _, b := range g.backends.forService("menu") {
+			if b.latestRegistration().Incarnation() == id {
 				b.pool = upstream.NewPoolOver(e.address, e.dial)
 			}
 		}
-		g.backends.hearLoad(e.load())
+		g.backends.applyLoadReport(e.load())
 	}
 	s.mu.Lock()
 	for version, at := range s.versionNamedAt {
@@ -293,7 +293,7 @@
 	l := e.load()
 	time.AfterFunc(loadReportDelay, func() {
 		for _, m := range s.gateways {
-			m.process().backends.hearLoad(l)
+			m.process().backends.applyLoadReport(l)
 		}
 	})
 }
@@ -316,7 +316,7 @@
 			time.AfterFunc(s.randomDuration(0, loadReportDelay), func() {
 				g := m.process()
 				g.versions.Add([]feed.NamedVersion{feed.NewNamedVersion("menu", version, loadReportDelay/2)}, time.Now())
-				g.watchdogs.lookNow()
+				g.watchdogs.checkNow()
 			})
 		}
 		for i, e := range s.engines {
--- a/pkg/gateway/suspended_test.go
+++ b/pkg/gateway/suspended_test.go
@@ -30,8 +30,8 @@
 	const suspended = 4 * time.Second
 	g, suspend := newSuspendableGateway(t)
 	g.versions.Merge([]feed.NamedVersion{feed.NewNamedVersion("menu", 2, time.Second)}, time.Now())
-	g.backends.hear(registry.NewRegistration("i-1", "menu", "127.0.0.1:9", "hall-a", "v1", 4, registry.Ready, 0, nil, 1, 0))
-	g.backends.hearLoad(feed.NewLoad("menu", "127.0.0.1:9", "menu", 2, 1, 0, 1, false, false))
+	g.backends.applyRegistration(registry.NewRegistration("i-1", "menu", "127.0.0.1:9", "hall-a", "v1", 4, registry.Ready, 0, nil, 1, 0))
+	g.backends.applyLoadReport(feed.NewLoad("menu", "127.0.0.1:9", "menu", 2, 1, 0, 1, false, false))
 	q := &request{deadline: time.Now().Add(5 * time.Second), suspension: g.suspension, suspendedBefore: g.suspension.Total()}
 	suspend(suspended)
 	if age := time.Since(g.versions.Newest("menu").Since()); age < suspended+time.Second {
@@ -44,7 +44,7 @@
 	if left := later.remaining(); left < 4*time.Second {
 		t.Errorf("%s are left until the deadline of a later request", left)
 	}
-	if g.backends.of("menu")[0].load(time.Now()).fresh {
+	if g.backends.forService("menu")[0].load(time.Now()).fresh {
 		t.Error("a load reported before the suspension counts as fresh")
 	}
 }
--- a/pkg/gateway/versions.go
+++ b/pkg/gateway/versions.go
@@ -15,30 +15,30 @@
 import "time"
 
 const (
-	// leastMargin and mostMargin bound how long before the end of the agreed time a
+	// minVersionMargin and mostMargin bound how long before the end of the agreed time a
 	// request must have begun on an old version.
-	leastMargin = 300 * time.Millisecond
-	mostMargin  = 3 * time.Second
+	minVersionMargin = 300 * time.Millisecond
+	maxVersionMargin = 3 * time.Second
 )
 
-// leastVersion returns the least version that a request may use at a backend server
+// minUsableVersion returns the least version that a request may use at a backend server
 // where requests took begins to begin, and that it runs on for no longer than run. It is not
 // sent within back before the version lapses.
-func (g *Gateway) leastVersion(model string, begins, run, back time.Duration) uint64 {
-	margin := max(min(leastMargin+begins, mostMargin)+run, back)
+func (g *Gateway) minUsableVersion(model string, begins, run, back time.Duration) uint64 {
+	margin := max(min(minVersionMargin+begins, maxVersionMargin)+run, back)
 	return g.versions.Due(model, g.settings.WeightsWithin()-margin, time.Now())
 }
 
-// mayRunOn tells whether a request that would still run when a version lapses may begin
+// mayRunPastExpiry tells whether a request that would still run when a version lapses may begin
 // on it now.
-func (g *Gateway) mayRunOn(q *request) bool {
-	return q.model != "" && g.leastVersion(q.model, 0, 0, lapseMargin) < g.leastVersion(q.model, 0, q.maxRun, lapseMargin)
+func (g *Gateway) mayRunPastExpiry(q *request) bool {
+	return q.model != "" && g.minUsableVersion(q.model, 0, 0, defaultCancelMargin) < g.minUsableVersion(q.model, 0, q.maxRun, defaultCancelMargin)
 }
 
-// runningOn is what a backend server must satisfy where a request may run on past the end of
+// allowRunPastExpiry is what a backend server must satisfy where a request may run on past the end of
 // its version.
-func (g *Gateway) runningOn(q *request, w wanted) wanted {
-	w.least = func(begins, back time.Duration) uint64 { return g.leastVersion(q.model, begins, 0, back) }
+func (g *Gateway) allowRunPastExpiry(q *request, w requirements) requirements {
+	w.minVersion = func(begins, back time.Duration) uint64 { return g.minUsableVersion(q.model, begins, 0, back) }
 	return w
 }
 
--- a/pkg/gateway/versions_test.go
+++ b/pkg/gateway/versions_test.go
@@ -8,7 +8,7 @@
 )
 
 // A version that is overtaken by a later one is still due at its own time.
-func TestEarlierVersionStaysDue(t *testing.T) {
+func TestEarlierVersionKeepsItsDueTime(t *testing.T) {
 	table := feed.NewVersionTable()
 	start := time.Unix(100, 0)
 	table.Add([]feed.NamedVersion{feed.NewNamedVersion("menu", 2, 0)}, start)
--- a/pkg/gateway/waits.go
+++ b/pkg/gateway/waits.go
@@ -8,58 +8,58 @@
 
 import "time"
 
-// slowestLife is how long the slowest wait counts.
-const slowestLife = 2 * time.Second
+// slowestWaitTTL is how long the slowest wait counts.
+const slowestWaitTTL = 2 * time.Second
 
-// waiting is one request that waits for its first event.
-type waiting struct {
+// waitingRequest is one request that waits for its first event.
+type waitingRequest struct {
 	since time.Time
-	// takeBack ends the attempt so that the request can go elsewhere; nil where
+	// cancel ends the attempt so that the request can go elsewhere; nil where
 	// it may not run again.
-	takeBack func()
+	cancel func()
 }
 
-// waits are those of one backend server, oldest first. The owner locks.
-type waits struct {
-	all       []*waiting
-	slow      time.Duration // the longest wait that ended of late
-	slowEnded time.Time
+// waitingRequests are those of one backend server, oldest first. The owner locks.
+type waitingRequests struct {
+	pending        []*waitingRequest
+	slowestEnded   time.Duration // the longest wait that ended of late
+	slowestEndedAt time.Time
 }
 
 // add notes a request that begins to wait.
-func (w *waits) add(now time.Time, takeBack func()) *waiting {
-	one := &waiting{now, takeBack}
-	w.all = append(w.all, one)
+func (w *waitingRequests) add(now time.Time, takeBack func()) *waitingRequest {
+	one := &waitingRequest{now, takeBack}
+	w.pending = append(w.pending, one)
 	return one
 }
 
 // remove notes that a request does not wait any more, and how long it took when
 // it was answered. A second call changes nothing.
-func (w *waits) remove(one *waiting, now time.Time, answered bool) {
-	for i, other := range w.all {
+func (w *waitingRequests) remove(one *waitingRequest, now time.Time, answered bool) {
+	for i, other := range w.pending {
 		if other != one {
 			continue
 		}
-		w.all = append(w.all[:i], w.all[i+1:]...)
-		if took := now.Sub(one.since); answered && (took >= w.slow || now.Sub(w.slowEnded) > slowestLife) {
-			w.slow, w.slowEnded = took, now
+		w.pending = append(w.pending[:i], w.pending[i+1:]...)
+		if took := now.Sub(one.since); answered && (took >= w.slowestEnded || now.Sub(w.slowestEndedAt) > slowestWaitTTL) {
+			w.slowestEnded, w.slowestEndedAt = took, now
 		}
 		return
 	}
 }
 
-// oldest returns for how long the first of those that wait has waited.
-func (w *waits) oldest(now time.Time) time.Duration {
-	if len(w.all) == 0 {
+// oldestWait returns for how long the first of those that wait has waited.
+func (w *waitingRequests) oldestWait(now time.Time) time.Duration {
+	if len(w.pending) == 0 {
 		return 0
 	}
-	return now.Sub(w.all[0].since)
+	return now.Sub(w.pending[0].since)
 }
 
-// slowest returns the longest wait that ended within slowestLife.
-func (w *waits) slowest(now time.Time) time.Duration {
-	if now.Sub(w.slowEnded) > slowestLife {
+// slowestWait returns the longest wait that ended within slowestLife.
+func (w *waitingRequests) slowestWait(now time.Time) time.Duration {
+	if now.Sub(w.slowestEndedAt) > slowestWaitTTL {
 		return 0
 	}
-	return w.slow
+	return w.slowestEnded
 }
--- a/pkg/gateway/waits_test.go
+++ b/pkg/gateway/waits_test.go
@@ -9,33 +9,33 @@
 	"github.com/tidepost/tidepost/pkg/serviceconfig"
 )
 
-func TestWaitsKnowTheOldestAndTheSlowest(t *testing.T) {
+func TestWaitingRequestsTrackOldestAndSlowest(t *testing.T) {
 	now := time.Now()
-	var w waits
+	var w waitingRequests
 	first := w.add(now, nil)
 	second := w.add(now.Add(100*time.Millisecond), nil)
-	if oldest := w.oldest(now.Add(300 * time.Millisecond)); oldest != 300*time.Millisecond {
+	if oldest := w.oldestWait(now.Add(300 * time.Millisecond)); oldest != 300*time.Millisecond {
 		t.Fatalf("oldest %s", oldest)
 	}
 	w.remove(first, now.Add(400*time.Millisecond), true)
 	w.remove(first, now.Add(900*time.Millisecond), true)
 	w.remove(second, now.Add(450*time.Millisecond), false)
-	if slowest := w.slowest(now.Add(500 * time.Millisecond)); slowest != 400*time.Millisecond {
+	if slowest := w.slowestWait(now.Add(500 * time.Millisecond)); slowest != 400*time.Millisecond {
 		t.Fatalf("slowest %s", slowest)
 	}
-	if w.slowest(now.Add(time.Minute)) != 0 || w.oldest(now) != 0 {
+	if w.slowestWait(now.Add(time.Minute)) != 0 || w.oldestWait(now) != 0 {
 		t.Fatal("what is long over still counts")
 	}
 }
 
 // An engine where requests from here wait is full, whatever its load told.
-func TestOwnWaitsCountBeforeToldLoad(t *testing.T) {
-	w := wanted{engine: serviceconfig.NewEngine(16, []string{"menu"}, 1, 96, 24576, 9*time.Millisecond, 0, 20000, 979, 92, 0, 5)}
-	l := load{fresh: true, told: toldLoad{load: feed.NewLoad("menu", "127.0.0.1:9", "menu", 1, 2, 0, 1, false, false)}, state: registry.Ready}
+func TestObservedWaitsOverrideReportedLoad(t *testing.T) {
+	w := requirements{engine: serviceconfig.NewEngine(16, []string{"menu"}, 1, 96, 24576, 9*time.Millisecond, 0, 20000, 979, 92, 0, 5)}
+	l := load{fresh: true, reported: reportedLoad{load: feed.NewLoad("menu", "127.0.0.1:9", "menu", 1, 2, 0, 1, false, false)}, state: registry.Ready}
 	if wait := w.waitAt(l); wait != 0 {
 		t.Fatalf("%s at an idle engine", wait)
 	}
-	l.oldest = time.Second
+	l.oldestWait = time.Second
 	if wait := w.waitAt(l); wait < time.Second {
 		t.Fatalf("%s where a request has waited for a second", wait)
 	}
@@ -46,23 +46,23 @@
 // only with answers to questions for a place. What caused it: an engine that was full at a
 // question counted as full for as long as a load counts, 2.5 s, and nobody asked it again;
 // its next place is free within 0.1 s. What proved it: the same run with this mended.
-func TestAFullEngineIsFullOnlyUntilItsNextPlaceIsFree(t *testing.T) {
+func TestFullEngineIsAvailableAtNextFreeSlot(t *testing.T) {
 	e := serviceconfig.NewEngine(16, []string{"menu"}, 1, 96, 24576, 9*time.Millisecond, 0, 20000, 979, 92, 0, 5)
-	w := wanted{engine: e, wait: 200 * time.Millisecond}
+	w := requirements{engine: e, maxWait: 200 * time.Millisecond}
 	b := newBackend(registry.NewRegistration("e-1", "menu", "127.0.0.1:9", "hall-a", "v1", 16, registry.Ready, 0, nil, 1, 0))
-	b.hearLoadNow(feed.NewLoad("menu", "127.0.0.1:9", "menu", 1, 16, 4, 1, false, false))
+	b.recordCurrentLoad(feed.NewLoad("menu", "127.0.0.1:9", "menu", 1, 16, 4, 1, false, false))
 	now := time.Now()
-	if !w.isLoaded(b.load(now)) {
+	if !w.exceedsWait(b.load(now)) {
 		t.Fatal("an engine with four that wait for a place has one")
 	}
 	later := b.load(now.Add(5 * e.Turn()))
-	if !later.fresh || w.isLoaded(later) {
+	if !later.fresh || w.exceedsWait(later) {
 		t.Fatalf("full %s after its word: a request would wait for %s", 5*e.Turn(), w.waitAt(later))
 	}
 }
 
 // Where requests are slow to begin, an old version is left earlier.
-func TestVersionLapses(t *testing.T) {
+func TestVersionExpiryTimes(t *testing.T) {
 	table := feed.NewVersionTable()
 	now := time.Now()
 	table.Add([]feed.NamedVersion{feed.NewNamedVersion("menu", 2, 5*time.Second)}, now)
--- a/pkg/gateway/watchdog.go
+++ b/pkg/gateway/watchdog.go
@@ -28,7 +28,7 @@
 	// maxEventGap is the longest time between two events, and resumeMargin how much of the
 	// caller's patience must be left for a stream to resume elsewhere.
 	maxEventGap  = 1200 * time.Millisecond
-	resumeMargin = 2 * goesOnWithin
+	resumeMargin = 2 * resumeLatency
 )
 
 // watchdog checks one attempt for progress.
@@ -76,7 +76,7 @@
 // version requires the attempt to be interrupted; news of a version takes effect at the next
 // check.
 func (w *watchdog) untilNextCheck() time.Duration {
-	left, lapses := w.untilTakenBack()
+	left, lapses := w.untilCancel()
 	if !lapses || w.streaming.Load() {
 		return watchdogInterval
 	}
@@ -94,7 +94,7 @@
 // recordProgress records that the backend server sent something.
 func (w *watchdog) recordProgress() {
 	w.lastProgress.Store(int64(time.Since(w.exchange.started)))
-	w.exchange.backend.heardAt.set(time.Now())
+	w.exchange.backend.lastByteAt.set(time.Now())
 }
 
 // startStreaming records the first event.
@@ -106,7 +106,7 @@
 func (w *watchdog) check() {
 	w.checking <- struct{}{}
 	defer func() { <-w.checking }()
-	if w.stopped || w.exchange.request.ctx.Err() != nil || w.takeBackLapsed() {
+	if w.stopped || w.exchange.request.ctx.Err() != nil || w.cancelExpired() {
 		return
 	}
 	if time.Since(w.nextCheck) > processPauseThreshold {
@@ -116,8 +116,8 @@
 		w.scheduleCheck()
 		return
 	}
-	if b := w.exchange.backend; time.Since(b.heardAt.time()) > silentBeforeDial {
-		w.exchange.gateway.doubt(b)
+	if b := w.exchange.backend; time.Since(b.lastByteAt.time()) > silenceBeforeDial {
+		w.exchange.gateway.probeReachability(b)
 	}
 	now, stage := time.Now(), w.exchange.stage(w.streaming.Load())
 	if w.silentFor(now) > w.silenceLimit() && w.exchange.mayInterrupt(interruptStall, stage, now) {
@@ -140,7 +140,7 @@
 func (w *watchdog) gapLimit() time.Duration {
 	x := w.exchange
 	last := x.started.Add(time.Duration(w.lastProgress.Load()))
-	if x.backend.heardAt.time().After(last.Add(minSilence)) || !x.backend.isHeardOf(time.Now()) {
+	if x.backend.lastByteAt.time().After(last.Add(minSilence)) || !x.backend.hasRecentReport(time.Now()) {
 		return maxEventGap
 	}
 	return x.longestEventGap()
@@ -148,7 +148,7 @@
 
 // longestEventGap returns how long a stream may be silent while its caller still waits for it.
 func (x *exchange) longestEventGap() time.Duration {
-	return min(max(maxEventGap, x.gateway.patienceOf(x.request)-resumeMargin), maxAttemptSilence)
+	return min(max(maxEventGap, x.gateway.callerTimeout(x.request)-resumeMargin), maxAttemptSilence)
 }
 
 // silenceLimit returns how long the attempt may be silent at its current stage.
@@ -156,7 +156,7 @@
 	if w.streaming.Load() {
 		return w.gapLimit()
 	}
-	if time.Since(w.exchange.backend.heard()) > backendSilenceLimit {
+	if time.Since(w.exchange.backend.lastContact()) > backendSilenceLimit {
 		return backendSilenceLimit
 	}
 	return maxAttemptSilence
