--- a/pkg/control/keeper.go
+++ b/pkg/control/keeper.go
@@ -77,7 +77,7 @@
 // note notes that records have changed; those that bar nothing are not kept.
 func (k *keeper) note(changed []quarantine.Record) {
 	for _, r := range changed {
-		if r.IsBarred() || len(r.Whole()) > 0 {
+		if r.IsQuarantined() || len(r.CompletedOn()) > 0 {
 			k.mu.Lock()
 			k.changed = true
 			k.mu.Unlock()
@@ -106,7 +106,7 @@
 	}
 	var kept []quarantine.Record
 	for _, r := range k.table.Records() {
-		if r.IsBarred() {
+		if r.IsQuarantined() {
 			kept = append(kept, r)
 		}
 	}
--- a/pkg/control/quarantine.go
+++ b/pkg/control/quarantine.go
@@ -19,7 +19,7 @@
 	changed, _ := s.quarantine.Merge(records)
 	s.publisher.QueueRecords(changed)
 	s.barredChanged(changed)
-	quarantine.LogBarred(s.logger, changed)
+	quarantine.LogQuarantined(s.logger, changed)
 }
 
 // askTrial has the leader decide whether a gateway may try a barred request once more: one
@@ -34,7 +34,7 @@
 // grantTrial lets a gateway try a barred request once more, if it is time. The caller is
 // the leader, and a quorum has just confirmed that.
 func (s *Service) grantTrial(f quarantine.Fingerprint, tester string) {
-	r, granted := s.quarantine.Grant(f, tester)
+	r, granted := s.quarantine.GrantTrial(f, tester)
 	if !granted {
 		return
 	}
--- a/pkg/control/quarantine_test.go
+++ b/pkg/control/quarantine_test.go
@@ -18,9 +18,9 @@
 // recordOf is a record of servers that ended under a request, each in a failure domain of
 // its own, a while ago.
 func recordOf(ago time.Duration, servers ...string) quarantine.Record {
-	var ends []quarantine.End
+	var ends []quarantine.Crash
 	for _, name := range servers {
-		ends = append(ends, quarantine.NewEnd(name, 1, "hall-"+name, "v1/0", 0, ago))
+		ends = append(ends, quarantine.NewCrash(name, 1, "hall-"+name, "v1/0", 0, ago))
 	}
 	return quarantine.NewRecord(endingRequest, ends, nil, 0, "", 0)
 }
@@ -50,8 +50,8 @@
 func (c *cluster) awaitBarred(name string, table *quarantine.Table) {
 	c.t.Helper()
 	c.eventually("barred at "+name, func() error {
-		if v, _ := table.Begin(endingRequest); v != quarantine.Barred {
-			return fmt.Errorf("%s, %d ends", v, table.Ends(endingRequest))
+		if v, _ := table.Begin(endingRequest); v != quarantine.Quarantined {
+			return fmt.Errorf("%s, %d ends", v, table.Crashes(endingRequest))
 		}
 		return nil
 	})
@@ -90,7 +90,7 @@
 	a, b := c.gateway("a"), c.gateway("b")
 	a.learn(recordOf(0, "a", "b", "c"))
 	c.awaitBarred("b", b.Table)
-	r, tell := b.Ran(endingRequest, "v1/0")
+	r, tell := b.RecordCompletion(endingRequest, "v1/0")
 	if !tell {
 		t.Fatal("a whole run of a barred request is not told")
 	}
@@ -120,10 +120,10 @@
 	granted := map[string]bool{}
 	c.eventually("trial", func() error {
 		for name, g := range testers {
-			switch g.BeginTrial(endingRequest, quarantine.Tester(g.follower.Hello.Self())) {
-			case quarantine.MayAsk:
+			switch g.BeginTrial(endingRequest, quarantine.TesterID(g.follower.Hello.Self())) {
+			case quarantine.TrialDue:
 				g.follower.RequestTrial(endingRequest)
-			case quarantine.Granted:
+			case quarantine.TrialGranted:
 				granted[name] = true
 			}
 		}
@@ -134,7 +134,7 @@
 	})
 	c.put(c.nodes[0], 1) // what was asked before is decided by then
 	for name, g := range testers {
-		if g.BeginTrial(endingRequest, quarantine.Tester(g.follower.Hello.Self())) == quarantine.Granted {
+		if g.BeginTrial(endingRequest, quarantine.TesterID(g.follower.Hello.Self())) == quarantine.TrialGranted {
 			granted[name] = true
 		}
 	}
--- a/pkg/feed/follower_report.go
+++ b/pkg/feed/follower_report.go
@@ -32,7 +32,7 @@
 	if f.Records == nil {
 		return
 	}
-	if known := truncateRecords(quarantine.Sorted(f.Records()), maxInitialRecords); len(known) > 0 {
+	if known := truncateRecords(quarantine.SortByCrashes(f.Records()), maxInitialRecords); len(known) > 0 {
 		// The receiving goroutine sees the failure too.
 		_ = stream.Send(FollowerMessage{records: known})
 	}
--- a/pkg/feed/publisher.go
+++ b/pkg/feed/publisher.go
@@ -264,7 +264,7 @@
 		}
 		p.receiveRecords(m.records)
 		if m.trialRequest != "" && p.source.OnTrialRequest != nil {
-			go p.source.OnTrialRequest(m.trialRequest, quarantine.Tester(s.hello.self))
+			go p.source.OnTrialRequest(m.trialRequest, quarantine.TesterID(s.hello.self))
 		}
 		if m.demand > 0 {
 			p.receiveDemand(s, m.demand)
--- a/pkg/feed/quarantine_records.go
+++ b/pkg/feed/quarantine_records.go
@@ -65,7 +65,7 @@
 }
 
 // isUrgent reports whether a record may soon bar its request, or clears it.
-func isUrgent(r quarantine.Record) bool { return len(r.Ends()) > 1 || len(r.Whole()) > 0 }
+func isUrgent(r quarantine.Record) bool { return len(r.Crashes()) > 1 || len(r.CompletedOn()) > 0 }
 
 // dequeueRecords removes the most urgent records from the queue and returns them. The caller holds
 // the lock.
@@ -77,7 +77,7 @@
 	for _, r := range s.records {
 		all = append(all, r)
 	}
-	all = truncateRecords(quarantine.Sorted(all), maxRecordsPerUpdate)
+	all = truncateRecords(quarantine.SortByCrashes(all), maxRecordsPerUpdate)
 	for _, r := range all {
 		delete(s.records, r.Fingerprint())
 	}
--- a/pkg/feed/quarantine_records_test.go
+++ b/pkg/feed/quarantine_records_test.go
@@ -35,7 +35,7 @@
 
 // reportEnd makes the gateway observe that a backend server terminated during a request.
 func (g quarantineGateway) reportEnd(f quarantine.Fingerprint, server, domain string) {
-	if r, changed := g.Ended(f, quarantine.NewEnd(server, 1, domain, "v1/1", g.Ends(f), 0)); changed {
+	if r, changed := g.RecordCrash(f, quarantine.NewCrash(server, 1, domain, "v1/1", g.Crashes(f), 0)); changed {
 		g.follower.ReportRecords([]quarantine.Record{r})
 	}
 }
@@ -65,19 +65,19 @@
 		return true
 	})
 	before := c.bytes.Load()
-	crashing := quarantine.Of(quarantine.Content{Target: "/ending"})
+	crashing := quarantine.NewFingerprint(quarantine.Content{Target: "/ending"})
 	for server := range clusterStagers {
 		for n := range requestsPerServer {
-			f := quarantine.Of(quarantine.Content{Target: fmt.Sprintf("/%d/%d", server, n)})
+			f := quarantine.NewFingerprint(quarantine.Content{Target: fmt.Sprintf("/%d/%d", server, n)})
 			gateways[(server*requestsPerServer+n)%clusterGateways].reportEnd(f, fmt.Sprintf("s-%d", server), "hall-1")
 		}
 	}
-	for i := range quarantine.EndsToBar {
+	for i := range quarantine.CrashesToQuarantine {
 		gateways[i*40].reportEnd(crashing, fmt.Sprintf("e-%d", i), fmt.Sprintf("hall-%d", i))
 	}
 	c.eventually("every gateway bars the request", func() bool {
 		for _, g := range gateways {
-			if v, _ := g.Begin(crashing); v != quarantine.Barred {
+			if v, _ := g.Begin(crashing); v != quarantine.Quarantined {
 				return false
 			}
 		}
--- a/pkg/gateway/attempt.go
+++ b/pkg/gateway/attempt.go
@@ -31,7 +31,7 @@
 func (g *Gateway) try(q *request, b *backend) (answered bool) {
 	q.tried[b] = true
 	registration := b.latestRegistration()
-	q.lastBackend, q.liveness = registration.Incarnation(), signNone
+	q.lastBackend, q.liveness = registration.Incarnation(), probeNotRun
 	pooled, err := b.pool.Get(q.ctx, min(dialTimeout, q.remaining()))
 	if err != nil {
 		if q.ctx.Err() == nil {
@@ -45,9 +45,9 @@
 	// A connection that has not been released by then is in an unknown state.
 	defer conn.Abort()
 	q.versionExpiry = g.versionExpiryOf(q, b, 0)
-	q.knownServerExits = g.quarantine.Ends(q.fingerprint)
+	q.knownServerExits = g.quarantine.Crashes(q.fingerprint)
 	q.build = b.build(q.modelAndLayers())
-	if !q.mayRun(q.knownServerExits) || !quarantine.MayBeMended(q.build, q.avoid) || q.remaining() < minAttemptTime || q.versionExpiry.mustCancel() {
+	if !q.mayRun(q.knownServerExits) || !quarantine.MayBeFixed(q.build, q.avoid) || q.remaining() < minAttemptTime || q.versionExpiry.mustCancel() {
 		conn.Close()
 		return false
 	}
@@ -130,7 +130,7 @@
 	if head.ID != "" && head.ID != q.head.ID {
 		return x.recordBroken("the response carries the id of request "+head.ID, nil)
 	}
-	x.hearLimit(head)
+	x.updateLimit(head)
 	if head.NotRun {
 		return x.recordNotRun(response, head)
 	}
@@ -171,7 +171,7 @@
 	q.mayHaveRun = true
 	q.unknownOutcomes++
 	q.ranAt[x.backend] = true
-	q.liveness = x.signAfter(cause)
+	q.liveness = x.probeCrash(cause)
 	switch {
 	case q.ctx.Err() != nil:
 	case x.watch.lapsed.Load() || q.versionDeadlinePassed():
@@ -199,7 +199,7 @@
 		x.gateway.recordAttempt(q, attemptCutByOrder, reason)
 	default:
 		x.backend.recordFailure(time.Now())
-		if x.watch.fired.Load() || q.liveness == signLives {
+		if x.watch.fired.Load() || q.liveness == probeAlive {
 			// The server may only have been slow, or may have received an order of which this
 			// gateway has not heard yet.
 			q.allowRetryAt(x.backend)
--- a/pkg/gateway/backend.go
+++ b/pkg/gateway/backend.go
@@ -42,7 +42,7 @@
 	lastByteAt atomicTime  // when the last bytes arrived from it
 	dialing    atomic.Bool // whether dials that test its reachability are in progress
 	reached    dialTimes   // results of these dials
-	ends       endLooks    // dials after broken connections, which tell whether the server ended
+	ends       crashProbes // dials after broken connections, which tell whether the server ended
 
 	mu                        sync.Mutex
 	registration              registry.Registration
@@ -60,7 +60,7 @@
 	unreachable               bool      // dials to it fail
 	stagerBackoffUntil        time.Time // until then its stager gets no reservation requests
 	consecutiveStagerTimeouts int       // unanswered reservation requests in a row
-	limit                     heardLimit
+	limit                     limitState
 }
 
 // load is a snapshot of a backend for the choice of a backend server.
@@ -140,7 +140,7 @@
 		oldestWait: b.waiting.oldestWait(now), unreachable: b.unreachable,
 		reservable: b.canReserveLocked(now), stagerUnresponsive: now.Before(b.stagerBackoffUntil) && !(b.reported.isFresh(now) && b.reported.load.Transferring()),
 		overloaded: now.Before(b.overloadedUntil), state: r.State(), domain: r.Domain(),
-		heldUntil: b.limit.heldUntil, nextPermit: b.limit.nextAt, limited: b.limit.named, perSecond: b.limit.perSecond,
+		heldUntil: b.limit.heldUntil, nextPermit: b.limit.nextPermitAt, limited: b.limit.active, perSecond: b.limit.perSecond,
 	}
 }
 
--- a/pkg/gateway/buffered.go
+++ b/pkg/gateway/buffered.go
@@ -40,7 +40,7 @@
 		return x.passThrough(response, body)
 	}
 	x.conn.Finish(response)
-	x.sawWhole(response)
+	x.recordCompletion(response)
 	x.recordPlainRun()
 	buffered := &bufferedResponse{response.StatusCode, response.Header, body}
 	if x.request.headWritten {
@@ -103,14 +103,14 @@
 	}
 	if err != nil {
 		x.conn.Abort()
-		q.liveness = x.signAfter(rest.err)
+		q.liveness = x.probeCrash(rest.err)
 		o, reason := x.gateway.stopOutcomeOr(x.request, outcomeBroken, err.Error())
 		x.gateway.recordOutcome(q, o, reason)
 		panic(http.ErrAbortHandler)
 	}
 	x.conn.Finish(response)
 	x.backend.recordSuccess()
-	x.sawWhole(response)
+	x.recordCompletion(response)
 	x.recordPlainRun()
 	x.gateway.recordOutcome(q, outcomeServed, response.Status)
 	return true
--- a/pkg/gateway/choose.go
+++ b/pkg/gateway/choose.go
@@ -184,7 +184,7 @@
 }
 
 func (w requirements) allows(b *backend, now time.Time) bool {
-	if len(w.avoidBuilds) > 0 && !quarantine.MayBeMended(b.build(w.model, w.layers), w.avoidBuilds) {
+	if len(w.avoidBuilds) > 0 && !quarantine.MayBeFixed(b.build(w.model, w.layers), w.avoidBuilds) {
 		return false
 	}
 	if w.layers == 0 {
--- a/pkg/gateway/ended.go
+++ b/pkg/gateway/ended.go
@@ -23,79 +23,79 @@
 	"github.com/pkg/errors"
 )
 
-// sign is what a look at a backend server found after an attempt broke.
-type sign string
+// probeResult is what a look at a backend server found after an attempt broke.
+type probeResult string
 
 const (
-	// signNone is that nothing was looked for: its connection was not closed from there.
-	signNone sign = "none"
-	// signEnded is a dial that was refused: nobody has the port any more.
-	signEnded sign = "ended"
-	// signLives is a dial that was answered, or by nobody.
-	signLives sign = "lives"
-	// signLate is a dial that is under way yet.
-	signLate sign = "late"
+	// probeNotRun is that nothing was looked for: its connection was not closed from there.
+	probeNotRun probeResult = "none"
+	// probeExited is a dial that was refused: nobody has the port any more.
+	probeExited probeResult = "ended"
+	// probeAlive is a dial that was answered, or by nobody.
+	probeAlive probeResult = "lives"
+	// probePending is a dial that is under way yet.
+	probePending probeResult = "late"
 )
 
 const (
-	// endDialTimeout bounds the dial after a break: the first packet of one may be lost,
+	// probeTimeout bounds the dial after a break: the first packet of one may be lost,
 	// and goes out again after a second.
-	endDialTimeout = 1500 * time.Millisecond
-	// firstEndWait is how long the dial may hold the next attempt up: a round trip within a
+	probeTimeout = 1500 * time.Millisecond
+	// firstProbeWait is how long the dial may hold the next attempt up: a round trip within a
 	// region takes a tenth of it. Where servers ended under the request before, what the dial
 	// finds decides whether there is a next attempt, and endWait is how long it may take.
-	firstEndWait = 30 * time.Millisecond
-	endWait      = 150 * time.Millisecond
-	// endLookLife is for how long a dial that was refused holds for other attempts: those of
+	firstProbeWait = 30 * time.Millisecond
+	probeWait      = 150 * time.Millisecond
+	// probeReuseWindow is for how long a dial that was refused holds for other attempts: those of
 	// one end break within milliseconds.
-	endLookLife = 200 * time.Millisecond
+	probeReuseWindow = 200 * time.Millisecond
 )
 
-// endLook is a dial after a break.
-type endLook struct {
-	began   time.Time
-	done    chan struct{}
-	refused bool // once it is done
+// crashProbe is a dial after a break.
+type crashProbe struct {
+	startedAt time.Time
+	done      chan struct{}
+	refused   bool // once it is done
 }
 
-// endLooks is the last dial after a break. The zero value is none.
-type endLooks struct {
+// crashProbes is the last dial after a break. The zero value is none.
+type crashProbes struct {
 	mu   sync.Mutex
-	last *endLook
+	last *crashProbe
 }
 
-// signAfter looks what became of the backend server after the attempt broke by an error,
+// probeCrash looks what became of the backend server after the attempt broke by an error,
 // and notes it where it ended.
-func (x *exchange) signAfter(cause error) sign {
+func (x *exchange) probeCrash(cause error) probeResult {
 	if !closedByPeer(cause) {
-		return signNone
+		return probeNotRun
 	}
-	look, end := x.backend.lookForEnd(time.Now()), x.endOfServer()
+	look, end := x.backend.probe(time.Now()), x.crash()
 	select {
 	case <-look.done:
 	case <-time.After(x.gateway.exitWait(x.request.knownServerExits)):
 		go func() {
 			<-look.done
 			if look.refused {
-				x.sawEnd(end)
+				x.recordCrash(end)
 			}
 		}()
-		return signLate
+		return probePending
 	}
 	if !look.refused {
-		return signLives
+		return probeAlive
 	}
-	x.sawEnd(end)
-	return signEnded
+	x.recordCrash(end)
+	return probeExited
 }
 
-// waitForEnd is how long an attempt waits for the dial after it, by how many ends were known
+// probeWaitAfter is how long an attempt waits for the dial after it, by how many ends were known
 // when it was sent.
-func waitForEnd(knownEnds int) time.Duration {
+func probeWaitAfter(knownEnds int) time.Duration {
 	if knownEnds == 0 {
-		return firstEndWait
+		return firstProbeWait
 	}
-	return endWait
+	return probeWait
 }
 
 // closedByPeer tells whether the other side closed or reset a connection.
@@ -108,30 +108,30 @@
 	return false
 }
 
-// holds tells whether the dial tells of an attempt that broke now: it is under way, or was
+// isReusable tells whether the dial tells of an attempt that broke now: it is under way, or was
 // refused a moment ago. One that was answered says nothing of what has ended since.
-func (l *endLook) holds(now time.Time) bool {
+func (l *crashProbe) isReusable(now time.Time) bool {
 	select {
 	case <-l.done:
-		return l.refused && now.Sub(l.began) < endLookLife
+		return l.refused && now.Sub(l.startedAt) < probeReuseWindow
 	default:
 		return true
 	}
 }
 
-// lookForEnd dials the backend server, or returns a dial of a moment ago.
-func (b *backend) lookForEnd(now time.Time) *endLook {
+// probe dials the backend server, or returns a dial of a moment ago.
+func (b *backend) probe(now time.Time) *crashProbe {
 	b.ends.mu.Lock()
 	defer b.ends.mu.Unlock()
-	if last := b.ends.last; last != nil && last.holds(now) {
+	if last := b.ends.last; last != nil && last.isReusable(now) {
 		return last
 	}
-	look := &endLook{began: now, done: make(chan struct{})}
+	look := &crashProbe{startedAt: now, done: make(chan struct{})}
 	b.ends.last = look
 	go func() {
 		defer close(look.done)
 		// The caller may leave meanwhile, and the others that wait here still want to know.
-		look.refused = b.pool.Refuses(context.Background(), endDialTimeout)
+		look.refused = b.pool.Refuses(context.Background(), probeTimeout)
 	}()
 	return look
 }
--- a/pkg/gateway/ended_test.go
+++ b/pkg/gateway/ended_test.go
@@ -30,14 +30,14 @@
 
 // Attempts that break together share a dial; one that was answered says nothing of an end
 // afterwards, and one that was refused holds for those that break with it.
-func TestLooksForAnEnd(t *testing.T) {
+func TestCrashProbe(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	b := backendAt(l.Addr().String())
 	now := time.Now()
-	first := b.lookForEnd(now)
+	first := b.probe(now)
 	<-first.done
 	if first.refused {
 		t.Error("a server that listens has ended")
@@ -45,7 +45,7 @@
 	if err := l.Close(); err != nil {
 		t.Fatal(err)
 	}
-	second := b.lookForEnd(now)
+	second := b.probe(now)
 	if second == first {
 		t.Error("a dial that was answered holds after the end")
 	}
@@ -53,7 +53,7 @@
 	if !second.refused {
 		t.Error("a port that is closed is no end")
 	}
-	if b.lookForEnd(now.Add(endLookLife/2)) != second || b.lookForEnd(now.Add(2*endLookLife)) == second {
+	if b.probe(now.Add(probeReuseWindow/2)) != second || b.probe(now.Add(2*probeReuseWindow)) == second {
 		t.Error("a refused dial holds too long, or not at all")
 	}
 }
--- a/pkg/gateway/ends_servers_test.go
+++ b/pkg/gateway/ends_servers_test.go
@@ -22,38 +22,38 @@
 )
 
 const (
-	endingBody  = "a request that ends its server"
-	popularBody = "what everybody asks"
-	// mostEnds is how many servers one request may end that comes at one gateway, one try
+	crashingBody = "a request that ends its server"
+	popularBody  = "what everybody asks"
+	// maxCrashesPerRequest is how many servers one request may end that comes at one gateway, one try
 	// after the other.
-	mostEnds = 3
+	maxCrashesPerRequest = 3
 )
 
-// mortal is a stand-in that ends when it runs a certain body: its port closes, and all its
+// crashingServer is a stand-in that ends when it runs a certain body: its port closes, and all its
 // connections.
-type mortal struct {
+type crashingServer struct {
 	*fakeBackend
-	mu    sync.Mutex
-	conns []net.Conn
-	over  bool
+	mu      sync.Mutex
+	conns   []net.Conn
+	crashed bool
 }
 
-// mortals are stand-ins that end, and how many have.
-type mortals struct {
-	all   []*mortal
-	mu    sync.Mutex
-	ended int
-	next  bool // the next request ends its server
+// crashingServers are stand-ins that end, and how many have.
+type crashingServers struct {
+	all       []*crashingServer
+	mu        sync.Mutex
+	crashes   int
+	crashNext bool // the next request ends its server
 	// status is what all others are answered with.
 	status string
 }
 
-// newMortals starts stand-ins that answer each request whole, but for the one that ends
+// newCrashingServers starts stand-ins that answer each request whole, but for the one that ends
 // them.
-func newMortals(t *testing.T, count int) *mortals {
-	m := &mortals{status: "200 OK"}
+func newCrashingServers(t *testing.T, count int) *crashingServers {
+	m := &crashingServers{status: "200 OK"}
 	for i := range count {
-		one := &mortal{}
+		one := &crashingServer{}
 		one.fakeBackend = newFakeBackendWithAccept(t, fmt.Sprintf("i-%d", i+1), m.script(one), one.accept)
 		m.all = append(m.all, one)
 	}
@@ -61,10 +61,10 @@
 }
 
 // script answers whole, but for the request that ends the server.
-func (m *mortals) script(one *mortal) responseScript {
+func (m *crashingServers) script(one *crashingServer) responseScript {
 	return func(w *bufio.Writer, r *http.Request) bool {
-		if r.ContentLength == int64(len(endingBody)) || m.takeNext() {
-			m.end(one)
+		if r.ContentLength == int64(len(crashingBody)) || m.takeCrashNext() {
+			m.crash(one)
 			return false
 		}
 		m.mu.Lock()
@@ -75,30 +75,30 @@
 	}
 }
 
-// takeNext tells whether this is the request that the next end comes with.
-func (m *mortals) takeNext() bool {
+// takeCrashNext tells whether this is the request that the next end comes with.
+func (m *crashingServers) takeCrashNext() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	next := m.next
-	m.next = false
+	next := m.crashNext
+	m.crashNext = false
 	return next
 }
 
-// end counts an end and has it come: whoever sees it finds it counted.
-func (m *mortals) end(one *mortal) {
+// crash counts an end and has it come: whoever sees it finds it counted.
+func (m *crashingServers) crash(one *crashingServer) {
 	m.mu.Lock()
-	m.ended++
+	m.crashes++
 	m.mu.Unlock()
-	one.end()
+	one.crash()
 }
 
-func (m *mortals) count() int {
+func (m *crashingServers) count() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.ended
+	return m.crashes
 }
 
-func (m *mortals) standIns() (all []*fakeBackend) {
+func (m *crashingServers) servers() (all []*fakeBackend) {
 	for _, one := range m.all {
 		all = append(all, one.fakeBackend)
 	}
@@ -106,27 +106,27 @@
 }
 
 // accept keeps a connection until the end.
-func (m *mortal) accept(conn net.Conn) {
+func (m *crashingServer) accept(conn net.Conn) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.over {
+	if m.crashed {
 		_ = conn.Close()
 	}
 	m.conns = append(m.conns, conn)
 }
 
-func (m *mortal) end() {
+func (m *crashingServer) crash() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.over = true
+	m.crashed = true
 	_ = m.listener.Close()
 	for _, conn := range m.conns {
 		_ = conn.Close()
 	}
 }
 
-// tryOf sends a try of a request with a body and returns the status.
-func (f *fixture) tryOf(t *testing.T, id, body string, change func(*http.Request)) int {
+// try sends a try of a request with a body and returns the status.
+func (f *fixture) try(t *testing.T, id, body string, change func(*http.Request)) int {
 	t.Helper()
 	r := f.request(t, http.MethodPost, id, body)
 	if change != nil {
@@ -136,78 +136,78 @@
 	return status
 }
 
-// endThree has a request end servers until it may no more.
-func (f *fixture) endThree(t *testing.T, m *mortals) {
+// quarantineRequest has a request end servers until it may no more.
+func (f *fixture) quarantineRequest(t *testing.T, m *crashingServers) {
 	t.Helper()
 	const tries = 20
 	for i := range tries {
-		f.tryOf(t, fmt.Sprintf("ending-%d", i), endingBody, nil)
+		f.try(t, fmt.Sprintf("ending-%d", i), crashingBody, nil)
 	}
-	if n := m.count(); n != mostEnds {
-		t.Fatalf("%d tries of one request ended %d servers; %d may end", tries, n, mostEnds)
+	if n := m.count(); n != maxCrashesPerRequest {
+		t.Fatalf("%d tries of one request ended %d servers; %d may end", tries, n, maxCrashesPerRequest)
 	}
 }
 
-func TestRequestThatEndsServers(t *testing.T) {
+func TestRequestThatCrashesServers(t *testing.T) {
 	for _, kind := range []serviceconfig.Kind{serviceconfig.Repeatable, serviceconfig.Once} {
 		t.Run("that is "+string(kind), func(t *testing.T) {
-			m := newMortals(t, 8)
-			f := newFixture(t, kind, false, m.standIns()...)
-			f.endThree(t, m)
-			if status := f.tryOf(t, "more", endingBody, nil); status != http.StatusServiceUnavailable {
+			m := newCrashingServers(t, 8)
+			f := newFixture(t, kind, false, m.servers()...)
+			f.quarantineRequest(t, m)
+			if status := f.try(t, "more", crashingBody, nil); status != http.StatusServiceUnavailable {
 				t.Errorf("status %d for a request that is kept away from servers", status)
 			}
-			if status := f.tryOf(t, "other", "another order", nil); status != http.StatusOK {
+			if status := f.try(t, "other", "another order", nil); status != http.StatusOK {
 				t.Errorf("status %d for another request", status)
 			}
 		})
 	}
-	t.Run("of another organisation", testSameBodyOfAnother)
-	t.Run("whose tries carry the last event", testTriesDiffer)
+	t.Run("of another organisation", testOtherOrganisation)
+	t.Run("whose tries carry the last event", testTryWithOtherHeaders)
 	for _, status := range []string{"200 OK", "404 Not Found", "500 Internal Server Error"} {
-		t.Run("beside one that everybody asks, answered with "+status, func(t *testing.T) { testPopularIsServed(t, status) })
+		t.Run("beside one that everybody asks, answered with "+status, func(t *testing.T) { testPopularRequestIsServed(t, status) })
 	}
-	t.Run("and servers that live on", testBrokenOffIsNoEnd)
+	t.Run("and servers that live on", testAbortedAnswerIsNoCrash)
 }
 
 // The same path and body by another organisation is another request.
-func testSameBodyOfAnother(t *testing.T) {
-	m := newMortals(t, 8)
-	f := newFixture(t, serviceconfig.Repeatable, false, m.standIns()...)
-	f.endThree(t, m)
-	f.tryOf(t, "theirs", endingBody, func(r *http.Request) { r.Header.Set(headerKey, "k2") })
-	if m.count() == mostEnds {
+func testOtherOrganisation(t *testing.T) {
+	m := newCrashingServers(t, 8)
+	f := newFixture(t, serviceconfig.Repeatable, false, m.servers()...)
+	f.quarantineRequest(t, m)
+	f.try(t, "theirs", crashingBody, func(r *http.Request) { r.Header.Set(headerKey, "k2") })
+	if m.count() == maxCrashesPerRequest {
 		t.Error("the request of another organisation was kept away from servers")
 	}
 }
 
-func testTriesDiffer(t *testing.T) {
-	m := newMortals(t, 8)
-	f := newFixture(t, serviceconfig.Repeatable, false, m.standIns()...)
-	f.endThree(t, m)
-	f.tryOf(t, "again", endingBody, func(r *http.Request) {
+func testTryWithOtherHeaders(t *testing.T) {
+	m := newCrashingServers(t, 8)
+	f := newFixture(t, serviceconfig.Repeatable, false, m.servers()...)
+	f.quarantineRequest(t, m)
+	f.try(t, "again", crashingBody, func(r *http.Request) {
 		r.Header.Set(headerLastEvent, "7")
 		r.Header.Set(headerDeadline, "900")
 	})
-	if n := m.count(); n != mostEnds {
+	if n := m.count(); n != maxCrashesPerRequest {
 		t.Errorf("a try with another deadline and last event ended a server: %d", n)
 	}
 }
 
 // Each end takes the popular request with it, and it is served all the same: it has run
 // whole elsewhere.
-func testPopularIsServed(t *testing.T, status string) {
-	m := newMortals(t, 12)
+func testPopularRequestIsServed(t *testing.T, status string) {
+	m := newCrashingServers(t, 12)
 	m.mu.Lock()
 	m.status = status
 	m.mu.Unlock()
-	f := newFixture(t, serviceconfig.Repeatable, false, m.standIns()...)
+	f := newFixture(t, serviceconfig.Repeatable, false, m.servers()...)
 	const runs, ends = 30, 5
 	for i := range runs {
 		if i%(runs/ends) == 1 {
-			m.endNext()
+			m.crashOnNext()
 		}
-		if got := f.tryOf(t, fmt.Sprintf("popular-%d", i), popularBody, nil); !strings.HasPrefix(status, fmt.Sprint(got)) {
+		if got := f.try(t, fmt.Sprintf("popular-%d", i), popularBody, nil); !strings.HasPrefix(status, fmt.Sprint(got)) {
 			t.Errorf("try %d: status %d", i, got)
 		}
 	}
@@ -216,15 +216,15 @@
 	}
 }
 
-// endNext has the server end that runs the next request.
-func (m *mortals) endNext() {
+// crashOnNext has the server end that runs the next request.
+func (m *crashingServers) crashOnNext() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.next = true
+	m.crashNext = true
 }
 
 // Servers that break an answer off and live on are no reason to keep a request away.
-func testBrokenOffIsNoEnd(t *testing.T) {
+func testAbortedAnswerIsNoCrash(t *testing.T) {
 	breaks := 6
 	var mu sync.Mutex
 	script := func(w *bufio.Writer, r *http.Request) bool {
@@ -244,7 +244,7 @@
 	f := newFixture(t, serviceconfig.Repeatable, false, servers...)
 	var last int
 	for i := 0; i < 10 && last != http.StatusOK; i++ {
-		last = f.tryOf(t, fmt.Sprintf("a-%d", i), strings.Repeat("x", 9), nil)
+		last = f.try(t, fmt.Sprintf("a-%d", i), strings.Repeat("x", 9), nil)
 	}
 	if last != http.StatusOK {
 		t.Errorf("status %d after servers broke answers off", last)
--- a/pkg/gateway/gateway.go
+++ b/pkg/gateway/gateway.go
@@ -114,9 +114,9 @@
 		suspension: suspension.New(), stop: newGracefulStop(),
 		budget:     newRetryBudget(s.RetryRatio(), s.RetryReserve(), s.RetryWindow()),
 		metrics:    newMetrics(process.Registry),
-		quarantine: quarantine.NewTable(nil), publishLimiter: rate.NewLimiter(endsTold, endsToldAtOnce),
-		tester: quarantine.Tester(process.Identity), trialLimiter: rate.NewLimiter(trialsAsked, 1),
-		limitLogLimiter: rate.NewLimiter(limitLines, limitLinesAtOnce),
+		quarantine: quarantine.NewTable(nil), publishLimiter: rate.NewLimiter(crashReportRate, crashReportBurst),
+		tester: quarantine.TesterID(process.Identity), trialLimiter: rate.NewLimiter(trialRequestRate, 1),
+		limitLogLimiter: rate.NewLimiter(limitLogRate, limitLogBurst),
 	}
 	g.seeds = daemon.NewSeeds(settingsPath, s, settings.LoadGateway, process.Logger)
 	g.follower = &feed.Follower{
@@ -129,7 +129,7 @@
 		Records:        g.quarantine.Records,
 		Logger:         process.Logger,
 	}
-	g.exitWait = waitForEnd
+	g.exitWait = probeWaitAfter
 	g.publishRecords, g.requestTrial = g.follower.ReportRecords, g.follower.RequestTrial
 	g.suspension.OnResume(g.onResume)
 	g.suspension.OnResume(process.LogSuspension)
@@ -138,7 +138,7 @@
 	g.askLender = g.callLender
 	g.limitOwners = g.newOwners()
 	process.Endpoint.Handle(link.KindPermit, g.servePermit)
-	process.Endpoint.Handle(link.KindPermitReport, g.serveReport)
+	process.Endpoint.Handle(link.KindPermitReport, g.servePermitReport)
 	process.Endpoint.Handle(link.KindRepeat, g.serveRetryLoan)
 	return g, nil
 }
@@ -156,7 +156,7 @@
 		feed.LogVersionChanges(g.process.Logger, moves, string(feed.RoleNode), address)
 		g.watchdogs.checkNow()
 	}
-	g.learnRecords(u.Records())
+	g.mergeRecords(u.Records())
 	g.inheritBudget(u.RetryUsage())
 	d := u.Document()
 	if d == nil || !g.index.Raise(*d) {
@@ -238,7 +238,7 @@
 		g.backends.sweep()
 		g.quarantine.Sweep()
 		g.limitOwners.sweep()
-		g.metrics.quarantined.Set(float64(g.quarantine.Barred()))
+		g.metrics.quarantined.Set(float64(g.quarantine.CountQuarantined()))
 		g.metrics.limitedServers.Set(float64(g.limitedBackends()))
 	})
 }
--- a/pkg/gateway/handler.go
+++ b/pkg/gateway/handler.go
@@ -63,7 +63,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	q.readAt = time.Now()
-	q.fingerprint = quarantine.Of(q.content())
+	q.fingerprint = quarantine.NewFingerprint(q.content())
 	done, f := g.admit(q)
 	if f != nil {
 		g.refuse(q, f)
@@ -245,12 +245,12 @@
 
 // checkMayAttempt returns why no further attempt may be made; nil if one may.
 func (g *Gateway) checkMayAttempt(q *request, dials int) *failure.Failure {
-	exits := g.quarantine.Ends(q.fingerprint)
+	exits := g.quarantine.Crashes(q.fingerprint)
 	stopFailure := g.checkStop(q)
 	switch {
 	case !q.mayRun(exits):
-		return endsServers(q, exits)
-	case q.liveness == signEnded && exits > 1:
+		return quarantinedFailure(q, exits)
+	case q.liveness == probeExited && exits > 1:
 		return q.exhausted("%d backend servers exited while running this request; last: %s", exits, q.lastAttempt)
 	case stopFailure != nil:
 		return stopFailure
@@ -303,7 +303,7 @@
 // pick chooses a backend server for the next attempt. A request that no engine would begin in
 // time is refused at once, since it is more likely to succeed when its caller retries.
 func (g *Gateway) pick(q *request) (*backend, *failure.Failure) {
-	if b := q.reserved.Swap(nil); b != nil && g.isPermitted(q, b) {
+	if b := q.reserved.Swap(nil); b != nil && g.acquirePermit(q, b) {
 		return b, nil
 	}
 	w := g.criteriaFor(q)
@@ -314,7 +314,7 @@
 	if q.mayHaveRun {
 		return nil, failure.New(failure.OutcomeUnknown, "no other backend server; last: %s", q.lastAttempt)
 	}
-	if f := g.limitsSpent(q, w); f != nil {
+	if f := g.exhaustedLimits(q, w); f != nil {
 		return nil, f
 	}
 	if allFull {
--- a/pkg/gateway/limit_fleet_test.go
+++ b/pkg/gateway/limit_fleet_test.go
@@ -25,17 +25,17 @@
 
 const (
 	// A run of many gateways takes seconds; of a short one a permit more or less is a tenth.
-	fleetRun, smallFleetRun = 16 * time.Second, 40 * time.Second
-	// wayBetween is the longest way between two gateways, or to the server.
-	wayBetween = 6 * time.Millisecond
+	largeFleetDuration, smallFleetDuration = 16 * time.Second, 40 * time.Second
+	// maxLinkDelay is the longest way between two gateways, or to the server.
+	maxLinkDelay = 6 * time.Millisecond
 	// The users' rule: no more in a window than half as much again as named, and some.
-	ruleWindow = 4 * time.Second
-	ruleFactor = 1.5
-	ruleSlack  = 5
-	// toldFor is how long a gateway has known of the limit when its requests count.
-	toldFor = 500 * time.Millisecond
-	// useFrom the start on a limit is to be used: all gateways have heard of it by then.
-	useFrom = 2 * time.Second
+	limitWindow   = 4 * time.Second
+	allowedFactor = 1.5
+	allowedSlack  = 5
+	// minKnownFor is how long a gateway has known of the limit when its requests count.
+	minKnownFor = 500 * time.Millisecond
+	// warmUp the start on a limit is to be used: all gateways have heard of it by then.
+	warmUp = 2 * time.Second
 )
 
 // fleetMember is one gateway of the fleet: its process, and the server as seen there.
@@ -44,10 +44,10 @@
 	processes       []*Gateway // that have not begun: their making listens to signals
 	gateway         *Gateway
 	backend         *backend
-	born            time.Time
+	startedAt       time.Time
 	down, frozen    bool
-	late            float64 // the part of its answers that come too late
-	apart           bool    // its links to those that are not are cut
+	lateShare       float64 // the part of its answers that come too late
+	isolated        bool    // its links to those that are not are cut
 }
 
 // limitFleet is gateways before one server that names a limit.
@@ -56,55 +56,55 @@
 	perSecond float64
 	demand    float64 // requests for the server a second that come to each gateway
 
-	drawing sync.Mutex
-	random  *rand.Rand
+	randomMu sync.Mutex
+	random   *rand.Rand
 
-	mu       sync.Mutex
-	members  []*fleetMember
-	listed   map[string]feed.Peer
-	arrivals []time.Time // that count
-	sent     int         // from useFrom after the start on
-	began    time.Time
-	lasts    time.Duration
-	over     bool // the server names no limit any more
-	free     int  // what came without a permit since
+	mu          sync.Mutex
+	members     []*fleetMember
+	listed      map[string]feed.Peer
+	arrivals    []time.Time // that count
+	sent        int         // from useFrom after the start on
+	runStart    time.Time
+	duration    time.Duration
+	ended       bool // the server names no limit any more
+	unpermitted int  // what came without a permit since
 }
 
-var errCut = errors.New("no way there")
+var errUnreachable = errors.New("no way there")
 
 // newLimitFleet returns a fleet whose gateways have not begun.
 func newLimitFleet(t *testing.T, gateways int, perSecond, demand float64) *limitFleet {
 	f := &limitFleet{t: t, perSecond: perSecond, demand: demand, listed: map[string]feed.Peer{}, random: rand.New(rand.NewPCG(1, 2))}
 	for i := range gateways {
 		m := &fleetMember{address: fmt.Sprintf("127.0.%d.%d:7700", i/200, i%200+1), domain: fmt.Sprintf("hall-%c", 'a'+i%3)}
-		m.processes = append(m.processes, f.process(m))
+		m.processes = append(m.processes, f.newProcess(m))
 		f.members = append(f.members, m)
 		f.listed[m.address] = feed.NewPeer(m.address, m.domain, "", "", false, true)
 	}
-	for range ownerStarts {
+	for range maxOwnerRestarts {
 		owner := f.owner()
-		owner.processes = append(owner.processes, f.process(owner))
+		owner.processes = append(owner.processes, f.newProcess(owner))
 	}
 	return f
 }
 
-// ownerStarts is how often the owner may start again.
-const ownerStarts = 30
+// maxOwnerRestarts is how often the owner may start again.
+const maxOwnerRestarts = 30
 
 // draw draws a number by the fixed seed.
 func (f *limitFleet) draw(by func(*rand.Rand) float64) float64 {
-	f.drawing.Lock()
-	defer f.drawing.Unlock()
+	f.randomMu.Lock()
+	defer f.randomMu.Unlock()
 	return by(f.random)
 }
 
-// travel waits for as long as a way takes.
-func (f *limitFleet) travel() {
-	time.Sleep(time.Duration(f.draw((*rand.Rand).Float64) * float64(wayBetween)))
+// linkDelay waits for as long as a way takes.
+func (f *limitFleet) linkDelay() {
+	time.Sleep(time.Duration(f.draw((*rand.Rand).Float64) * float64(maxLinkDelay)))
 }
 
-// process returns a gateway at an address, whose links are calls.
-func (f *limitFleet) process(m *fleetMember) *Gateway {
+// newProcess returns a gateway at an address, whose links are calls.
+func (f *limitFleet) newProcess(m *fleetMember) *Gateway {
 	return newGateway(f.t, fmt.Sprintf(`
 vm: {name: gateway, region: north, failure_domain: %q}
 peers: {listen: %q}
@@ -114,14 +114,14 @@
 `, m.domain, m.address))
 }
 
-// begin begins a process of a member.
-func (f *limitFleet) begin(m *fleetMember) {
+// startProcess begins a process of a member.
+func (f *limitFleet) startProcess(m *fleetMember) {
 	g := m.processes[0]
 	m.processes = m.processes[1:]
 	r := registry.NewRegistration("e-1", "menu", "10.1.0.1:80", "hall-a", "v1", 4, registry.Ready, 0, nil, 1, 0)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	m.gateway, m.backend, m.born, m.down = g, newBackend(r), time.Now(), false
+	m.gateway, m.backend, m.startedAt, m.down = g, newBackend(r), time.Now(), false
 	o := g.limitOwners
 	o.listed = func() map[string]feed.Peer {
 		f.mu.Lock()
@@ -132,34 +132,34 @@
 		}
 		return all
 	}
-	o.ask = func(ctx context.Context, address string, a serverlimit.Ask) (serverlimit.Answer, error) {
-		to, err := f.way(ctx, m, address)
+	o.ask = func(ctx context.Context, address string, a serverlimit.PermitRequest) (serverlimit.PermitResponse, error) {
+		to, err := f.connect(ctx, m, address)
 		if err != nil {
-			return serverlimit.Answer{}, err
+			return serverlimit.PermitResponse{}, err
 		}
 		answer := to.answerPermit(ctx, a)
-		_, err = f.way(ctx, m, address)
+		_, err = f.connect(ctx, m, address)
 		return answer, err
 	}
-	o.tell = func(ctx context.Context, address string, r serverlimit.Report) error {
-		to, err := f.way(ctx, m, address)
+	o.report = func(ctx context.Context, address string, r serverlimit.PermitReport) error {
+		to, err := f.connect(ctx, m, address)
 		if err == nil {
-			to.limitOwners.limiter.Hear(time.Now(), r)
+			to.limitOwners.limiter.ApplyReport(time.Now(), r)
 		}
 		return err
 	}
 }
 
-// way waits for as long as the way from a member to an address takes, and returns the
+// connect waits for as long as the way from a member to an address takes, and returns the
 // process there; where nothing comes through, until the context ends.
-func (f *limitFleet) way(ctx context.Context, from *fleetMember, address string) (*Gateway, error) {
+func (f *limitFleet) connect(ctx context.Context, from *fleetMember, address string) (*Gateway, error) {
 	f.mu.Lock()
 	i := slices.IndexFunc(f.members, func(m *fleetMember) bool { return m.address == address })
 	var to *Gateway
 	silent := false
 	if i >= 0 {
 		m := f.members[i]
-		to, silent = m.gateway, m.frozen || m.apart != from.apart || f.draw((*rand.Rand).Float64) < m.late
+		to, silent = m.gateway, m.frozen || m.isolated != from.isolated || f.draw((*rand.Rand).Float64) < m.lateShare
 		if m.down {
 			to = nil
 		}
@@ -169,30 +169,30 @@
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	f.travel()
+	f.linkDelay()
 	if to == nil {
-		return nil, errCut
+		return nil, errUnreachable
 	}
 	return to, ctx.Err()
 }
 
-// callers has requests for the server come to a member until the context ends.
-func (f *limitFleet) callers(ctx context.Context, m *fleetMember) {
+// sendRequests has requests for the server come to a member until the context ends.
+func (f *limitFleet) sendRequests(ctx context.Context, m *fleetMember) {
 	for ctx.Err() == nil {
 		time.Sleep(time.Duration(f.draw((*rand.Rand).ExpFloat64) / f.demand * float64(time.Second)))
 		f.mu.Lock()
 		g, b, still := m.gateway, m.backend, m.down || m.frozen
 		f.mu.Unlock()
 		if !still {
-			f.request(ctx, m, g, b)
+			f.sendRequest(ctx, m, g, b)
 		}
 	}
 }
 
-// request sends one request to the server if it may be sent.
-func (f *limitFleet) request(ctx context.Context, m *fleetMember, g *Gateway, b *backend) {
+// sendRequest sends one request to the server if it may be sent.
+func (f *limitFleet) sendRequest(ctx context.Context, m *fleetMember, g *Gateway, b *backend) {
 	q := &request{ctx: ctx}
-	if b.load(time.Now()).isHeldBack(time.Now()) || !g.isPermitted(q, b) {
+	if b.load(time.Now()).isHeldBack(time.Now()) || !g.acquirePermit(q, b) {
 		return
 	}
 	p, permitted := q.takePermit(b)
@@ -200,41 +200,41 @@
 		return
 	}
 	sent := time.Now()
-	f.travel()
+	f.linkDelay()
 	f.mu.Lock()
 	if m.gateway != g {
 		f.mu.Unlock()
 		return
 	}
-	if time.Since(f.began) > useFrom {
+	if time.Since(f.runStart) > warmUp {
 		f.sent++
 	}
-	if f.over && p == nil {
-		f.free++
+	if f.ended && p == nil {
+		f.unpermitted++
 	}
 	b.mu.Lock()
-	told := b.limit.named
+	told := b.limit.active
 	b.mu.Unlock()
-	if told && time.Since(m.born) > toldFor && !f.over {
+	if told && time.Since(m.startedAt) > minKnownFor && !f.ended {
 		f.arrivals = append(f.arrivals, time.Now())
 	}
-	over := f.over
+	over := f.ended
 	f.mu.Unlock()
 	x := &exchange{gateway: g, request: q, backend: b, permit: p, started: sent}
-	answer := ResponseHead{FromBackend: true, Limit: serverlimit.Read([]string{fmt.Sprint(f.perSecond)})}
+	answer := ResponseHead{FromBackend: true, Limit: serverlimit.ParseHeader([]string{fmt.Sprint(f.perSecond)})}
 	if over {
-		answer.Limit = serverlimit.Read(nil)
+		answer.Limit = serverlimit.ParseHeader(nil)
 	}
-	x.hearLimit(answer)
+	x.updateLimit(answer)
 }
 
-// worst returns the most arrivals in a window of the rule.
-func (f *limitFleet) worst() (most int) {
+// maxInWindow returns the most arrivals in a window of the rule.
+func (f *limitFleet) maxInWindow() (most int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	first := 0
 	for i, at := range f.arrivals {
-		for at.Sub(f.arrivals[first]) > ruleWindow {
+		for at.Sub(f.arrivals[first]) > limitWindow {
 			first++
 		}
 		most = max(most, i-first+1)
@@ -244,7 +244,7 @@
 
 // used returns how much of the limit was used.
 func (f *limitFleet) used() float64 {
-	return float64(f.sent) / (f.perSecond * (f.lasts - useFrom).Seconds())
+	return float64(f.sent) / (f.perSecond * (f.duration - warmUp).Seconds())
 }
 
 // fleetFaults are what happens to the gateways.
@@ -260,55 +260,55 @@
 	{"the owner is killed every 1.5 s", 0.4, func(f *limitFleet, ctx context.Context) {
 		f.every(ctx, 1500*time.Millisecond, func() {
 			owner := f.owner()
-			f.set(func() { owner.down = true })
+			f.locked(func() { owner.down = true })
 			time.Sleep(700 * time.Millisecond)
-			f.begin(owner)
+			f.startProcess(owner)
 		})
 	}},
 	{"the owner stands still for 2 s of 4", 0.4, func(f *limitFleet, ctx context.Context) {
 		f.every(ctx, 2*time.Second, func() {
 			owner := f.owner()
-			f.set(func() { owner.frozen = true })
+			f.locked(func() { owner.frozen = true })
 			time.Sleep(2 * time.Second)
-			f.set(func() { owner.frozen = false })
+			f.locked(func() { owner.frozen = false })
 		})
 	}},
 	{"a failure domain without the server is cut off for 6 s of 8", 0.8, func(f *limitFleet, ctx context.Context) {
 		f.every(ctx, 2*time.Second, func() {
-			f.set(func() { f.cut("hall-b", true) })
+			f.locked(func() { f.isolate("hall-b", true) })
 			time.Sleep(6 * time.Second)
-			f.set(func() { f.cut("hall-b", false) })
+			f.locked(func() { f.isolate("hall-b", false) })
 		})
 	}},
 	{"the server's failure domain is cut off for 6 s of 8", 0.8, func(f *limitFleet, ctx context.Context) {
 		f.every(ctx, 2*time.Second, func() {
-			f.set(func() { f.cut("hall-a", true) })
+			f.locked(func() { f.isolate("hall-a", true) })
 			time.Sleep(6 * time.Second)
-			f.set(func() { f.cut("hall-a", false) })
+			f.locked(func() { f.isolate("hall-a", false) })
 		})
 	}},
 	{"all of the server's failure domain end, and stay listed", 0.4, func(f *limitFleet, _ context.Context) {
-		time.Sleep(useFrom)
-		f.set(func() {
+		time.Sleep(warmUp)
+		f.locked(func() {
 			for _, m := range f.members {
 				m.down = m.domain == "hall-a"
 			}
 		})
 	}},
 	{"half of the owner's answers are late", 0.2, func(f *limitFleet, _ context.Context) {
-		f.set(func() { f.owner().late = 0.5 })
+		f.locked(func() { f.owner().lateShare = 0.5 })
 	}},
 	{"a control node that has just started lists a third", 0.8, func(f *limitFleet, ctx context.Context) {
 		f.every(ctx, 2*time.Second, func() {
 			all := f.listed
-			f.set(func() { f.listed = aThird(all) })
+			f.locked(func() { f.listed = firstThird(all) })
 			time.Sleep(time.Second)
-			f.set(func() { f.listed = all })
+			f.locked(func() { f.listed = all })
 		})
 	}},
 }
 
-func aThird(all map[string]feed.Peer) map[string]feed.Peer {
+func firstThird(all map[string]feed.Peer) map[string]feed.Peer {
 	some := map[string]feed.Peer{}
 	for address, peer := range all {
 		if len(some) < (len(all)+2)/3 {
@@ -318,15 +318,15 @@
 	return some
 }
 
-func (f *limitFleet) set(change func()) {
+func (f *limitFleet) locked(change func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	change()
 }
 
-func (f *limitFleet) cut(domain string, apart bool) {
+func (f *limitFleet) isolate(domain string, apart bool) {
 	for _, m := range f.members {
-		m.apart = apart && m.domain == domain
+		m.isolated = apart && m.domain == domain
 	}
 }
 
@@ -336,7 +336,7 @@
 	for _, m := range f.members {
 		all = append(all, serverlimit.Gateway{Address: m.address, Domain: m.domain})
 	}
-	first := serverlimit.Owners(serverlimit.NewServer("e-1", 0, "hall-a"), all)[0]
+	first := serverlimit.RankOwners(serverlimit.NewServer("e-1", 0, "hall-a"), all)[0]
 	return f.members[slices.IndexFunc(f.members, func(m *fleetMember) bool { return m.address == first.Address })]
 }
 
@@ -353,26 +353,26 @@
 func (f *limitFleet) run(do func(f *limitFleet, ctx context.Context), during time.Duration) {
 	ctx, cancel := context.WithTimeout(context.Background(), during)
 	defer cancel()
-	f.began, f.lasts = time.Now(), during
+	f.runStart, f.duration = time.Now(), during
 	for _, m := range f.members {
-		f.begin(m)
+		f.startProcess(m)
 	}
 	var under sync.WaitGroup
 	for _, m := range f.members {
-		under.Go(func() { f.callers(ctx, m) })
+		under.Go(func() { f.sendRequests(ctx, m) })
 	}
 	under.Go(func() { do(f, ctx) })
 	under.Wait()
 	// The reports under way end.
-	time.Sleep(2 * reportTimeout)
+	time.Sleep(2 * permitReportTimeout)
 }
 
-func TestLimitIsKeptByAllGateways(t *testing.T) {
+func TestLimitHoldsAcrossGateways(t *testing.T) {
 	for _, fault := range fleetFaults {
 		for _, gateways := range []int{2, 6, 149} {
-			limits, lasts := []float64{0, 1, 1.9, 20}, smallFleetRun
+			limits, lasts := []float64{0, 1, 1.9, 20}, smallFleetDuration
 			if gateways > 100 {
-				limits, lasts = []float64{1, 20}, fleetRun
+				limits, lasts = []float64{1, 20}, largeFleetDuration
 			}
 			for _, perSecond := range limits {
 				t.Run(fmt.Sprintf("%s/%d/%g", fault.name, gateways, perSecond), func(t *testing.T) {
@@ -380,9 +380,9 @@
 					f := newLimitFleet(t, gateways, perSecond, max(10*perSecond/float64(gateways), 2))
 					synctest.Test(t, func(t *testing.T) {
 						f.run(fault.do, lasts)
-						allowed := int(ruleFactor*ruleWindow.Seconds()*perSecond) + ruleSlack
-						if most := f.worst(); most > allowed {
-							t.Errorf("%d requests in %s, %d allowed", most, ruleWindow, allowed)
+						allowed := int(allowedFactor*limitWindow.Seconds()*perSecond) + allowedSlack
+						if most := f.maxInWindow(); most > allowed {
+							t.Errorf("%d requests in %s, %d allowed", most, limitWindow, allowed)
 						}
 						if used := f.used(); used < fault.used && perSecond > 0 {
 							t.Errorf("%.2f of the limit was used, %.2f is the aim", used, fault.used)
@@ -396,17 +396,17 @@
 
 // Once the server names nothing any more all gateways send what they like within seconds,
 // also where a limit of one request in seconds lets few of them hear it themselves.
-func TestEndOfALimitReachesAllGateways(t *testing.T) {
+func TestEndOfLimitReachesAllGateways(t *testing.T) {
 	for _, perSecond := range []float64{0, 1, 20} {
 		const gateways, demand = 149, 2.0
 		f := newLimitFleet(t, gateways, perSecond, demand)
 		synctest.Test(t, func(t *testing.T) {
 			f.run(func(f *limitFleet, ctx context.Context) {
-				time.Sleep(fleetRun / 2)
-				f.set(func() { f.over = true })
-			}, fleetRun)
-			if most := gateways * demand * fleetRun.Seconds() / 2; float64(f.free) < most/2 {
-				t.Errorf("%d requests came freely after the end of %g a second, of %.0f", f.free, perSecond, most)
+				time.Sleep(largeFleetDuration / 2)
+				f.locked(func() { f.ended = true })
+			}, largeFleetDuration)
+			if most := gateways * demand * largeFleetDuration.Seconds() / 2; float64(f.unpermitted) < most/2 {
+				t.Errorf("%d requests came freely after the end of %g a second, of %.0f", f.unpermitted, perSecond, most)
 			}
 		})
 	}
--- a/pkg/gateway/limit_heard.go
+++ b/pkg/gateway/limit_heard.go
@@ -14,40 +14,40 @@
 )
 
 const (
-	// limitLines bounds the log lines on limits a second, and limitLinesAtOnce those of one
+	// limitLogRate bounds the log lines on limits a second, and limitLinesAtOnce those of one
 	// moment: each server in need has one when it begins, changes its number or ends.
-	limitLines       = 2
-	limitLinesAtOnce = 64
+	limitLogRate  = 2
+	limitLogBurst = 64
 )
 
-// heardLimit is the limit of one backend server as heard here. The backend's lock guards it.
-type heardLimit struct {
-	named     bool
-	perSecond float64
-	news      bool      // its owner was not told yet
-	sent      time.Time // the request whose answer named it
-	over      time.Time // when its owner said last that it was
-	nextAt    time.Time // when there is the next permit, as its owner said last
-	heldUntil time.Time // the owner is not asked before
+// limitState is the limit of one backend server as heard here. The backend's lock guards it.
+type limitState struct {
+	active        bool
+	perSecond     float64
+	unreported    bool      // its owner was not told yet
+	requestSentAt time.Time // the request whose answer named it
+	endedAt       time.Time // when its owner said last that it was
+	nextPermitAt  time.Time // when there is the next permit, as its owner said last
+	heldUntil     time.Time // the owner is not asked before
 }
 
-// hear takes what the answer to a request sent at a moment says, and tells whether that is
+// update takes what the answer to a request sent at a moment says, and tells whether that is
 // news. That a limit is over is for its owner to say: answers overtake one another, and one
 // to a request sent before the owner said so is older.
-func (l *heardLimit) hear(s serverlimit.Saying, sent time.Time) (news bool) {
-	if s.Kind() != serverlimit.Named || !l.named && sent.Before(l.over) {
+func (l *limitState) update(s serverlimit.AdvertisedLimit, sent time.Time) (news bool) {
+	if s.Kind() != serverlimit.Valid || !l.active && sent.Before(l.endedAt) {
 		return false
 	}
-	if l.named && l.perSecond == s.PerSecond() {
+	if l.active && l.perSecond == s.PerSecond() {
 		return false
 	}
-	l.named, l.perSecond, l.news, l.sent = true, s.PerSecond(), true, sent
+	l.active, l.perSecond, l.unreported, l.requestSentAt = true, s.PerSecond(), true, sent
 	return true
 }
 
-// hearLimit takes what an answer says of its backend server's limit. What became of a
+// updateLimit takes what an answer says of its backend server's limit. What became of a
 // permit is told to its owner where it did not know.
-func (x *exchange) hearLimit(told ResponseHead) {
+func (x *exchange) updateLimit(told ResponseHead) {
 	if told.Limit.Kind() == serverlimit.None && x.permit == nil {
 		// Nearly all answers: nothing is said, and nothing was granted.
 		return
@@ -56,27 +56,27 @@
 		return
 	}
 	x.backend.mu.Lock()
-	news := x.backend.limit.hear(told.Limit, x.started)
+	news := x.backend.limit.update(told.Limit, x.started)
 	x.backend.mu.Unlock()
 	if news {
 		x.gateway.logLimit(x.backend, told.Limit)
 	}
 	switch {
 	case x.permit == nil:
-	case told.Limit.Kind() == serverlimit.Named && told.Limit.PerSecond() != x.permit.perSecond:
-		x.gateway.report(x.permit, serverlimit.StillNamed, told.Limit.PerSecond())
+	case told.Limit.Kind() == serverlimit.Valid && told.Limit.PerSecond() != x.permit.perSecond:
+		x.gateway.reportPermit(x.permit, serverlimit.LimitAdvertised, told.Limit.PerSecond())
 	case told.Limit.Kind() == serverlimit.None && told.FromBackend:
-		x.gateway.report(x.permit, serverlimit.NotNamed, 0)
+		x.gateway.reportPermit(x.permit, serverlimit.NoLimitAdvertised, 0)
 	}
 }
 
-func (g *Gateway) logLimit(b *backend, s serverlimit.Saying) {
+func (g *Gateway) logLimit(b *backend, s serverlimit.AdvertisedLimit) {
 	if !g.limitLogLimiter.Allow() {
 		return
 	}
 	word := b.latestRegistration()
 	message := "backend server names a limit"
-	if s.Kind() != serverlimit.Named {
+	if s.Kind() != serverlimit.Valid {
 		message = "backend server names no limit any more"
 	}
 	_ = level.Info(g.process.Logger).Log("msg", message, "backend", word.Incarnation(), "service", word.Service(),
@@ -97,49 +97,49 @@
 func (b *backend) isLimited() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.limit.named
+	return b.limit.active
 }
 
-// asksPermit returns the question for a permit; false where none is needed.
-func (b *backend) asksPermit() (a serverlimit.Ask, limited bool) {
+// permitRequest returns the question for a permit; false where none is needed.
+func (b *backend) permitRequest() (a serverlimit.PermitRequest, limited bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if !b.limit.named {
+	if !b.limit.active {
 		return a, false
 	}
 	r := b.registration
 	server := serverlimit.NewServer(r.Incarnation(), r.StartedAt(), r.Domain())
-	return serverlimit.NewAsk(server, b.limit.perSecond, b.limit.news, time.Since(b.limit.sent)), true
+	return serverlimit.NewPermitRequest(server, b.limit.perSecond, b.limit.unreported, time.Since(b.limit.requestSentAt)), true
 }
 
-// limitOver notes that the owner of the limit says that it is over, and tells whether that
+// endLimit notes that the owner of the limit says that it is over, and tells whether that
 // is news. What was heard since the owner was asked is newer.
-func (b *backend) limitOver(asked serverlimit.Ask, now time.Time) (news bool) {
+func (b *backend) endLimit(asked serverlimit.PermitRequest, now time.Time) (news bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if !b.limit.named || b.limit.news && !asked.News() {
+	if !b.limit.active || b.limit.unreported && !asked.Changed() {
 		return false
 	}
-	b.limit = heardLimit{over: now}
+	b.limit = limitState{endedAt: now}
 	return true
 }
 
-// limitTold notes that the owner of the limit knows it as it was told.
-func (b *backend) limitTold(asked serverlimit.Ask) {
+// markLimitReported notes that the owner of the limit knows it as it was told.
+func (b *backend) markLimitReported(asked serverlimit.PermitRequest) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.limit.perSecond == asked.PerSecond() {
-		b.limit.news = false
+		b.limit.unreported = false
 	}
 }
 
-// longestHold bounds how long an owner is not asked again: the limit may rise or end long
+// maxHold bounds how long an owner is not asked again: the limit may rise or end long
 // before the next permit of a low one.
-const longestHold = time.Second
+const maxHold = time.Second
 
 // holdBack has the backend server get nothing from here until its next permit.
 func (b *backend) holdBack(now time.Time, next time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.limit.nextAt, b.limit.heldUntil = now.Add(next), now.Add(min(next, longestHold))
+	b.limit.nextPermitAt, b.limit.heldUntil = now.Add(next), now.Add(min(next, maxHold))
 }
--- a/pkg/gateway/limit_links.go
+++ b/pkg/gateway/limit_links.go
@@ -12,56 +12,56 @@
 	"github.com/tidepost/tidepost/pkg/serverlimit"
 )
 
-// reportTimeout bounds the telling of a report.
-const reportTimeout = time.Second
+// permitReportTimeout bounds the telling of a report.
+const permitReportTimeout = time.Second
 
 // servePermit answers another gateway.
 func (g *Gateway) servePermit(ctx context.Context, stream *link.Stream) error {
 	stream.SetDeadline(time.Now().Add(ownerTimeout))
-	var a serverlimit.Ask
+	var a serverlimit.PermitRequest
 	if err := stream.Receive(&a); err != nil {
 		return err
 	}
 	return stream.Send(g.answerPermit(ctx, a))
 }
 
-// report tells the owner of a limit what became of a permit, beside what else happens. One
+// reportPermit tells the owner of a limit what became of a permit, beside what else happens. One
 // that is lost costs a permit, or is told again with the next.
-func (g *Gateway) report(p *permit, outcome serverlimit.Outcome, perSecond float64) {
-	r := serverlimit.NewReport(p.server, p.granted, outcome, perSecond)
+func (g *Gateway) reportPermit(p *permit, outcome serverlimit.Outcome, perSecond float64) {
+	r := serverlimit.NewPermitReport(p.server, p.granted, outcome, perSecond)
 	if p.owner == g.process.Identity.Address() {
-		g.limitOwners.limiter.Hear(time.Now(), r)
+		g.limitOwners.limiter.ApplyReport(time.Now(), r)
 		return
 	}
 	if p.owner == "" {
-		g.limitOwners.alone.Hear(time.Now(), r)
+		g.limitOwners.standalone.ApplyReport(time.Now(), r)
 		return
 	}
 	go func() {
-		ctx, cancel := context.WithTimeout(g.runContext, reportTimeout)
+		ctx, cancel := context.WithTimeout(g.runContext, permitReportTimeout)
 		defer cancel()
-		_ = g.limitOwners.tell(ctx, p.owner, r)
+		_ = g.limitOwners.report(ctx, p.owner, r)
 	}()
 }
 
-// serveReport takes what another gateway says became of a permit.
-func (g *Gateway) serveReport(_ context.Context, stream *link.Stream) error {
-	stream.SetDeadline(time.Now().Add(reportTimeout))
-	var r serverlimit.Report
+// servePermitReport takes what another gateway says became of a permit.
+func (g *Gateway) servePermitReport(_ context.Context, stream *link.Stream) error {
+	stream.SetDeadline(time.Now().Add(permitReportTimeout))
+	var r serverlimit.PermitReport
 	if err := stream.Receive(&r); err != nil {
 		return err
 	}
-	g.limitOwners.limiter.Hear(time.Now(), r)
+	g.limitOwners.limiter.ApplyReport(time.Now(), r)
 	return stream.Send(r)
 }
 
-func (g *Gateway) callOwner(ctx context.Context, address string, a serverlimit.Ask) (serverlimit.Answer, error) {
-	var answer serverlimit.Answer
+func (g *Gateway) sendPermitRequest(ctx context.Context, address string, a serverlimit.PermitRequest) (serverlimit.PermitResponse, error) {
+	var answer serverlimit.PermitResponse
 	err := g.process.Endpoint.Call(ctx, address, link.KindPermit, a, &answer)
 	return answer, err
 }
 
-func (g *Gateway) tellOwner(ctx context.Context, address string, r serverlimit.Report) error {
-	var heard serverlimit.Report
+func (g *Gateway) sendPermitReport(ctx context.Context, address string, r serverlimit.PermitReport) error {
+	var heard serverlimit.PermitReport
 	return g.process.Endpoint.Call(ctx, address, link.KindPermitReport, r, &heard)
 }
--- a/pkg/gateway/limit_owner.go
+++ b/pkg/gateway/limit_owner.go
@@ -20,63 +20,63 @@
 	// ownerTimeout is how long an owner may take to answer: ways there and back take up to
 	// 12 ms, and a request waits for it.
 	ownerTimeout = 40 * time.Millisecond
-	// ownersAsked bounds the owners that are asked for one permit, and mostSilent those of
+	// maxOwnersAsked bounds the owners that are asked for one permit, and mostSilent those of
 	// them that are passed over though they may live.
-	ownersAsked = 8
-	mostSilent  = 3
-	// untilTakeOver is when whoever asks may ask again while nobody may grant yet.
-	untilTakeOver = 100 * time.Millisecond
+	maxOwnersAsked        = 8
+	maxUnresponsiveOwners = 3
+	// takeoverRetryAfter is when whoever asks may ask again while nobody may grant yet.
+	takeoverRetryAfter = 100 * time.Millisecond
 )
 
-// askPermit asks for a permit whoever owns the limit, which may be this gateway; false where
+// requestPermit asks for a permit whoever owns the limit, which may be this gateway; false where
 // nobody answers who may grant one. Those that have ended are passed over, but for one that
 // may be back.
-func (g *Gateway) askPermit(ctx context.Context, a serverlimit.Ask) (answer serverlimit.Answer, answered bool) {
+func (g *Gateway) requestPermit(ctx context.Context, a serverlimit.PermitRequest) (answer serverlimit.PermitResponse, answered bool) {
 	self, now := g.process.Identity.Address(), time.Now()
-	all := g.limitOwners.order(a.Server(), now)
+	all := g.limitOwners.ranking(a.Server(), now)
 	if len(all) == 0 {
 		part := a.PerSecond() / float64(g.countGateways())
-		return g.limitOwners.alone.Decide(now, serverlimit.NewAsk(a.Server(), part, a.News(), a.Ago()), serverlimit.Owner), true
+		return g.limitOwners.standalone.Decide(now, serverlimit.NewPermitRequest(a.Server(), part, a.Changed(), a.Age()), serverlimit.Owner), true
 	}
 	asked, passed := 0, 0
 	for i, owner := range all {
 		if owner.Address == self {
-			return g.grant(a, all[:i]), true
+			return g.decidePermit(a, all[:i]), true
 		}
-		k := g.limitOwners.of(owner.Address)
-		if k.ended && (asked > 0 || !k.isDue(now)) {
+		k := g.limitOwners.lookup(owner.Address)
+		if k.exited && (asked > 0 || !k.isAskable(now)) {
 			continue
 		}
-		if k.isDue(now) {
+		if k.isAskable(now) {
 			asked++
 			if answer, answered = g.askOwner(ctx, owner.Address, a); answered {
 				return answer, true
 			}
 		}
-		if !g.limitOwners.of(owner.Address).ended {
+		if !g.limitOwners.lookup(owner.Address).exited {
 			passed++
 		}
-		if asked == ownersAsked || passed == mostSilent {
+		if asked == maxOwnersAsked || passed == maxUnresponsiveOwners {
 			break
 		}
 	}
 	return answer, false
 }
 
-// grant decides about a question here. Those that own the limit before this gateway did not
+// decidePermit decides about a question here. Those that own the limit before this gateway did not
 // answer it.
-func (g *Gateway) grant(a serverlimit.Ask, before []serverlimit.Gateway) serverlimit.Answer {
+func (g *Gateway) decidePermit(a serverlimit.PermitRequest, before []serverlimit.Gateway) serverlimit.PermitResponse {
 	now := time.Now()
-	standing, grants := g.limitOwners.standing(before, now)
+	standing, grants := g.limitOwners.role(before, now)
 	if !grants {
-		return serverlimit.NewAnswer(serverlimit.Permit{}, false, a.PerSecond(), untilTakeOver, "")
+		return serverlimit.NewPermitResponse(serverlimit.Permit{}, false, a.PerSecond(), takeoverRetryAfter, "")
 	}
-	return g.limitOwners.limiter.Decide(now, a, standing).By(g.process.Identity.Address())
+	return g.limitOwners.limiter.Decide(now, a, standing).WithOwner(g.process.Identity.Address())
 }
 
 // askOwner asks another gateway. One that refuses is asked once more: a link that breaks
 // looks the same, and the next one finds whether somebody listens.
-func (g *Gateway) askOwner(ctx context.Context, address string, a serverlimit.Ask) (answer serverlimit.Answer, answered bool) {
+func (g *Gateway) askOwner(ctx context.Context, address string, a serverlimit.PermitRequest) (answer serverlimit.PermitResponse, answered bool) {
 	at := time.Now()
 	within, cancel := context.WithTimeout(ctx, ownerTimeout)
 	defer cancel()
@@ -86,23 +86,23 @@
 	}
 	switch {
 	case err == nil:
-		g.limitOwners.note(address, at, ownerAnswered)
+		g.limitOwners.recordResult(address, at, ownerAnswered)
 	case ctx.Err() != nil:
 		// Whoever asks has left, and nothing is known.
 	case within.Err() != nil:
-		g.limitOwners.note(address, at, ownerSilent)
+		g.limitOwners.recordResult(address, at, ownerTimedOut)
 	default:
-		g.limitOwners.note(address, at, ownerEnded)
+		g.limitOwners.recordResult(address, at, ownerExited)
 	}
 	return answer, err == nil
 }
 
 // answerPermit answers a question of another gateway. Whoever owns the limit before this
 // gateway is asked first; since all find the same order, no question goes round.
-func (g *Gateway) answerPermit(ctx context.Context, a serverlimit.Ask) serverlimit.Answer {
-	answer, answered := g.askPermit(ctx, a)
+func (g *Gateway) answerPermit(ctx context.Context, a serverlimit.PermitRequest) serverlimit.PermitResponse {
+	answer, answered := g.requestPermit(ctx, a)
 	if !answered {
-		return serverlimit.NewAnswer(serverlimit.Permit{}, false, a.PerSecond(), ownerlessRest, "")
+		return serverlimit.NewPermitResponse(serverlimit.Permit{}, false, a.PerSecond(), noOwnerHold, "")
 	}
 	return answer
 }
--- a/pkg/gateway/limit_owners.go
+++ b/pkg/gateway/limit_owners.go
@@ -16,109 +16,109 @@
 )
 
 const (
-	// ownerAgain is when one that did not answer is asked again, and endedAgain one that has
+	// ownerRetryInterval is when one that did not answer is asked again, and endedAgain one that has
 	// ended.
-	ownerAgain = 250 * time.Millisecond
-	endedAgain = time.Second
-	// takeOverAfter is how long an owner has to be silent before the next one grants in its
+	ownerRetryInterval  = 250 * time.Millisecond
+	exitedRetryInterval = time.Second
+	// takeoverDelay is how long an owner has to be silent before the next one grants in its
 	// place: a busy machine answers some questions late.
-	takeOverAfter = 500 * time.Millisecond
-	// listedLife is how long a gateway that is listed no more may own limits: it may come
+	takeoverDelay = 500 * time.Millisecond
+	// unlistedTTL is how long a gateway that is listed no more may own limits: it may come
 	// back by another control node. Where more than half are missing it is longLife: a
 	// control node that has just started or is cut off lists few.
-	listedLife = 2 * time.Second
-	longLife   = time.Minute
-	// listLook is the time between two looks at the list: each request to a limited server
+	unlistedTTL    = 2 * time.Second
+	partialListTTL = time.Minute
+	// listRefreshInterval is the time between two looks at the list: each request to a limited server
 	// asks for the order of owners twice, and working it out costs more the more gateways
 	// there are.
-	listLook = 200 * time.Millisecond
+	listRefreshInterval = 200 * time.Millisecond
 )
 
 // owners is what is known of the gateways that own limits.
 type owners struct {
 	limiter *serverlimit.Limiter
-	// alone grants a part of each limit while no other gateway is known.
-	alone *serverlimit.Limiter
+	// standalone grants a part of each limit while no other gateway is known.
+	standalone *serverlimit.Limiter
 	// listed returns the gateways that the control nodes list, and ask asks one for a permit.
 	listed func() map[string]feed.Peer
-	ask    func(ctx context.Context, address string, a serverlimit.Ask) (serverlimit.Answer, error)
-	tell   func(ctx context.Context, address string, r serverlimit.Report) error
-
-	mu     sync.Mutex
-	known  map[string]knownGateway // by link address
-	looked time.Time               // at the list
-	// orders are those in which gateways own the limits of servers, as known at the last look.
-	orders map[serverlimit.Server][]serverlimit.Gateway
+	ask    func(ctx context.Context, address string, a serverlimit.PermitRequest) (serverlimit.PermitResponse, error)
+	report func(ctx context.Context, address string, r serverlimit.PermitReport) error
+
+	mu          sync.Mutex
+	known       map[string]knownGateway // by link address
+	refreshedAt time.Time               // at the list
+	// rankings are those in which gateways own the limits of servers, as known at the last look.
+	rankings map[serverlimit.Server][]serverlimit.Gateway
 }
 
 // knownGateway is a gateway and how it answers.
 type knownGateway struct {
 	gateway      serverlimit.Gateway
-	listed       time.Time // when it was last
-	ended        bool      // its VM says that nobody listens
+	listedAt     time.Time // when it was last
+	exited       bool      // its VM says that nobody listens
 	failingSince time.Time // zero while it answers
-	asked        time.Time // without an answer
+	askedAt      time.Time // without an answer
 }
 
-// isLost tells whether a gateway may be stood in for.
-func (k knownGateway) isLost(now time.Time) bool {
-	return k.ended || !k.failingSince.IsZero() && now.Sub(k.failingSince) >= takeOverAfter
+// isReplaceable tells whether a gateway may be stood in for.
+func (k knownGateway) isReplaceable(now time.Time) bool {
+	return k.exited || !k.failingSince.IsZero() && now.Sub(k.failingSince) >= takeoverDelay
 }
 
-// isDue tells whether a gateway is to be asked: it answers, or it is time to see.
-func (k knownGateway) isDue(now time.Time) bool {
-	if k.ended {
-		return now.Sub(k.asked) >= endedAgain
+// isAskable tells whether a gateway is to be asked: it answers, or it is time to see.
+func (k knownGateway) isAskable(now time.Time) bool {
+	if k.exited {
+		return now.Sub(k.askedAt) >= exitedRetryInterval
 	}
-	return k.failingSince.IsZero() || now.Sub(k.asked) >= ownerAgain
+	return k.failingSince.IsZero() || now.Sub(k.askedAt) >= ownerRetryInterval
 }
 
 func (g *Gateway) newOwners() *owners {
 	id := g.process.Identity.Incarnation()
 	return &owners{
-		limiter: serverlimit.NewLimiter(id), alone: serverlimit.NewLimiter(id + 1),
-		listed: g.follower.Peers, ask: g.callOwner, tell: g.tellOwner, known: map[string]knownGateway{},
+		limiter: serverlimit.NewLimiter(id), standalone: serverlimit.NewLimiter(id + 1),
+		listed: g.follower.Peers, ask: g.sendPermitRequest, report: g.sendPermitReport, known: map[string]knownGateway{},
 	}
 }
 
 // sweep forgets what nobody asks for.
 func (o *owners) sweep() {
 	o.limiter.Sweep(time.Now())
-	o.alone.Sweep(time.Now())
+	o.standalone.Sweep(time.Now())
 }
 
-// order returns the gateways that may own the limit of a server, in the order in which they
+// ranking returns the gateways that may own the limit of a server, in the order in which they
 // do. Nobody may change it.
-func (o *owners) order(server serverlimit.Server, now time.Time) []serverlimit.Gateway {
+func (o *owners) ranking(server serverlimit.Server, now time.Time) []serverlimit.Gateway {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if now.Sub(o.looked) >= listLook {
-		o.look(now)
-		o.looked = now
+	if now.Sub(o.refreshedAt) >= listRefreshInterval {
+		o.refresh(now)
+		o.refreshedAt = now
 	}
-	order, known := o.orders[server]
+	order, known := o.rankings[server]
 	if !known {
-		order = serverlimit.Owners(server, o.gateways())
-		o.orders[server] = order
+		order = serverlimit.RankOwners(server, o.gateways())
+		o.rankings[server] = order
 	}
 	return order
 }
 
-// look takes the gateways that are listed now, and forgets those that have not been for
+// refresh takes the gateways that are listed now, and forgets those that have not been for
 // long. The caller holds the lock.
-func (o *owners) look(now time.Time) {
+func (o *owners) refresh(now time.Time) {
 	listed := o.listed()
 	for address, peer := range listed {
 		k := o.known[address]
-		k.gateway, k.listed = serverlimit.Gateway{Address: address, Domain: peer.Domain()}, now
+		k.gateway, k.listedAt = serverlimit.Gateway{Address: address, Domain: peer.Domain()}, now
 		o.known[address] = k
 	}
-	life := listedLife
+	life := unlistedTTL
 	if 2*len(listed) < len(o.known) {
-		life = longLife
+		life = partialListTTL
 	}
-	maps.DeleteFunc(o.known, func(_ string, k knownGateway) bool { return now.Sub(k.listed) > life })
-	o.orders = map[serverlimit.Server][]serverlimit.Gateway{}
+	maps.DeleteFunc(o.known, func(_ string, k knownGateway) bool { return now.Sub(k.listedAt) > life })
+	o.rankings = map[serverlimit.Server][]serverlimit.Gateway{}
 }
 
 // gateways returns those that are known. The caller holds the lock.
@@ -130,24 +130,24 @@
 	return all
 }
 
-// of returns what is known of a gateway.
-func (o *owners) of(address string) knownGateway {
+// lookup returns what is known of a gateway.
+func (o *owners) lookup(address string) knownGateway {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.known[address]
 }
 
-// askEnd is how a question to a gateway ended.
-type askEnd int
+// askResult is how a question to a gateway ended.
+type askResult int
 
 const (
-	ownerAnswered askEnd = iota
-	ownerEnded           // nobody listens there
-	ownerSilent
+	ownerAnswered askResult = iota
+	ownerExited             // nobody listens there
+	ownerTimedOut
 )
 
-// note notes how a question to a gateway ended.
-func (o *owners) note(address string, at time.Time, end askEnd) {
+// recordResult notes how a question to a gateway ended.
+func (o *owners) recordResult(address string, at time.Time, end askResult) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	k, there := o.known[address]
@@ -159,23 +159,23 @@
 	case k.failingSince.IsZero():
 		k.failingSince = at
 	}
-	k.asked, k.ended = at, end == ownerEnded
+	k.askedAt, k.exited = at, end == ownerExited
 	o.known[address] = k
 }
 
-// standing returns what this gateway is where some others own a limit before it; false where
+// role returns what this gateway is where some others own a limit before it; false where
 // one of them may still grant.
-func (o *owners) standing(before []serverlimit.Gateway, now time.Time) (s serverlimit.Standing, grants bool) {
+func (o *owners) role(before []serverlimit.Gateway, now time.Time) (s serverlimit.Role, grants bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for _, g := range before {
 		k := o.known[g.Address]
-		if !k.isLost(now) {
+		if !k.isReplaceable(now) {
 			return s, false
 		}
-		s = max(s, serverlimit.StandIn)
-		if !k.ended {
-			s = serverlimit.CutStandIn
+		s = max(s, serverlimit.Backup)
+		if !k.exited {
+			s = serverlimit.PartialBackup
 		}
 	}
 	return s, true
--- a/pkg/gateway/limit_permit.go
+++ b/pkg/gateway/limit_permit.go
@@ -18,13 +18,13 @@
 	"github.com/tidepost/tidepost/pkg/serverlimit"
 )
 
-// ownerlessRest is how long a limited backend server gets nothing from here when no owner of
+// noOwnerHold is how long a limited backend server gets nothing from here when no owner of
 // its limit answers.
-const ownerlessRest = 250 * time.Millisecond
+const noOwnerHold = 250 * time.Millisecond
 
-// permitsAsked bounds the servers whose permits are asked for in one choice: each question
+// maxPermitsRequested bounds the servers whose permits are asked for in one choice: each question
 // takes some ms of the caller's time, and others may have a place without one.
-const permitsAsked = 4
+const maxPermitsRequested = 4
 
 // permit is what a request holds to be sent to a limited backend server.
 type permit struct {
@@ -35,12 +35,12 @@
 	perSecond float64
 }
 
-// heldBack is why a limited backend server gets nothing at a moment.
-type heldBack string
+// holdReason is why a limited backend server gets nothing at a moment.
+type holdReason string
 
 const (
-	heldBackSpent   heldBack = "spent"
-	heldBackNoOwner heldBack = "no owner"
+	holdSpent   holdReason = "spent"
+	holdNoOwner holdReason = "no owner"
 )
 
 // choosePermitted chooses a backend server that takes one more request by its own limit, if
@@ -49,45 +49,45 @@
 	for asks := 1; q.ctx.Err() == nil; asks++ {
 		chosen, full := g.choose(w)
 		loaded = loaded || full
-		if chosen == nil || g.isPermitted(q, chosen) {
+		if chosen == nil || g.acquirePermit(q, chosen) {
 			return chosen, loaded
 		}
 		// The next choice passes over it until it has another permit.
-		loaded, w.excludeLimited = true, asks >= permitsAsked
+		loaded, w.excludeLimited = true, asks >= maxPermitsRequested
 	}
 	return nil, loaded
 }
 
-// isPermitted tells whether a request may be sent to a backend server, and takes a permit
+// acquirePermit tells whether a request may be sent to a backend server, and takes a permit
 // where one is needed.
-func (g *Gateway) isPermitted(q *request, b *backend) bool {
+func (g *Gateway) acquirePermit(q *request, b *backend) bool {
 	if q.permit != nil && q.permit.backend == b {
 		return true
 	}
 	g.returnPermit(q)
-	ask, limited := b.asksPermit()
+	ask, limited := b.permitRequest()
 	if !limited {
 		return true
 	}
-	a, answered := g.askPermit(q.ctx, ask)
+	a, answered := g.requestPermit(q.ctx, ask)
 	switch {
 	case !answered && q.ctx.Err() != nil:
 		// The caller has left; of the owner nothing is known.
 		return false
 	case !answered:
-		b.holdBack(time.Now(), ownerlessRest)
-		g.metrics.limitSkips.WithLabelValues(string(heldBackNoOwner)).Inc()
+		b.holdBack(time.Now(), noOwnerHold)
+		g.metrics.limitSkips.WithLabelValues(string(holdNoOwner)).Inc()
 		return false
-	case a.Over():
-		if b.limitOver(ask, time.Now()) {
-			g.logLimit(b, serverlimit.Saying{})
+	case a.LimitEnded():
+		if b.endLimit(ask, time.Now()) {
+			g.logLimit(b, serverlimit.AdvertisedLimit{})
 		}
 		return true
 	}
-	b.limitTold(ask)
+	b.markLimitReported(ask)
 	if !a.Permit().IsGranted() {
-		b.holdBack(time.Now(), a.Next())
-		g.metrics.limitSkips.WithLabelValues(string(heldBackSpent)).Inc()
+		b.holdBack(time.Now(), a.RetryAfter())
+		g.metrics.limitSkips.WithLabelValues(string(holdSpent)).Inc()
 		return false
 	}
 	q.permit = &permit{b, ask.Server(), a.Permit(), a.Owner(), a.PerSecond()}
@@ -109,13 +109,13 @@
 	if q.permit == nil {
 		return
 	}
-	g.report(q.permit, serverlimit.Unsent, 0)
+	g.reportPermit(q.permit, serverlimit.Unused, 0)
 	q.permit = nil
 }
 
-// limitsSpent returns the failure of a request that only limits keep from all backend
+// exhaustedLimits returns the failure of a request that only limits keep from all backend
 // servers of its service, with when one of them takes another; nil where it is not so.
-func (g *Gateway) limitsSpent(q *request, w requirements) *failure.Failure {
+func (g *Gateway) exhaustedLimits(q *request, w requirements) *failure.Failure {
 	now := time.Now()
 	var next time.Time
 	for _, c := range g.candidates(w, now) {
--- a/pkg/gateway/limit_test.go
+++ b/pkg/gateway/limit_test.go
@@ -29,8 +29,8 @@
 	return f
 }
 
-// limiting is a script whose answers say something of a limit; nothing where it is empty.
-func limiting(says *atomic.Value, status string) responseScript {
+// limitScript is a script whose answers say something of a limit; nothing where it is empty.
+func limitScript(says *atomic.Value, status string) responseScript {
 	return func(w *bufio.Writer, r *http.Request) bool {
 		header := ""
 		if text := says.Load().(string); text != "" {
@@ -44,7 +44,7 @@
 	}
 }
 
-func saying(text string) *atomic.Value {
+func headerText(text string) *atomic.Value {
 	var v atomic.Value
 	v.Store(text)
 	return &v
@@ -58,15 +58,15 @@
 	return status, time.Duration(seconds * float64(time.Second))
 }
 
-// most is how many requests may come to a server that names a limit, so long after it was
+// maxRequests is how many requests may come to a server that names a limit, so long after it was
 // first asked: the one that heard of it, what is granted since, and one saved up.
-func most(perSecond float64, since time.Time) int {
+func maxRequests(perSecond float64, since time.Time) int {
 	return 2 + int(perSecond*time.Since(since).Seconds())
 }
 
 // A server that names a limit gets no more than that, and others get the rest.
-func TestLimitedServerGetsItsLimitAndOthersTheRest(t *testing.T) {
-	limited := newFakeBackend(t, "s-1", limiting(saying("2"), "200 OK"))
+func TestLimitedServerGetsItsLimitAndOthersGetTheRest(t *testing.T) {
+	limited := newFakeBackend(t, "s-1", limitScript(headerText("2"), "200 OK"))
 	other := newFakeBackend(t, "s-2", respondWith("200 OK", "done"))
 	f := newFixture(t, serviceconfig.Repeatable, false, limited, other).ownsAll()
 	start := time.Now()
@@ -75,15 +75,15 @@
 			t.Fatalf("status %d", status)
 		}
 	}
-	if got := len(limited.requests()); got > most(2, start) {
+	if got := len(limited.requests()); got > maxRequests(2, start) {
 		t.Errorf("%d requests in %s for 2 a second", got, time.Since(start))
 	}
 }
 
 // Where limits keep all servers away the caller hears at once when one takes the next.
-func TestSpentLimitsAreRefusedAtOnce(t *testing.T) {
+func TestExhaustedLimitsAreRefusedAtOnce(t *testing.T) {
 	for _, status := range []string{"200 OK", "503 Service Unavailable", "421 Misdirected Request"} {
-		limited := newFakeBackend(t, "s-1", limiting(saying("0.5"), status))
+		limited := newFakeBackend(t, "s-1", limitScript(headerText("0.5"), status))
 		f := newFixture(t, serviceconfig.Repeatable, false, limited).ownsAll()
 		start := time.Now()
 		f.get(t, "first")
@@ -97,17 +97,17 @@
 				t.Errorf("status %d, come back in %s", status, after)
 			}
 		}
-		if got := len(limited.requests()); got > most(0.5, start) {
+		if got := len(limited.requests()); got > maxRequests(0.5, start) {
 			t.Errorf("%s: %d requests in %s for 0.5 a second", status, got, time.Since(start))
 		}
 	}
 }
 
 // What is no number neither keeps requests from a server nor opens one that named a limit.
-func TestMalformedLimitsChangeNothing(t *testing.T) {
+func TestInvalidLimitsChangeNothing(t *testing.T) {
 	for _, text := range []string{"many", "-1", "NaN", "1e400", "0x1", "2, 3", "99999999"} {
-		says := saying(text)
-		server := newFakeBackend(t, "s-1", limiting(says, "200 OK"))
+		says := headerText(text)
+		server := newFakeBackend(t, "s-1", limitScript(says, "200 OK"))
 		f := newFixture(t, serviceconfig.Repeatable, false, server).ownsAll()
 		for i := range 5 {
 			if status, _ := f.get(t, fmt.Sprint("r", i)); status != http.StatusOK {
@@ -115,17 +115,17 @@
 			}
 		}
 		b := f.gateway.backends.forService("menu")[0]
-		b.limit.hear(serverlimit.Read([]string{"1"}), time.Now())
-		if b.limit.hear(serverlimit.Read([]string{text}), time.Now()) || !b.isLimited() || b.limit.perSecond != 1 {
+		b.limit.update(serverlimit.ParseHeader([]string{"1"}), time.Now())
+		if b.limit.update(serverlimit.ParseHeader([]string{text}), time.Now()) || !b.isLimited() || b.limit.perSecond != 1 {
 			t.Errorf("%q changed a limit", text)
 		}
 	}
 }
 
 // Once its answers name none any more a server gets all requests again.
-func TestLimitEndsWithTheAnswerThatNamesNone(t *testing.T) {
-	says := saying("50")
-	server := newFakeBackend(t, "s-1", limiting(says, "200 OK"))
+func TestLimitEndsWithAnswerWithoutLimit(t *testing.T) {
+	says := headerText("50")
+	server := newFakeBackend(t, "s-1", limitScript(says, "200 OK"))
 	f := newFixture(t, serviceconfig.Repeatable, false, server).ownsAll()
 	f.get(t, "first")
 	b := f.gateway.backends.forService("menu")[0]
@@ -145,40 +145,40 @@
 }
 
 // A late answer to a request of before the limit's end does not bring it back.
-func TestOvertakenNamingIsLeft(t *testing.T) {
+func TestOlderAnswerDoesNotRestoreLimit(t *testing.T) {
 	now := time.Now()
-	l := heardLimit{over: now}
-	if l.hear(serverlimit.Read([]string{"1"}), now.Add(-time.Millisecond)) {
+	l := limitState{endedAt: now}
+	if l.update(serverlimit.ParseHeader([]string{"1"}), now.Add(-time.Millisecond)) {
 		t.Error("an older answer named it anew")
 	}
-	if !l.hear(serverlimit.Read([]string{"1"}), now.Add(time.Millisecond)) {
+	if !l.update(serverlimit.ParseHeader([]string{"1"}), now.Add(time.Millisecond)) {
 		t.Error("a newer answer did not")
 	}
 }
 
 // Repeats and streams that go on need permits too.
-func TestRepeatsNeedPermits(t *testing.T) {
+func TestRetriesNeedPermits(t *testing.T) {
 	broken := newFakeBackend(t, "s-1", func(w *bufio.Writer, r *http.Request) bool { return false })
-	limited := newFakeBackend(t, "s-2", limiting(saying("1"), "200 OK"))
+	limited := newFakeBackend(t, "s-2", limitScript(headerText("1"), "200 OK"))
 	f := newFixture(t, serviceconfig.Repeatable, false, broken, limited).ownsAll()
 	start := time.Now()
 	for i := range 30 {
 		f.get(t, fmt.Sprint("r", i))
 	}
-	if got := len(limited.requests()); got > most(1, start) {
+	if got := len(limited.requests()); got > maxRequests(1, start) {
 		t.Errorf("%d requests in %s for 1 a second", got, time.Since(start))
 	}
 }
 
 // One request asks for the permits of few servers: its caller waits for each.
-func TestOneRequestAsksForFewPermits(t *testing.T) {
+func TestPermitRequestsPerRequestAreBounded(t *testing.T) {
 	var servers []*fakeBackend
-	for i := range 2 * permitsAsked {
+	for i := range 2 * maxPermitsRequested {
 		servers = append(servers, newFakeBackend(t, fmt.Sprint("s-", i), respondWith("200 OK", "done")))
 	}
 	f := newFixture(t, serviceconfig.Repeatable, false, servers...).ownsAll()
 	for _, b := range f.gateway.backends.forService("menu") {
-		b.limit.hear(serverlimit.Read([]string{"0"}), time.Now())
+		b.limit.update(serverlimit.ParseHeader([]string{"0"}), time.Now())
 	}
 	if status, _ := f.get(t, "first"); status != http.StatusServiceUnavailable {
 		t.Fatalf("status %d", status)
@@ -189,25 +189,25 @@
 			asked++
 		}
 	}
-	if asked != permitsAsked {
+	if asked != maxPermitsRequested {
 		t.Errorf("%d servers' permits were asked for", asked)
 	}
 }
 
 // A caller that leaves while a permit is asked for keeps the server from nobody.
-func TestCallerThatLeavesHoldsNothingBack(t *testing.T) {
+func TestCanceledCallerDoesNotHoldServerBack(t *testing.T) {
 	f := newFixture(t, serviceconfig.Repeatable, false, newFakeBackend(t, "s-1", respondWith("200 OK", "done")))
 	g := f.gateway
 	g.limitOwners.listed = func() map[string]feed.Peer {
 		return map[string]feed.Peer{"127.0.0.2:1": feed.NewPeer("127.0.0.2:1", "hall-a", "", "", false, true)}
 	}
 	ctx, leave := context.WithCancel(t.Context())
-	g.limitOwners.ask = func(ctx context.Context, _ string, _ serverlimit.Ask) (serverlimit.Answer, error) {
+	g.limitOwners.ask = func(ctx context.Context, _ string, _ serverlimit.PermitRequest) (serverlimit.PermitResponse, error) {
 		leave()
-		return serverlimit.Answer{}, ctx.Err()
+		return serverlimit.PermitResponse{}, ctx.Err()
 	}
 	b := g.backends.forService("menu")[0]
-	b.limit.hear(serverlimit.Read([]string{"1"}), time.Now())
+	b.limit.update(serverlimit.ParseHeader([]string{"1"}), time.Now())
 	if chosen, _ := g.choosePermitted(&request{ctx: ctx}, requirements{service: "menu"}); chosen != nil {
 		t.Error("chosen without a permit")
 	}
@@ -217,18 +217,18 @@
 }
 
 // A request that holds a permit and goes elsewhere gives it back.
-func TestUnusedPermitGoesBack(t *testing.T) {
-	limited := newFakeBackend(t, "s-1", limiting(saying("1"), "200 OK"))
+func TestUnusedPermitIsReturned(t *testing.T) {
+	limited := newFakeBackend(t, "s-1", limitScript(headerText("1"), "200 OK"))
 	f := newFixture(t, serviceconfig.Repeatable, false, limited).ownsAll()
 	g := f.gateway
 	b := g.backends.forService("menu")[0]
-	b.limit.hear(serverlimit.Read([]string{"1"}), time.Now())
+	b.limit.update(serverlimit.ParseHeader([]string{"1"}), time.Now())
 	q := &request{ctx: t.Context()}
-	for !g.isPermitted(q, b) {
+	for !g.acquirePermit(q, b) {
 		time.Sleep(time.Millisecond)
 	}
 	g.returnPermit(q)
-	if q.permit != nil || !g.isPermitted(q, b) {
+	if q.permit != nil || !g.acquirePermit(q, b) {
 		t.Error("the permit is lost")
 	}
 }
--- a/pkg/gateway/native_protocol.go
+++ b/pkg/gateway/native_protocol.go
@@ -69,6 +69,6 @@
 	version, _ := strconv.ParseUint(h.Get(headerVersion), 10, 64)
 	return ResponseHead{
 		ID: h.Get(headerID), FromBackend: true, NotRun: h.Get(headerNotRun) != "", Version: version,
-		Limit: serverlimit.Read(h.Values(headerLimit)),
+		Limit: serverlimit.ParseHeader(h.Values(headerLimit)),
 	}
 }
--- a/pkg/gateway/protocol.go
+++ b/pkg/gateway/protocol.go
@@ -63,7 +63,7 @@
 	// Incarnation identifies the backend server that responds; empty if not given.
 	Incarnation string
 	// Limit is the rate of requests that the backend server accepts from all gateways together.
-	Limit serverlimit.Saying
+	Limit serverlimit.AdvertisedLimit
 }
 
 // IsFromOther reports whether the response names another incarnation than the expected one.
--- a/pkg/gateway/quarantine.go
+++ b/pkg/gateway/quarantine.go
@@ -21,16 +21,16 @@
 )
 
 const (
-	// endsTold bounds the first ends of requests that are told a second, and endsToldAtOnce
+	// crashReportRate bounds the first ends of requests that are told a second, and endsToldAtOnce
 	// those of one moment, some 80 bytes each: a server ends with tens of requests, nearly
 	// all innocent. What goes untold is told with the second end.
-	endsTold       = 16
-	endsToldAtOnce = 64
-	// besideSuspect is when a request may come back that is under way here already, and
+	crashReportRate  = 16
+	crashReportBurst = 64
+	// suspectRetryAfter is when a request may come back that is under way here already, and
 	// under which servers ended before.
-	besideSuspect = time.Second
-	// trialsAsked bounds the trials of barred requests that are asked for a second.
-	trialsAsked = 0.5
+	suspectRetryAfter = time.Second
+	// trialRequestRate bounds the trials of barred requests that are asked for a second.
+	trialRequestRate = 0.5
 )
 
 // admit tells why a request may not be tried; where it may, done is to be called at its end.
@@ -39,41 +39,41 @@
 	verdict, q.avoid = g.quarantine.Begin(q.fingerprint)
 	switch verdict {
 	case quarantine.Suspect:
-		return func() { g.quarantine.Done(q.fingerprint) }, nil
-	case quarantine.Barred:
-		return g.admitBarred(q)
+		return func() { g.quarantine.TryDone(q.fingerprint) }, nil
+	case quarantine.Quarantined:
+		return g.admitQuarantined(q)
 	case quarantine.Busy:
-		return nil, failure.New(failure.Overloaded, "backend servers ended under request %s, and a try of it is under way", q.fingerprint).WithRetryAfter(besideSuspect)
+		return nil, failure.New(failure.Overloaded, "backend servers ended under request %s, and a try of it is under way", q.fingerprint).WithRetryAfter(suspectRetryAfter)
 	}
 	return func() {}, nil
 }
 
-// admitBarred tells whether a request that is kept away from servers is to be tried on
+// admitQuarantined tells whether a request that is kept away from servers is to be tried on
 // those of another build, and else why not.
-func (g *Gateway) admitBarred(q *request) (done func(), f *failure.Failure) {
-	g.askedForBarred(q)
+func (g *Gateway) admitQuarantined(q *request) (done func(), f *failure.Failure) {
+	g.recordArrival(q)
 	switch g.quarantine.BeginTrial(q.fingerprint, g.tester) {
-	case quarantine.Granted:
-		if g.hasMendedBuild(q) {
+	case quarantine.TrialGranted:
+		if g.hasFixedBuild(q) {
 			q.isTrial = true
 			return func() { g.quarantine.TrialDone(q.fingerprint, q.sent > 0) }, nil
 		}
 		g.quarantine.TrialDone(q.fingerprint, false)
-	case quarantine.MayAsk:
-		if g.hasMendedBuild(q) && g.trialLimiter.Allow() {
+	case quarantine.TrialDue:
+		if g.hasFixedBuild(q) && g.trialLimiter.Allow() {
 			g.requestTrial(q.fingerprint)
 		}
 	}
-	return nil, endsServers(q, g.quarantine.Ends(q.fingerprint))
+	return nil, quarantinedFailure(q, g.quarantine.Crashes(q.fingerprint))
 }
 
-// hasMendedBuild tells whether a server serves that may be mended.
-func (g *Gateway) hasMendedBuild(q *request) bool {
+// hasFixedBuild tells whether a server serves that may be mended.
+func (g *Gateway) hasFixedBuild(q *request) bool {
 	model, layers := q.modelAndLayers()
 	for _, b := range g.backends.forService(q.service.Name()) {
 		l := b.load(time.Now())
 		holds := model == "" || b.servedVersion(model, layers) > 0
-		if l.serves() && l.state == registry.Ready && holds && quarantine.MayBeMended(b.build(model, layers), q.avoid) {
+		if l.serves() && l.state == registry.Ready && holds && quarantine.MayBeFixed(b.build(model, layers), q.avoid) {
 			return true
 		}
 	}
@@ -89,57 +89,57 @@
 	case len(q.avoid) > 0:
 		return true
 	}
-	return ends < quarantine.EndsToBar
+	return ends < quarantine.CrashesToQuarantine
 }
 
-// endsServers is the failure of a request that is kept away from servers.
-func endsServers(q *request, ends int) *failure.Failure {
+// quarantinedFailure is the failure of a request that is kept away from servers.
+func quarantinedFailure(q *request, ends int) *failure.Failure {
 	return failure.New(failure.EndsServers, "%d backend servers ended under request %s", ends, q.fingerprint)
 }
 
-// askedForBarred has the others remember a request that still comes.
-func (g *Gateway) askedForBarred(q *request) {
-	if r, tell := g.quarantine.Asked(q.fingerprint); tell {
+// recordArrival has the others remember a request that still comes.
+func (g *Gateway) recordArrival(q *request) {
+	if r, tell := g.quarantine.RecordArrival(q.fingerprint); tell {
 		g.publishRecords([]quarantine.Record{r})
 	}
 }
 
-// endOfServer is what is told of the backend server if it ended under the attempt.
-func (x *exchange) endOfServer() quarantine.End {
+// crash is what is told of the backend server if it ended under the attempt.
+func (x *exchange) crash() quarantine.Crash {
 	word := x.backend.latestRegistration()
-	return quarantine.NewEnd(word.Incarnation(), word.StartedAt(), word.Domain(), x.request.build, x.request.knownServerExits, 0)
+	return quarantine.NewCrash(word.Incarnation(), word.StartedAt(), word.Domain(), x.request.build, x.request.knownServerExits, 0)
 }
 
-// sawEnd notes that the backend server ended while it had the request.
-func (x *exchange) sawEnd(end quarantine.End) {
+// recordCrash notes that the backend server ended while it had the request.
+func (x *exchange) recordCrash(end quarantine.Crash) {
 	g := x.gateway
 	g.metrics.serverExits.Inc()
-	r, tell := g.quarantine.Ended(x.request.fingerprint, end)
+	r, tell := g.quarantine.RecordCrash(x.request.fingerprint, end)
 	if !tell {
 		return
 	}
-	quarantine.LogBarred(g.process.Logger, []quarantine.Record{r})
-	if len(r.Ends()) > 1 || g.publishLimiter.Allow() {
+	quarantine.LogQuarantined(g.process.Logger, []quarantine.Record{r})
+	if len(r.Crashes()) > 1 || g.publishLimiter.Allow() {
 		g.publishRecords([]quarantine.Record{r})
 	}
 }
 
-// sawWhole notes that the request ran whole where its answer shows that. The answer must
+// recordCompletion notes that the request ran whole where its answer shows that. The answer must
 // say itself where it ends: one that ends with its connection may have been broken off.
-func (x *exchange) sawWhole(answer *http.Response) {
+func (x *exchange) recordCompletion(answer *http.Response) {
 	framed := answer.ContentLength >= 0 || len(answer.TransferEncoding) > 0
-	if !framed || !ranWhole(answer.StatusCode) {
+	if !framed || !ranToCompletion(answer.StatusCode) {
 		return
 	}
 	g, q := x.gateway, x.request
-	if r, tell := g.quarantine.Ran(q.fingerprint, q.build); tell {
+	if r, tell := g.quarantine.RecordCompletion(q.fingerprint, q.build); tell {
 		g.publishRecords([]quarantine.Record{r})
 	}
 }
 
-// ranWhole tells whether a backend server that answers with a status has run the request to
+// ranToCompletion tells whether a backend server that answers with a status has run the request to
 // its end: with success, or with a failure that it found in the request or by running it.
-func ranWhole(status int) bool {
+func ranToCompletion(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests,
 		http.StatusBadGateway, http.StatusServiceUnavailable, http.StatusGatewayTimeout:
@@ -163,11 +163,11 @@
 	return q.model, max(q.service.Engine().Layers(), 1)
 }
 
-// learnRecords takes what a control node tells. Of a request that ran whole here the
+// mergeRecords takes what a control node tells. Of a request that ran whole here the
 // others are told so.
-func (g *Gateway) learnRecords(records []quarantine.Record) {
+func (g *Gateway) mergeRecords(records []quarantine.Record) {
 	changed, cleared := g.quarantine.Merge(records)
-	quarantine.LogBarred(g.process.Logger, changed)
+	quarantine.LogQuarantined(g.process.Logger, changed)
 	if len(cleared) > 0 {
 		g.publishRecords(cleared)
 	}
--- a/pkg/gateway/reserve.go
+++ b/pkg/gateway/reserve.go
@@ -109,7 +109,7 @@
 		// Forecasts of engines are off by as much as recent starts were late.
 		within = min(within, g.callerTimeoutLeft(q, time.Now())-g.silenceDetector.maxForecastError(q.service.Name(), time.Now()))
 	}
-	if best.startDelay > within || !g.isPermitted(q, best.backend) {
+	if best.startDelay > within || !g.acquirePermit(q, best.backend) {
 		return nil
 	}
 	o := g.reserve(q, best.backend, within, until)
--- a/pkg/gateway/stream.go
+++ b/pkg/gateway/stream.go
@@ -50,7 +50,7 @@
 	x.conn.Finish(response)
 	x.backend.recordSuccess()
 	q.recordRunTime(&x.gateway.silenceDetector, time.Now(), time.Since(x.started))
-	x.sawWhole(response)
+	x.recordCompletion(response)
 	if meanGap, ok := gaps.mean(); ok {
 		x.backend.recordSlowdown(meanGap.Seconds() / nominalGap.Seconds())
 	}
--- a/pkg/gateway/stream_sim_test.go
+++ b/pkg/gateway/stream_sim_test.go
@@ -171,7 +171,7 @@
 			return contract.NewRepeatAnswer(g.lendRetry(a.Service())), nil
 		}
 	}
-	return contract.RepeatAnswer{}, errCut
+	return contract.RepeatAnswer{}, errUnreachable
 }
 
 func (s *streamSim) askStager(_ context.Context, address string, a reservation.Ask) (reservation.Answer, error) {
@@ -195,7 +195,7 @@
 	return least + time.Duration(s.randomFloat()*float64(most-least))
 }
 
-func (s *streamSim) networkDelay() { time.Sleep(s.randomDuration(0, wayBetween)) }
+func (s *streamSim) networkDelay() { time.Sleep(s.randomDuration(0, maxLinkDelay)) }
 
 // run runs the simulation in a synctest bubble and returns how the streams ended.
 func (s *streamSim) run() *simResult {
--- a/pkg/quarantine/build.go
+++ b/pkg/quarantine/build.go
@@ -15,8 +15,8 @@
 // is that of plain servers, and of engines that serve nothing.
 func Build(software string, weights uint64) string { return fmt.Sprintf("%s/%d", software, weights) }
 
-// parts returns the software and the weights of a build.
-func parts(build string) (software string, weights uint64) {
+// splitBuild returns the software and the weights of a build.
+func splitBuild(build string) (software string, weights uint64) {
 	at := strings.LastIndexByte(build, '/')
 	if at < 0 {
 		return build, 0
@@ -28,13 +28,13 @@
 	return build[:at], weights
 }
 
-// MayBeMended tells whether a build may run a request under which servers of others ended:
+// MayBeFixed tells whether a build may run a request under which servers of others ended:
 // it has other software, or the same with later weights. A server that starts anew may
 // serve earlier weights for a while, and those are not mended.
-func MayBeMended(build string, ended []string) bool {
-	software, weights := parts(build)
+func MayBeFixed(build string, ended []string) bool {
+	software, weights := splitBuild(build)
 	for _, one := range ended {
-		if s, w := parts(one); s == software && w >= weights {
+		if s, w := splitBuild(one); s == software && w >= weights {
 			return false
 		}
 	}
--- a/pkg/quarantine/cost_test.go
+++ b/pkg/quarantine/cost_test.go
@@ -13,24 +13,24 @@
 		c := Content{Organisation: "larder", Method: "POST", Host: "menus.example", Target: "/draft/x", Body: bytes.Repeat([]byte("x"), size)}
 		b.Run(fmt.Sprintf("%d bytes", size), func(b *testing.B) {
 			for range b.N {
-				Of(c)
+				NewFingerprint(c)
 			}
 		})
 	}
 }
 
-func BenchmarkRequestThatRunsWhole(b *testing.B) {
+func BenchmarkCompletedRequest(b *testing.B) {
 	table := NewTable(nil)
 	fingerprints := make([]Fingerprint, 1<<14)
 	for i := range fingerprints {
-		fingerprints[i] = Of(Content{Target: fmt.Sprint(i)})
+		fingerprints[i] = NewFingerprint(Content{Target: fmt.Sprint(i)})
 	}
 	b.ResetTimer()
 	for i := range b.N {
 		f := fingerprints[i%len(fingerprints)]
 		table.Begin(f)
-		table.Ends(f)
-		table.Ran(f, "v1/1")
+		table.Crashes(f)
+		table.RecordCompletion(f, "v1/1")
 	}
 }
 
@@ -42,13 +42,13 @@
 		runtime.ReadMemStats(&before)
 		table := NewTable(nil)
 		for i := range 4 * shardCount * maxRecords {
-			f := Of(Content{Target: fmt.Sprint(i)})
-			for n := range maxEnds {
-				table.Ended(f, NewEnd(fmt.Sprintf("server-%d", n), 1, "hall-a", Build("v1", 1), n, 0))
+			f := NewFingerprint(Content{Target: fmt.Sprint(i)})
+			for n := range maxCrashes {
+				table.RecordCrash(f, NewCrash(fmt.Sprintf("server-%d", n), 1, "hall-a", Build("v1", 1), n, 0))
 			}
 		}
-		for i := range 2 * shardCount * maxWhole {
-			table.Ran(Of(Content{Target: fmt.Sprint("whole", i)}), Build("v1", 1))
+		for i := range 2 * shardCount * maxCompletions {
+			table.RecordCompletion(NewFingerprint(Content{Target: fmt.Sprint("whole", i)}), Build("v1", 1))
 		}
 		runtime.GC()
 		runtime.ReadMemStats(&after)
--- a/pkg/quarantine/fingerprint.go
+++ b/pkg/quarantine/fingerprint.go
@@ -35,8 +35,8 @@
 	Body []byte
 }
 
-// Of returns the fingerprint of a request.
-func Of(c Content) Fingerprint {
+// NewFingerprint returns the fingerprint of a request.
+func NewFingerprint(c Content) Fingerprint {
 	digest := sha256.New()
 	var length [8]byte
 	for _, part := range []string{c.Organisation, c.Method, c.Host, c.Target} {
--- a/pkg/quarantine/log.go
+++ b/pkg/quarantine/log.go
@@ -10,15 +10,15 @@
 	"github.com/go-kit/log/level"
 )
 
-// LogBarred logs those of some records that changed whose requests are kept away from
+// LogQuarantined logs those of some records that changed whose requests are kept away from
 // servers, with the servers that ended.
-func LogBarred(logger log.Logger, changed []Record) {
+func LogQuarantined(logger log.Logger, changed []Record) {
 	for _, r := range changed {
-		if !r.IsBarred() {
+		if !r.IsQuarantined() {
 			continue
 		}
 		var servers []string
-		for _, one := range r.ends {
+		for _, one := range r.crashes {
 			servers = append(servers, one.server)
 		}
 		_ = level.Warn(logger).Log("msg", "request ends backend servers", "fingerprint", r.fingerprint, "servers", servers)
--- a/pkg/quarantine/table.go
+++ b/pkg/quarantine/table.go
@@ -22,15 +22,15 @@
 	// maxRecords of a shard bound the table: 1,024 in all. Full, with what ran whole, it takes
 	// 1.6 MiB (BenchmarkFullTable).
 	maxRecords = 64
-	// maxWhole of a shard bounds what ran whole, twice: 2,048 to 4,096 requests in all.
-	maxWhole = 128
-	// suspectLife is how long a request with too few ends to bar it is remembered, and
+	// maxCompletions of a shard bounds what ran whole, twice: 2,048 to 4,096 requests in all.
+	maxCompletions = 128
+	// suspectTTL is how long a request with too few ends to bar it is remembered, and
 	// barredLife the same for one that is barred, from when it last came.
-	suspectLife = time.Hour
-	barredLife  = 24 * time.Hour
-	// askedEvery is how often the coming of a barred request counts as a change, so that
+	suspectTTL     = time.Hour
+	quarantinedTTL = 24 * time.Hour
+	// activityInterval is how often the coming of a barred request counts as a change, so that
 	// all remember it as long as it comes anywhere.
-	askedEvery = time.Hour
+	activityInterval = time.Hour
 )
 
 // Verdict says whether a request may be sent to a backend server.
@@ -44,14 +44,14 @@
 	Suspect Verdict = "suspect"
 	// Busy is a suspect with a try under way here.
 	Busy Verdict = "busy"
-	// Barred is one that is kept away from servers.
-	Barred Verdict = "barred"
-	// Limited is one that is kept away from servers of some builds, and runs on others.
-	Limited Verdict = "limited"
+	// Quarantined is one that is kept away from servers.
+	Quarantined Verdict = "barred"
+	// Restricted is one that is kept away from servers of some builds, and runs on others.
+	Restricted Verdict = "limited"
 )
 
-// ran is a request that ran whole on a build.
-type ran struct {
+// completion is a request that ran whole on a build.
+type completion struct {
 	fingerprint Fingerprint
 	build       string
 }
@@ -59,9 +59,9 @@
 type shard struct {
 	mu      sync.Mutex
 	entries map[Fingerprint]*entry
-	// whole and wholeBefore are what ran whole: when the first is full it takes the place
+	// completions and wholeBefore are what ran whole: when the first is full it takes the place
 	// of the second.
-	whole, wholeBefore map[ran]bool
+	completions, olderCompletions map[completion]bool
 }
 
 // Table holds what is known of requests. It is safe for concurrent use.
@@ -77,7 +77,7 @@
 	}
 	t := &Table{now: now}
 	for i := range t.shards {
-		t.shards[i].entries, t.shards[i].whole = map[Fingerprint]*entry{}, map[ran]bool{}
+		t.shards[i].entries, t.shards[i].completions = map[Fingerprint]*entry{}, map[completion]bool{}
 	}
 	return t
 }
@@ -102,99 +102,99 @@
 	v = e.verdict()
 	switch v {
 	case Suspect:
-		e.under++
-	case Barred, Limited:
-		avoid = e.endedOn()
+		e.triesInFlight++
+	case Quarantined, Restricted:
+		avoid = e.crashedBuilds()
 	}
 	return v, avoid
 }
 
-// Done notes that a try of a suspect is over.
-func (t *Table) Done(f Fingerprint) {
+// TryDone notes that a try of a suspect is over.
+func (t *Table) TryDone(f Fingerprint) {
 	s := t.shard(f)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if e := s.entries[f]; e != nil {
-		e.done()
+		e.tryDone()
 	}
 }
 
-// done takes a try off. Its entry may be another one than it began with, where that was
+// tryDone takes a try off. Its entry may be another one than it began with, where that was
 // forgotten meanwhile.
-func (e *entry) done() { e.under = max(e.under-1, 0) }
+func (e *entry) tryDone() { e.triesInFlight = max(e.triesInFlight-1, 0) }
 
 func (e *entry) verdict() Verdict {
-	switch ends := e.separateEnds(); {
-	case ends >= EndsToBar && len(e.whole) > 0:
-		return Limited
-	case ends >= EndsToBar:
-		return Barred
-	case ends < endsToSuspect:
+	switch ends := e.independentCrashes(); {
+	case ends >= CrashesToQuarantine && len(e.completedOn) > 0:
+		return Restricted
+	case ends >= CrashesToQuarantine:
+		return Quarantined
+	case ends < crashesToSuspect:
 		return Clear
-	case e.under > 0:
+	case e.triesInFlight > 0:
 		return Busy
 	}
 	return Suspect
 }
 
-// Ends returns how many separate ends are held against a request.
-func (t *Table) Ends(f Fingerprint) int {
+// Crashes returns how many separate ends are held against a request.
+func (t *Table) Crashes(f Fingerprint) int {
 	s := t.shard(f)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if e := s.entries[f]; e != nil {
-		return e.separateEnds()
+		return e.independentCrashes()
 	}
 	return 0
 }
 
-// Asked notes that a barred request came, and tells whether others are to hear of it, so
+// RecordArrival notes that a barred request came, and tells whether others are to hear of it, so
 // that they go on remembering.
-func (t *Table) Asked(f Fingerprint) (r Record, tell bool) {
+func (t *Table) RecordArrival(f Fingerprint) (r Record, tell bool) {
 	s := t.shard(f)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	e, now := s.entries[f], t.now()
-	if e == nil || now.Sub(e.heard) < askedEvery {
+	if e == nil || now.Sub(e.lastActivity) < activityInterval {
 		return Record{}, false
 	}
-	e.heard = now
+	e.lastActivity = now
 	return e.record(f, now), true
 }
 
 // ----------------------------------------------------------------
 // What is learnt
 
-// Ended notes that a server ended while it ran a request, and returns what others are to
+// RecordCrash notes that a server ended while it ran a request, and returns what others are to
 // hear of it: nothing where the request has run whole on such a server.
-func (t *Table) Ended(f Fingerprint, one End) (r Record, tell bool) {
+func (t *Table) RecordCrash(f Fingerprint, one Crash) (r Record, tell bool) {
 	s := t.shard(f)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.hasRun(ran{f, one.build}) {
+	if s.hasCompleted(completion{f, one.build}) {
 		return Record{}, false
 	}
 	now := t.now()
 	e := s.entry(f, now)
-	if !e.addEnd(one, now) {
+	if !e.addCrash(one, now) {
 		return Record{}, false
 	}
-	e.heard = now
+	e.lastActivity = now
 	return e.record(f, now), true
 }
 
-// Ran notes that a request ran whole on a build, and returns what others are to hear where
+// RecordCompletion notes that a request ran whole on a build, and returns what others are to hear where
 // an end is held against it.
-func (t *Table) Ran(f Fingerprint, build string) (r Record, tell bool) {
+func (t *Table) RecordCompletion(f Fingerprint, build string) (r Record, tell bool) {
 	s := t.shard(f)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.keepWhole(ran{f, build})
+	s.rememberCompletion(completion{f, build})
 	e, now := s.entries[f], t.now()
-	if e == nil || !e.addWhole(build) {
+	if e == nil || !e.addCompletion(build) {
 		return Record{}, false
 	}
-	e.heard = now
+	e.lastActivity = now
 	return e.record(f, now), true
 }
 
@@ -219,19 +219,19 @@
 	defer s.mu.Unlock()
 	now := t.now()
 	e := s.entry(r.fingerprint, now.Add(-r.idle))
-	changed = e.addHeard(r.idle, now)
+	changed = e.mergeActivity(r.idle, now)
 	changed = e.addTrial(r.trials, r.tester) || changed
-	for _, build := range r.whole {
-		changed = e.addWhole(build) || changed
+	for _, build := range r.completedOn {
+		changed = e.addCompletion(build) || changed
 	}
-	for _, one := range r.ends {
-		changed = e.addEnd(one, now) || changed
-		if s.hasRun(ran{r.fingerprint, one.build}) {
-			cleared = e.addWhole(one.build) || cleared
+	for _, one := range r.crashes {
+		changed = e.addCrash(one, now) || changed
+		if s.hasCompleted(completion{r.fingerprint, one.build}) {
+			cleared = e.addCompletion(one.build) || cleared
 		}
 	}
 	if cleared {
-		e.heard = now
+		e.lastActivity = now
 	}
 	return e.record(r.fingerprint, now), changed || cleared, cleared
 }
@@ -250,13 +250,13 @@
 	return all
 }
 
-// Barred counts the requests that are kept away from servers.
-func (t *Table) Barred() (count int) {
+// CountQuarantined counts the requests that are kept away from servers.
+func (t *Table) CountQuarantined() (count int) {
 	for i := range t.shards {
 		s := &t.shards[i]
 		s.mu.Lock()
 		for _, e := range s.entries {
-			if e.verdict() == Barred {
+			if e.verdict() == Quarantined {
 				count++
 			}
 		}
@@ -272,7 +272,7 @@
 		s := &t.shards[i]
 		s.mu.Lock()
 		for f, e := range s.entries {
-			if e.under == 0 && now.Sub(e.heard) > e.life() {
+			if e.triesInFlight == 0 && now.Sub(e.lastActivity) > e.ttl() {
 				delete(s.entries, f)
 			}
 		}
@@ -280,11 +280,11 @@
 	}
 }
 
-func (e *entry) life() time.Duration {
-	if e.separateEnds() >= EndsToBar {
-		return barredLife
+func (e *entry) ttl() time.Duration {
+	if e.independentCrashes() >= CrashesToQuarantine {
+		return quarantinedTTL
 	}
-	return suspectLife
+	return suspectTTL
 }
 
 // ----------------------------------------------------------------
@@ -296,37 +296,37 @@
 		return e
 	}
 	if len(s.entries) >= maxRecords {
-		s.forgetLeast()
+		s.evict()
 	}
-	e := &entry{heard: heard}
+	e := &entry{lastActivity: heard}
 	s.entries[f] = e
 	return e
 }
 
-// forgetLeast forgets the record with the fewest ends, the oldest of those.
-func (s *shard) forgetLeast() {
+// evict forgets the record with the fewest ends, the oldest of those.
+func (s *shard) evict() {
 	var least Fingerprint
 	var held *entry
 	for f, e := range s.entries {
-		if held == nil || e.isLess(held) {
+		if held == nil || e.isEvictedBefore(held) {
 			least, held = f, e
 		}
 	}
 	delete(s.entries, least)
 }
 
-func (e *entry) isLess(o *entry) bool {
-	if a, b := e.separateEnds(), o.separateEnds(); a != b {
+func (e *entry) isEvictedBefore(o *entry) bool {
+	if a, b := e.independentCrashes(), o.independentCrashes(); a != b {
 		return a < b
 	}
-	return e.heard.Before(o.heard)
+	return e.lastActivity.Before(o.lastActivity)
 }
 
-func (s *shard) hasRun(r ran) bool { return s.whole[r] || s.wholeBefore[r] }
+func (s *shard) hasCompleted(r completion) bool { return s.completions[r] || s.olderCompletions[r] }
 
-func (s *shard) keepWhole(r ran) {
-	if len(s.whole) >= maxWhole {
-		s.wholeBefore, s.whole = s.whole, make(map[ran]bool, maxWhole)
+func (s *shard) rememberCompletion(r completion) {
+	if len(s.completions) >= maxCompletions {
+		s.olderCompletions, s.completions = s.completions, make(map[completion]bool, maxCompletions)
 	}
-	s.whole[r] = true
+	s.completions[r] = true
 }
--- a/pkg/quarantine/table_test.go
+++ b/pkg/quarantine/table_test.go
@@ -19,79 +19,79 @@
 
 const request = Fingerprint("0123456789abcdef")
 
-func endOf(server, domain, build string, known int) End {
-	return NewEnd(server, 1, domain, build, known, 0)
+func crashOf(server, domain, build string, known int) Crash {
+	return NewCrash(server, 1, domain, build, known, 0)
 }
 
 // step is something that is learnt of a request.
 type step struct {
-	after time.Duration
-	end   *End
-	whole string
+	after       time.Duration
+	crash       *Crash
+	completedOn string
 }
 
-func ended(after time.Duration, server, domain string, known int) step {
-	e := endOf(server, domain, "v1/0", known)
-	return step{after: after, end: &e}
+func crashStep(after time.Duration, server, domain string, known int) step {
+	e := crashOf(server, domain, "v1/0", known)
+	return step{after: after, crash: &e}
 }
 
-func TestWhatKeepsARequestAway(t *testing.T) {
+func TestVerdict(t *testing.T) {
 	at := func(ms int) time.Duration { return time.Duration(ms) * time.Millisecond }
 	cases := []struct {
 		name  string
 		steps []step
 		want  Verdict
 	}{
-		{"two ends", []step{ended(0, "a", "x", 0), ended(at(10), "b", "y", 0)}, Suspect},
-		{"three ends of different domains at once", []step{ended(0, "a", "x", 0), ended(0, "b", "y", 0), ended(0, "c", "z", 0)}, Barred},
-		{"a rack that ends at once", []step{ended(0, "a", "x", 0), ended(at(5), "b", "x", 0), ended(at(5), "c", "x", 0), ended(at(5), "d", "x", 0)}, Clear},
-		{"a rack that ends twice", []step{ended(0, "a", "x", 0), ended(0, "b", "x", 0), ended(at(4000), "c", "x", 1), ended(0, "d", "x", 1)}, Suspect},
-		{"each sent by one who knew of the ends before", []step{ended(0, "a", "x", 0), ended(at(100), "b", "x", 1), ended(at(100), "c", "x", 2)}, Barred},
-		{"three ends a while apart in one domain", []step{ended(0, "a", "x", 0), ended(at(1500), "b", "x", 0), ended(at(1500), "c", "x", 0)}, Barred},
-		{"the same end told again", []step{ended(0, "a", "x", 0), ended(at(1500), "a", "x", 0), ended(at(1500), "a", "x", 0)}, Clear},
-		{"a whole run before the ends", []step{{whole: "v1/0"}, ended(0, "a", "x", 0), ended(0, "b", "y", 0), ended(0, "c", "z", 0)}, Clear},
-		{"a whole run after the ends", []step{ended(0, "a", "x", 0), ended(0, "b", "y", 0), ended(0, "c", "z", 0), {whole: "v1/0"}}, Clear},
-		{"a whole run on another build", []step{{whole: "v2/0"}, ended(0, "a", "x", 0), ended(0, "b", "y", 0), ended(0, "c", "z", 0)}, Barred},
-		{"a whole run on another build after the ends", []step{ended(0, "a", "x", 0), ended(0, "b", "y", 0), ended(0, "c", "z", 0), {whole: "v2/0"}}, Limited},
+		{"two ends", []step{crashStep(0, "a", "x", 0), crashStep(at(10), "b", "y", 0)}, Suspect},
+		{"three ends of different domains at once", []step{crashStep(0, "a", "x", 0), crashStep(0, "b", "y", 0), crashStep(0, "c", "z", 0)}, Quarantined},
+		{"a rack that ends at once", []step{crashStep(0, "a", "x", 0), crashStep(at(5), "b", "x", 0), crashStep(at(5), "c", "x", 0), crashStep(at(5), "d", "x", 0)}, Clear},
+		{"a rack that ends twice", []step{crashStep(0, "a", "x", 0), crashStep(0, "b", "x", 0), crashStep(at(4000), "c", "x", 1), crashStep(0, "d", "x", 1)}, Suspect},
+		{"each sent by one who knew of the ends before", []step{crashStep(0, "a", "x", 0), crashStep(at(100), "b", "x", 1), crashStep(at(100), "c", "x", 2)}, Quarantined},
+		{"three ends a while apart in one domain", []step{crashStep(0, "a", "x", 0), crashStep(at(1500), "b", "x", 0), crashStep(at(1500), "c", "x", 0)}, Quarantined},
+		{"the same end told again", []step{crashStep(0, "a", "x", 0), crashStep(at(1500), "a", "x", 0), crashStep(at(1500), "a", "x", 0)}, Clear},
+		{"a whole run before the ends", []step{{completedOn: "v1/0"}, crashStep(0, "a", "x", 0), crashStep(0, "b", "y", 0), crashStep(0, "c", "z", 0)}, Clear},
+		{"a whole run after the ends", []step{crashStep(0, "a", "x", 0), crashStep(0, "b", "y", 0), crashStep(0, "c", "z", 0), {completedOn: "v1/0"}}, Clear},
+		{"a whole run on another build", []step{{completedOn: "v2/0"}, crashStep(0, "a", "x", 0), crashStep(0, "b", "y", 0), crashStep(0, "c", "z", 0)}, Quarantined},
+		{"a whole run on another build after the ends", []step{crashStep(0, "a", "x", 0), crashStep(0, "b", "y", 0), crashStep(0, "c", "z", 0), {completedOn: "v2/0"}}, Restricted},
 	}
 	for _, c := range cases {
 		now := newClock()
 		table := NewTable(now.read)
 		for _, s := range c.steps {
 			now.advance(s.after)
-			if s.end != nil {
-				table.Ended(request, *s.end)
+			if s.crash != nil {
+				table.RecordCrash(request, *s.crash)
 			} else {
-				table.Ran(request, s.whole)
+				table.RecordCompletion(request, s.completedOn)
 			}
 		}
 		got, avoid := table.Begin(request)
 		if got != c.want {
 			t.Errorf("%s: %s", c.name, got)
 		}
-		if got == Limited && !slices.Equal(avoid, []string{"v1/0"}) {
+		if got == Restricted && !slices.Equal(avoid, []string{"v1/0"}) {
 			t.Errorf("%s: avoids %v", c.name, avoid)
 		}
 	}
 }
 
-func TestASuspectHasOneTryUnderWay(t *testing.T) {
+func TestSuspectHasOneTryInFlight(t *testing.T) {
 	table := NewTable(nil)
-	table.Ended(request, endOf("a", "x", "v1/0", 0))
-	table.Ended(request, endOf("b", "y", "v1/0", 0))
+	table.RecordCrash(request, crashOf("a", "x", "v1/0", 0))
+	table.RecordCrash(request, crashOf("b", "y", "v1/0", 0))
 	for _, want := range []Verdict{Suspect, Busy, Busy} {
 		if got, _ := table.Begin(request); got != want {
 			t.Errorf("%s, not %s", got, want)
 		}
 	}
-	table.Done(request)
+	table.TryDone(request)
 	if got, _ := table.Begin(request); got != Suspect {
 		t.Errorf("%s after the try", got)
 	}
 }
 
-// copied is a record as another process gets it.
-func copied(t *rapid.T, r Record) (got Record) {
+// overWire is a record as another process gets it.
+func overWire(t *rapid.T, r Record) (got Record) {
 	raw, err := msgpack.Marshal(r)
 	if err != nil {
 		t.Fatal(err)
@@ -104,35 +104,35 @@
 
 // Gateways that were cut off from each other learn for themselves, and agree when joined,
 // in whatever order they hear.
-func TestTablesAgreeWhateverTheOrder(t *testing.T) {
+func TestMergeIsOrderIndependent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := newClock()
 		tables := make([]*Table, 3)
 		for i := range tables {
 			tables[i] = NewTable(now.read)
 		}
-		for range rapid.IntRange(1, maxEnds).Draw(t, "steps") {
+		for range rapid.IntRange(1, maxCrashes).Draw(t, "steps") {
 			table := tables[rapid.IntRange(0, len(tables)-1).Draw(t, "table")]
 			now.advance(time.Duration(rapid.IntRange(0, 2000).Draw(t, "ms")) * time.Millisecond)
 			if rapid.IntRange(0, 5).Draw(t, "kind") == 0 {
-				table.Ran(request, "v1/0")
+				table.RecordCompletion(request, "v1/0")
 				continue
 			}
 			name := rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "server")
-			table.Ended(request, endOf(name, name[:1], "v1/0", table.Ends(request)))
+			table.RecordCrash(request, crashOf(name, name[:1], "v1/0", table.Crashes(request)))
 		}
 		for range len(tables) {
 			order := rapid.Permutation([]int{0, 1, 2}).Draw(t, "order")
 			for _, from := range order {
 				for _, to := range order {
 					for _, r := range tables[from].Records() {
-						tables[to].Merge([]Record{copied(t, r)})
+						tables[to].Merge([]Record{overWire(t, r)})
 					}
 				}
 			}
 		}
 		for _, table := range tables[1:] {
-			a, b := tables[0].Ends(request), table.Ends(request)
+			a, b := tables[0].Crashes(request), table.Crashes(request)
 			if a != b {
 				t.Fatalf("%d and %d ends: %v, %v", a, b, tables[0].Records(), table.Records())
 			}
@@ -148,11 +148,11 @@
 }
 
 // What a gateway saw run whole it tells those who hold ends against it.
-func TestWhoSawItRunClearsIt(t *testing.T) {
+func TestCompletionClearsRequest(t *testing.T) {
 	saw, others := NewTable(nil), NewTable(nil)
-	saw.Ran(request, "v1/0")
+	saw.RecordCompletion(request, "v1/0")
 	for _, name := range []string{"a", "b", "c"} {
-		r, tell := others.Ended(request, endOf(name, name, "v1/0", 0))
+		r, tell := others.RecordCrash(request, crashOf(name, name, "v1/0", 0))
 		if !tell {
 			t.Fatal("an end is not told")
 		}
@@ -170,38 +170,38 @@
 func TestTableIsBounded(t *testing.T) {
 	table := NewTable(nil)
 	for _, name := range []string{"a", "b", "c"} {
-		table.Ended(request, endOf(name, name, "v1/0", 0))
+		table.RecordCrash(request, crashOf(name, name, "v1/0", 0))
 	}
 	for i := range 100 * shardCount * maxRecords {
-		f := Of(Content{Target: fmt.Sprint(i)})
-		table.Ended(f, endOf("a", "x", "v1/0", 0))
-		table.Ran(f, "v2/0")
+		f := NewFingerprint(Content{Target: fmt.Sprint(i)})
+		table.RecordCrash(f, crashOf("a", "x", "v1/0", 0))
+		table.RecordCompletion(f, "v2/0")
 	}
 	if n := len(table.Records()); n > shardCount*maxRecords {
 		t.Errorf("%d records", n)
 	}
 	for i := range table.shards {
-		if s := &table.shards[i]; len(s.whole)+len(s.wholeBefore) > 2*maxWhole {
-			t.Errorf("%d requests that ran whole in one shard", len(s.whole)+len(s.wholeBefore))
+		if s := &table.shards[i]; len(s.completions)+len(s.olderCompletions) > 2*maxCompletions {
+			t.Errorf("%d requests that ran whole in one shard", len(s.completions)+len(s.olderCompletions))
 		}
 	}
-	if got, _ := table.Begin(request); got != Barred {
+	if got, _ := table.Begin(request); got != Quarantined {
 		t.Errorf("what was barred is %s", got)
 	}
 }
 
 // A barred request is remembered for as long as it comes.
-func TestBarredIsRememberedWhileItComes(t *testing.T) {
+func TestQuarantineLastsWhileRequestsArrive(t *testing.T) {
 	now := newClock()
 	table := NewTable(now.read)
 	for _, name := range []string{"a", "b", "c"} {
-		table.Ended(request, endOf(name, name, "v1/0", 0))
+		table.RecordCrash(request, crashOf(name, name, "v1/0", 0))
 	}
 	others := []*Table{NewTable(now.read), NewTable(now.read)}
 	others[0].Merge(table.Records())
 	for range 10 {
-		now.advance(barredLife - time.Minute)
-		r, tell := table.Asked(request)
+		now.advance(quarantinedTTL - time.Minute)
+		r, tell := table.RecordArrival(request)
 		if !tell {
 			t.Error("others are not told that it comes")
 		}
@@ -215,11 +215,11 @@
 		}
 	}
 	for i, one := range append(others, table) {
-		if got, _ := one.Begin(request); got != Barred {
+		if got, _ := one.Begin(request); got != Quarantined {
 			t.Errorf("while it comes it is %s at table %d", got, i)
 		}
 	}
-	now.advance(barredLife + time.Minute)
+	now.advance(quarantinedTTL + time.Minute)
 	table.Sweep()
 	if got, _ := table.Begin(request); got != Clear {
 		t.Errorf("a day after it came last it is %s", got)
@@ -240,12 +240,12 @@
 		{Organisation: "larder", Method: "POST", Host: "a.example", Target: "/xorder"},
 	}
 	for _, o := range others {
-		if Of(o) == Of(base) {
+		if NewFingerprint(o) == NewFingerprint(base) {
 			t.Errorf("%+v has the fingerprint of %+v", o, base)
 		}
 	}
 	again := base
-	if Of(again) != Of(base) || len(Of(base)) != fingerprintBytes {
+	if NewFingerprint(again) != NewFingerprint(base) || len(NewFingerprint(base)) != fingerprintBytes {
 		t.Error("the fingerprint is not the same twice")
 	}
 }
@@ -253,7 +253,7 @@
 // ----------------------------------------------------------------
 // Trials
 
-func TestTrialsAreFewForGood(t *testing.T) {
+func TestTrialCountIsBounded(t *testing.T) {
 	now := newClock()
 	leader, tester, other := NewTable(now.read), NewTable(now.read), NewTable(now.read)
 	share := func() {
@@ -264,64 +264,64 @@
 		}
 	}
 	for _, name := range []string{"a", "b", "c"} {
-		tester.Ended(request, endOf(name, name, "v1/0", 0))
+		tester.RecordCrash(request, crashOf(name, name, "v1/0", 0))
 	}
 	share()
-	if _, granted := leader.Grant(request, "g1"); granted || tester.BeginTrial(request, "g1") != NoTrial {
+	if _, granted := leader.GrantTrial(request, "g1"); granted || tester.BeginTrial(request, "g1") != NoTrialDue {
 		t.Fatal("a trial right after the last end")
 	}
 	made := 0
 	for range 100 {
 		now.advance(time.Minute)
-		if tester.BeginTrial(request, "g1") == MayAsk {
-			leader.Grant(request, "g1")
-			leader.Grant(request, "g2")
+		if tester.BeginTrial(request, "g1") == TrialDue {
+			leader.GrantTrial(request, "g1")
+			leader.GrantTrial(request, "g2")
 		}
 		share()
-		if other.BeginTrial(request, "g2") == Granted {
+		if other.BeginTrial(request, "g2") == TrialGranted {
 			t.Fatal("a gateway tries it that was not named")
 		}
-		if tester.BeginTrial(request, "g1") == Granted {
+		if tester.BeginTrial(request, "g1") == TrialGranted {
 			made++
-			tester.Ended(request, endOf(fmt.Sprint("d", made), "x", fmt.Sprint("v", made+1, "/0"), EndsToBar))
+			tester.RecordCrash(request, crashOf(fmt.Sprint("d", made), "x", fmt.Sprint("v", made+1, "/0"), CrashesToQuarantine))
 			tester.TrialDone(request, true)
 		}
 		share()
 	}
-	if made != len(trialPauses) {
-		t.Errorf("%d trials in 100 minutes; %d may be", made, len(trialPauses))
+	if made != len(trialDelays) {
+		t.Errorf("%d trials in 100 minutes; %d may be", made, len(trialDelays))
 	}
-	if got, _ := other.Begin(request); got != Barred {
+	if got, _ := other.Begin(request); got != Quarantined {
 		t.Errorf("after the trials it is %s", got)
 	}
 }
 
-func TestTrialThatWasNotSentIsStillToCome(t *testing.T) {
+func TestUnsentTrialRemainsGranted(t *testing.T) {
 	now := newClock()
 	table := NewTable(now.read)
 	for _, name := range []string{"a", "b", "c"} {
-		table.Ended(request, endOf(name, name, "v1/0", 0))
+		table.RecordCrash(request, crashOf(name, name, "v1/0", 0))
 	}
 	now.advance(time.Minute)
-	table.Grant(request, "g1")
+	table.GrantTrial(request, "g1")
 	for _, wasSent := range []bool{false, true} {
-		if got := table.BeginTrial(request, "g1"); got != Granted {
+		if got := table.BeginTrial(request, "g1"); got != TrialGranted {
 			t.Fatalf("%d", got)
 		}
 		table.TrialDone(request, wasSent)
 	}
-	if got := table.BeginTrial(request, "g1"); got != NoTrial {
+	if got := table.BeginTrial(request, "g1"); got != NoTrialDue {
 		t.Errorf("%d after it was sent", got)
 	}
 }
 
-func TestWhichBuildsMayBeMended(t *testing.T) {
+func TestMayBeFixed(t *testing.T) {
 	ended := []string{Build("v1", 2), Build("v1", 3)}
 	for build, want := range map[string]bool{
 		Build("v1", 1): false, Build("v1", 2): false, Build("v1", 3): false, Build("v1", 4): true,
 		Build("v2", 0): true, Build("v2", 2): true, Build("a/b", 1): true, "odd": true,
 	} {
-		if got := MayBeMended(build, ended); got != want {
+		if got := MayBeFixed(build, ended); got != want {
 			t.Errorf("%s: %t", build, got)
 		}
 	}
--- a/pkg/quarantine/trial.go
+++ b/pkg/quarantine/trial.go
@@ -17,65 +17,65 @@
 	"github.com/tidepost/tidepost/pkg/vm"
 )
 
-// trialPauses is how long after the last end a trial may come, the first and the second:
+// trialDelays is how long after the last end a trial may come, the first and the second:
 // a roll of software is over after the one, and the second is for those who needed another.
-var trialPauses = []time.Duration{30 * time.Second, 10 * time.Minute}
+var trialDelays = []time.Duration{30 * time.Second, 10 * time.Minute}
 
-// Tester names a gateway, by its start.
-func Tester(v vm.Identity) string { return fmt.Sprintf("%s/%x", v.ID(), v.Incarnation()) }
+// TesterID names a gateway, by its start.
+func TesterID(v vm.Identity) string { return fmt.Sprintf("%s/%x", v.ID(), v.Incarnation()) }
 
-// Grant lets a gateway try a barred request, if there is a trial left and it is time.
-func (t *Table) Grant(f Fingerprint, tester string) (r Record, granted bool) {
+// GrantTrial lets a gateway try a barred request, if there is a trial left and it is time.
+func (t *Table) GrantTrial(f Fingerprint, tester string) (r Record, granted bool) {
 	s := t.shard(f)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	e, now := s.entries[f], t.now()
-	if e == nil || e.verdict() != Barred || !e.isTrialDue(now) {
+	if e == nil || e.verdict() != Quarantined || !e.isTrialDue(now) {
 		return Record{}, false
 	}
 	e.addTrial(e.trials+1, tester)
-	e.heard = now
+	e.lastActivity = now
 	return e.record(f, now), true
 }
 
 // isTrialDue tells whether another trial is left, and its time has come.
 func (e *entry) isTrialDue(now time.Time) bool {
-	if e.trials >= len(trialPauses) || len(e.ends) == 0 {
+	if e.trials >= len(trialDelays) || len(e.crashes) == 0 {
 		return false
 	}
-	return now.Sub(e.ends[len(e.ends)-1].at) >= trialPauses[e.trials]
+	return now.Sub(e.crashes[len(e.crashes)-1].at) >= trialDelays[e.trials]
 }
 
-// Trial is how a barred request stands with a gateway.
-type Trial int
+// TrialState is how a barred request stands with a gateway.
+type TrialState int
 
 // The trials.
 const (
-	// NoTrial is that none is left, or not yet due.
-	NoTrial Trial = iota
-	// MayAsk is that one may be asked for.
-	MayAsk
-	// Granted is that this gateway is to make it; TrialDone must follow.
-	Granted
+	// NoTrialDue is that none is left, or not yet due.
+	NoTrialDue TrialState = iota
+	// TrialDue is that one may be asked for.
+	TrialDue
+	// TrialGranted is that this gateway is to make it; TrialDone must follow.
+	TrialGranted
 )
 
 // BeginTrial asks whether a gateway is to try a barred request now.
-func (t *Table) BeginTrial(f Fingerprint, tester string) Trial {
+func (t *Table) BeginTrial(f Fingerprint, tester string) TrialState {
 	s := t.shard(f)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	e := s.entries[f]
 	switch {
 	case e == nil:
-		return NoTrial
-	case e.tester == tester && e.used < e.trials:
-		e.used = e.trials
-		e.under++
-		return Granted
-	case e.under == 0 && e.isTrialDue(t.now()):
-		return MayAsk
+		return NoTrialDue
+	case e.tester == tester && e.trialsUsed < e.trials:
+		e.trialsUsed = e.trials
+		e.triesInFlight++
+		return TrialGranted
+	case e.triesInFlight == 0 && e.isTrialDue(t.now()):
+		return TrialDue
 	}
-	return NoTrial
+	return NoTrialDue
 }
 
 // TrialDone notes that a trial is over. One that was not sent to a server is still to come.
@@ -87,8 +87,8 @@
 	if e == nil {
 		return
 	}
-	e.done()
+	e.tryDone()
 	if !wasSent {
-		e.used = e.trials - 1
+		e.trialsUsed = e.trials - 1
 	}
 }
--- a/pkg/quarantine/wire_generated.go
+++ b/pkg/quarantine/wire_generated.go
@@ -8,44 +8,44 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// NewEnd returns a End with the given fields.
-func NewEnd(server string, born uint64, domain string, build string, known int, age time.Duration) End {
-	return End{server: server, born: born, domain: domain, build: build, known: known, age: age}
+// NewCrash returns a Crash with the given fields.
+func NewCrash(server string, startTime uint64, domain string, build string, knownCrashes int, age time.Duration) Crash {
+	return Crash{server: server, startTime: startTime, domain: domain, build: build, knownCrashes: knownCrashes, age: age}
 }
 
 // Server is the incarnation of the backend server.
-func (e End) Server() string { return e.server }
+func (c Crash) Server() string { return c.server }
 
-// Born is when that one started, in Unix milliseconds; 0 when not known.
-func (e End) Born() uint64 { return e.born }
+// StartTime is when that one started, in Unix milliseconds; 0 when not known.
+func (c Crash) StartTime() uint64 { return c.startTime }
 
 // Domain is its failure domain.
-func (e End) Domain() string { return e.domain }
+func (c Crash) Domain() string { return c.domain }
 
 // Build is its software and the weights that it served.
-func (e End) Build() string { return e.build }
+func (c Crash) Build() string { return c.build }
 
-// Known is how many separate ends the sender knew of when it sent the request.
-func (e End) Known() int { return e.known }
+// KnownCrashes is how many separate ends the sender knew of when it sent the request.
+func (c Crash) KnownCrashes() int { return c.knownCrashes }
 
 // Age is how long ago it ended, as far as the teller knows.
-func (e End) Age() time.Duration { return e.age }
+func (c Crash) Age() time.Duration { return c.age }
 
 // EncodeMsgpack writes the fields in order, as one array.
-func (e End) EncodeMsgpack(enc *msgpack.Encoder) error {
+func (c Crash) EncodeMsgpack(enc *msgpack.Encoder) error {
 	if err := enc.EncodeArrayLen(6); err != nil {
 		return err
 	}
-	return enc.EncodeMulti(e.server, e.born, e.domain, e.build, e.known, e.age)
+	return enc.EncodeMulti(c.server, c.startTime, c.domain, c.build, c.knownCrashes, c.age)
 }
 
 // DecodeMsgpack reads what EncodeMsgpack wrote, of this version or another.
-func (e *End) DecodeMsgpack(dec *msgpack.Decoder) error {
+func (c *Crash) DecodeMsgpack(dec *msgpack.Decoder) error {
 	count, err := dec.DecodeArrayLen()
 	if err != nil {
 		return err
 	}
-	fields := []any{&e.server, &e.born, &e.domain, &e.build, &e.known, &e.age}
+	fields := []any{&c.server, &c.startTime, &c.domain, &c.build, &c.knownCrashes, &c.age}
 	for i := 0; i < count; i++ {
 		if i >= len(fields) {
 			err = dec.Skip()
@@ -60,18 +60,18 @@
 }
 
 // NewRecord returns a Record with the given fields.
-func NewRecord(fingerprint Fingerprint, ends []End, whole []string, trials int, tester string, idle time.Duration) Record {
-	return Record{fingerprint: fingerprint, ends: ends, whole: whole, trials: trials, tester: tester, idle: idle}
+func NewRecord(fingerprint Fingerprint, crashes []Crash, completedOn []string, trials int, tester string, idle time.Duration) Record {
+	return Record{fingerprint: fingerprint, crashes: crashes, completedOn: completedOn, trials: trials, tester: tester, idle: idle}
 }
 
 // Fingerprint is the request's.
 func (r Record) Fingerprint() Fingerprint { return r.fingerprint }
 
-// Ends are the servers that ended while they ran it, oldest first.
-func (r Record) Ends() []End { return r.ends }
+// Crashes are the servers that ended while they ran it, oldest first.
+func (r Record) Crashes() []Crash { return r.crashes }
 
-// Whole are the builds on which it ran whole.
-func (r Record) Whole() []string { return r.whole }
+// CompletedOn are the builds on which it ran whole.
+func (r Record) CompletedOn() []string { return r.completedOn }
 
 // Trials is how often one gateway was let to try it once more after it was barred, and
 // tester who that was last.
@@ -89,7 +89,7 @@
 	if err := enc.EncodeArrayLen(6); err != nil {
 		return err
 	}
-	return enc.EncodeMulti(r.fingerprint, r.ends, r.whole, r.trials, r.tester, r.idle)
+	return enc.EncodeMulti(r.fingerprint, r.crashes, r.completedOn, r.trials, r.tester, r.idle)
 }
 
 // DecodeMsgpack reads what EncodeMsgpack wrote, of this version or another.
@@ -98,7 +98,7 @@
 	if err != nil {
 		return err
 	}
-	fields := []any{&r.fingerprint, &r.ends, &r.whole, &r.trials, &r.tester, &r.idle}
+	fields := []any{&r.fingerprint, &r.crashes, &r.completedOn, &r.trials, &r.tester, &r.idle}
 	for i := 0; i < count; i++ {
 		if i >= len(fields) {
 			err = dec.Skip()
--- a/pkg/serverlimit/messages.go
+++ b/pkg/serverlimit/messages.go
@@ -10,46 +10,46 @@
 type Server struct {
 	// incarnation names it.
 	incarnation string
-	// born tells starts of one incarnation apart; 0 where that is not known.
-	born uint64
+	// startTime tells starts of one incarnation apart; 0 where that is not known.
+	startTime uint64
 	// domain is its failure domain.
 	domain string
 }
 
-// Ask asks the owner of a limit for a permit to send one request.
+// PermitRequest asks the owner of a limit for a permit to send one request.
 //
 //wire:generate
-type Ask struct {
+type PermitRequest struct {
 	// server is the backend server.
 	server Server
 	// perSecond is the limit as the asking gateway heard it last.
 	perSecond float64
-	// news says that it heard it since it asked last.
-	news bool
-	// ago is for how long it has known it at the most: since it sent the request whose answer
+	// changed says that it heard it since it asked last.
+	changed bool
+	// age is for how long it has known it at the most: since it sent the request whose answer
 	// named it.
-	ago time.Duration
+	age time.Duration
 }
 
-// Answer answers an Ask.
+// PermitResponse answers an Ask.
 //
 //wire:generate
-type Answer struct {
+type PermitResponse struct {
 	// permit is what was granted; its zero value is none.
 	permit Permit
-	// over says that the server names no limit any more: whoever asked need not ask.
-	over bool
+	// limitEnded says that the server names no limit any more: whoever asked need not ask.
+	limitEnded bool
 	// perSecond is the limit that the owner keeps.
 	perSecond float64
-	// next is after which time there is another permit, where none was granted.
-	next time.Duration
+	// retryAfter is after which time there is another permit, where none was granted.
+	retryAfter time.Duration
 	// owner is the link address of the gateway that decided; empty where that takes no
 	// reports.
 	owner string
 }
 
-// By returns the answer with the gateway that decided it.
-func (a Answer) By(owner string) Answer {
+// WithOwner returns the answer with the gateway that decided it.
+func (a PermitResponse) WithOwner(owner string) PermitResponse {
 	a.owner = owner
 	return a
 }
@@ -58,9 +58,9 @@
 //
 //wire:generate
 type Permit struct {
-	// limiter is the process that granted it, and number its number there, from 1 on.
-	limiter uint64
-	number  uint64
+	// limiterID is the process that granted it, and number its number there, from 1 on.
+	limiterID uint64
+	number    uint64
 }
 
 // IsGranted tells whether there is a permit.
@@ -71,17 +71,17 @@
 
 // The outcomes.
 const (
-	// Unsent is a permit that was not used.
-	Unsent Outcome = iota + 1
-	// StillNamed is that the answer named a limit, and NotNamed that it named none.
-	StillNamed
-	NotNamed
+	// Unused is a permit that was not used.
+	Unused Outcome = iota + 1
+	// LimitAdvertised is that the answer named a limit, and NotNamed that it named none.
+	LimitAdvertised
+	NoLimitAdvertised
 )
 
-// Report tells the owner of a limit what became of a permit that it granted.
+// PermitReport tells the owner of a limit what became of a permit that it granted.
 //
 //wire:generate
-type Report struct {
+type PermitReport struct {
 	// server is the backend server.
 	server Server
 	// permit is the one that was granted.
--- a/pkg/serverlimit/owner.go
+++ b/pkg/serverlimit/owner.go
@@ -24,9 +24,9 @@
 	Address, Domain string
 }
 
-// Owners returns gateways in the order in which they own the limit of a server: the first
+// RankOwners returns gateways in the order in which they own the limit of a server: the first
 // one does, and each later one where all before it are out of reach.
-func Owners(s Server, gateways []Gateway) []Gateway {
+func RankOwners(s Server, gateways []Gateway) []Gateway {
 	type ranked struct {
 		gateway Gateway
 		far     int
--- a/pkg/serverlimit/saying.go
+++ b/pkg/serverlimit/saying.go
@@ -14,13 +14,13 @@
 	"strings"
 )
 
-// mostPerSecond is the highest limit that is taken at its word, in requests a second: a
+// maxPerSecond is the highest limit that is taken at its word, in requests a second: a
 // thousand times what an engine serves.
-const mostPerSecond = 1e6
+const maxPerSecond = 1e6
 
-// decimalSigns are those of a decimal number. strconv reads hexadecimal numbers and words
+// decimalChars are those of a decimal number. strconv reads hexadecimal numbers and words
 // such as "inf" too.
-const decimalSigns = "0123456789+-.eE"
+const decimalChars = "0123456789+-.eE"
 
 // Kind tells what is said apart.
 type Kind uint8
@@ -29,36 +29,36 @@
 const (
 	// None says no limit.
 	None Kind = iota
-	// Unreadable says something that is no limit.
-	Unreadable
-	// Named says a limit.
-	Named
+	// Invalid says something that is no limit.
+	Invalid
+	// Valid says a limit.
+	Valid
 )
 
-// Saying is what one answer says of a limit. The zero value says none.
-type Saying struct {
+// AdvertisedLimit is what one answer says of a limit. The zero value says none.
+type AdvertisedLimit struct {
 	kind      Kind
 	perSecond float64
 }
 
-// Read reads the values of a header field; none is that the answer lacks it.
-func Read(values []string) Saying {
+// ParseHeader reads the values of a header field; none is that the answer lacks it.
+func ParseHeader(values []string) AdvertisedLimit {
 	if len(values) == 0 {
-		return Saying{}
+		return AdvertisedLimit{}
 	}
 	text := strings.TrimSpace(values[0])
-	if len(values) > 1 || strings.Trim(text, decimalSigns) != "" {
-		return Saying{kind: Unreadable}
+	if len(values) > 1 || strings.Trim(text, decimalChars) != "" {
+		return AdvertisedLimit{kind: Invalid}
 	}
 	perSecond, err := strconv.ParseFloat(text, 64)
-	if err != nil || math.IsInf(perSecond, 0) || perSecond < 0 || perSecond > mostPerSecond {
-		return Saying{kind: Unreadable}
+	if err != nil || math.IsInf(perSecond, 0) || perSecond < 0 || perSecond > maxPerSecond {
+		return AdvertisedLimit{kind: Invalid}
 	}
-	return Saying{Named, perSecond}
+	return AdvertisedLimit{Valid, perSecond}
 }
 
 // Kind returns the kind.
-func (s Saying) Kind() Kind { return s.kind }
+func (s AdvertisedLimit) Kind() Kind { return s.kind }
 
 // PerSecond returns the limit that is named, in requests a second.
-func (s Saying) PerSecond() float64 { return s.perSecond }
+func (s AdvertisedLimit) PerSecond() float64 { return s.perSecond }
--- a/pkg/serverlimit/saying_test.go
+++ b/pkg/serverlimit/saying_test.go
@@ -5,23 +5,23 @@
 func TestOnlyDecimalNumbersAreLimits(t *testing.T) {
 	for _, c := range []struct {
 		text string
-		want Saying
+		want AdvertisedLimit
 	}{
-		{"1", Saying{Named, 1}}, {"1.9", Saying{Named, 1.9}}, {" 0.25 ", Saying{Named, 0.25}}, {"0", Saying{Named, 0}},
-		{".5", Saying{Named, 0.5}}, {"2e1", Saying{Named, 20}}, {"1000000", Saying{Named, 1e6}},
-		{"", Saying{kind: Unreadable}}, {"many", Saying{kind: Unreadable}}, {"-1", Saying{kind: Unreadable}},
-		{"NaN", Saying{kind: Unreadable}}, {"inf", Saying{kind: Unreadable}}, {"1e400", Saying{kind: Unreadable}},
-		{"1000001", Saying{kind: Unreadable}}, {"0x10", Saying{kind: Unreadable}}, {"1, 2", Saying{kind: Unreadable}},
-		{"1.2.3", Saying{kind: Unreadable}}, {"+", Saying{kind: Unreadable}}, {"1 /s", Saying{kind: Unreadable}},
+		{"1", AdvertisedLimit{Valid, 1}}, {"1.9", AdvertisedLimit{Valid, 1.9}}, {" 0.25 ", AdvertisedLimit{Valid, 0.25}}, {"0", AdvertisedLimit{Valid, 0}},
+		{".5", AdvertisedLimit{Valid, 0.5}}, {"2e1", AdvertisedLimit{Valid, 20}}, {"1000000", AdvertisedLimit{Valid, 1e6}},
+		{"", AdvertisedLimit{kind: Invalid}}, {"many", AdvertisedLimit{kind: Invalid}}, {"-1", AdvertisedLimit{kind: Invalid}},
+		{"NaN", AdvertisedLimit{kind: Invalid}}, {"inf", AdvertisedLimit{kind: Invalid}}, {"1e400", AdvertisedLimit{kind: Invalid}},
+		{"1000001", AdvertisedLimit{kind: Invalid}}, {"0x10", AdvertisedLimit{kind: Invalid}}, {"1, 2", AdvertisedLimit{kind: Invalid}},
+		{"1.2.3", AdvertisedLimit{kind: Invalid}}, {"+", AdvertisedLimit{kind: Invalid}}, {"1 /s", AdvertisedLimit{kind: Invalid}},
 	} {
-		if got := Read([]string{c.text}); got != c.want {
+		if got := ParseHeader([]string{c.text}); got != c.want {
 			t.Errorf("%q is %v, want %v", c.text, got, c.want)
 		}
 	}
-	if got := Read(nil); got.Kind() != None {
+	if got := ParseHeader(nil); got.Kind() != None {
 		t.Errorf("no field is %v", got)
 	}
-	if got := Read([]string{"1", "2"}); got.Kind() != Unreadable {
+	if got := ParseHeader([]string{"1", "2"}); got.Kind() != Invalid {
 		t.Errorf("two fields are %v", got)
 	}
 }
--- a/pkg/serverlimit/wire_generated.go
+++ b/pkg/serverlimit/wire_generated.go
@@ -8,42 +8,32 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// NewAnswer returns a Answer with the given fields.
-func NewAnswer(permit Permit, over bool, perSecond float64, next time.Duration, owner string) Answer {
-	return Answer{permit: permit, over: over, perSecond: perSecond, next: next, owner: owner}
+// NewPermit returns a Permit with the given fields.
+func NewPermit(limiterID uint64, number uint64) Permit {
+	return Permit{limiterID: limiterID, number: number}
 }
 
-// Permit is what was granted; its zero value is none.
-func (a Answer) Permit() Permit { return a.permit }
-
-// Over says that the server names no limit any more: whoever asked need not ask.
-func (a Answer) Over() bool { return a.over }
-
-// PerSecond is the limit that the owner keeps.
-func (a Answer) PerSecond() float64 { return a.perSecond }
-
-// Next is after which time there is another permit, where none was granted.
-func (a Answer) Next() time.Duration { return a.next }
+// LimiterID is the process that granted it, and number its number there, from 1 on.
+func (p Permit) LimiterID() uint64 { return p.limiterID }
 
-// Owner is the link address of the gateway that decided; empty where that takes no
-// reports.
-func (a Answer) Owner() string { return a.owner }
+// Number returns the field of that name.
+func (p Permit) Number() uint64 { return p.number }
 
 // EncodeMsgpack writes the fields in order, as one array.
-func (a Answer) EncodeMsgpack(enc *msgpack.Encoder) error {
-	if err := enc.EncodeArrayLen(5); err != nil {
+func (p Permit) EncodeMsgpack(enc *msgpack.Encoder) error {
+	if err := enc.EncodeArrayLen(2); err != nil {
 		return err
 	}
-	return enc.EncodeMulti(a.permit, a.over, a.perSecond, a.next, a.owner)
+	return enc.EncodeMulti(p.limiterID, p.number)
 }
 
 // DecodeMsgpack reads what EncodeMsgpack wrote, of this version or another.
-func (a *Answer) DecodeMsgpack(dec *msgpack.Decoder) error {
+func (p *Permit) DecodeMsgpack(dec *msgpack.Decoder) error {
 	count, err := dec.DecodeArrayLen()
 	if err != nil {
 		return err
 	}
-	fields := []any{&a.permit, &a.over, &a.perSecond, &a.next, &a.owner}
+	fields := []any{&p.limiterID, &p.number}
 	for i := 0; i < count; i++ {
 		if i >= len(fields) {
 			err = dec.Skip()
@@ -57,39 +47,38 @@
 	return nil
 }
 
-// NewAsk returns a Ask with the given fields.
-func NewAsk(server Server, perSecond float64, news bool, ago time.Duration) Ask {
-	return Ask{server: server, perSecond: perSecond, news: news, ago: ago}
+// NewPermitReport returns a PermitReport with the given fields.
+func NewPermitReport(server Server, permit Permit, outcome Outcome, perSecond float64) PermitReport {
+	return PermitReport{server: server, permit: permit, outcome: outcome, perSecond: perSecond}
 }
 
 // Server is the backend server.
-func (a Ask) Server() Server { return a.server }
+func (p PermitReport) Server() Server { return p.server }
 
-// PerSecond is the limit as the asking gateway heard it last.
-func (a Ask) PerSecond() float64 { return a.perSecond }
+// Permit is the one that was granted.
+func (p PermitReport) Permit() Permit { return p.permit }
 
-// News says that it heard it since it asked last.
-func (a Ask) News() bool { return a.news }
+// Outcome is what became of it.
+func (p PermitReport) Outcome() Outcome { return p.outcome }
 
-// Ago is for how long it has known it at the most: since it sent the request whose answer
-// named it.
-func (a Ask) Ago() time.Duration { return a.ago }
+// PerSecond is the limit that the answer named.
+func (p PermitReport) PerSecond() float64 { return p.perSecond }
 
 // EncodeMsgpack writes the fields in order, as one array.
-func (a Ask) EncodeMsgpack(enc *msgpack.Encoder) error {
+func (p PermitReport) EncodeMsgpack(enc *msgpack.Encoder) error {
 	if err := enc.EncodeArrayLen(4); err != nil {
 		return err
 	}
-	return enc.EncodeMulti(a.server, a.perSecond, a.news, a.ago)
+	return enc.EncodeMulti(p.server, p.permit, p.outcome, p.perSecond)
 }
 
 // DecodeMsgpack reads what EncodeMsgpack wrote, of this version or another.
-func (a *Ask) DecodeMsgpack(dec *msgpack.Decoder) error {
+func (p *PermitReport) DecodeMsgpack(dec *msgpack.Decoder) error {
 	count, err := dec.DecodeArrayLen()
 	if err != nil {
 		return err
 	}
-	fields := []any{&a.server, &a.perSecond, &a.news, &a.ago}
+	fields := []any{&p.server, &p.permit, &p.outcome, &p.perSecond}
 	for i := 0; i < count; i++ {
 		if i >= len(fields) {
 			err = dec.Skip()
@@ -103,32 +92,39 @@
 	return nil
 }
 
-// NewPermit returns a Permit with the given fields.
-func NewPermit(limiter uint64, number uint64) Permit {
-	return Permit{limiter: limiter, number: number}
+// NewPermitRequest returns a PermitRequest with the given fields.
+func NewPermitRequest(server Server, perSecond float64, changed bool, age time.Duration) PermitRequest {
+	return PermitRequest{server: server, perSecond: perSecond, changed: changed, age: age}
 }
 
-// Limiter is the process that granted it, and number its number there, from 1 on.
-func (p Permit) Limiter() uint64 { return p.limiter }
+// Server is the backend server.
+func (p PermitRequest) Server() Server { return p.server }
+
+// PerSecond is the limit as the asking gateway heard it last.
+func (p PermitRequest) PerSecond() float64 { return p.perSecond }
 
-// Number returns the field of that name.
-func (p Permit) Number() uint64 { return p.number }
+// Changed says that it heard it since it asked last.
+func (p PermitRequest) Changed() bool { return p.changed }
+
+// Age is for how long it has known it at the most: since it sent the request whose answer
+// named it.
+func (p PermitRequest) Age() time.Duration { return p.age }
 
 // EncodeMsgpack writes the fields in order, as one array.
-func (p Permit) EncodeMsgpack(enc *msgpack.Encoder) error {
-	if err := enc.EncodeArrayLen(2); err != nil {
+func (p PermitRequest) EncodeMsgpack(enc *msgpack.Encoder) error {
+	if err := enc.EncodeArrayLen(4); err != nil {
 		return err
 	}
-	return enc.EncodeMulti(p.limiter, p.number)
+	return enc.EncodeMulti(p.server, p.perSecond, p.changed, p.age)
 }
 
 // DecodeMsgpack reads what EncodeMsgpack wrote, of this version or another.
-func (p *Permit) DecodeMsgpack(dec *msgpack.Decoder) error {
+func (p *PermitRequest) DecodeMsgpack(dec *msgpack.Decoder) error {
 	count, err := dec.DecodeArrayLen()
 	if err != nil {
 		return err
 	}
-	fields := []any{&p.limiter, &p.number}
+	fields := []any{&p.server, &p.perSecond, &p.changed, &p.age}
 	for i := 0; i < count; i++ {
 		if i >= len(fields) {
 			err = dec.Skip()
@@ -142,38 +138,42 @@
 	return nil
 }
 
-// NewReport returns a Report with the given fields.
-func NewReport(server Server, permit Permit, outcome Outcome, perSecond float64) Report {
-	return Report{server: server, permit: permit, outcome: outcome, perSecond: perSecond}
+// NewPermitResponse returns a PermitResponse with the given fields.
+func NewPermitResponse(permit Permit, limitEnded bool, perSecond float64, retryAfter time.Duration, owner string) PermitResponse {
+	return PermitResponse{permit: permit, limitEnded: limitEnded, perSecond: perSecond, retryAfter: retryAfter, owner: owner}
 }
 
-// Server is the backend server.
-func (r Report) Server() Server { return r.server }
+// Permit is what was granted; its zero value is none.
+func (p PermitResponse) Permit() Permit { return p.permit }
 
-// Permit is the one that was granted.
-func (r Report) Permit() Permit { return r.permit }
+// LimitEnded says that the server names no limit any more: whoever asked need not ask.
+func (p PermitResponse) LimitEnded() bool { return p.limitEnded }
 
-// Outcome is what became of it.
-func (r Report) Outcome() Outcome { return r.outcome }
+// PerSecond is the limit that the owner keeps.
+func (p PermitResponse) PerSecond() float64 { return p.perSecond }
 
-// PerSecond is the limit that the answer named.
-func (r Report) PerSecond() float64 { return r.perSecond }
+// RetryAfter is after which time there is another permit, where none was granted.
+func (p PermitResponse) RetryAfter() time.Duration { return p.retryAfter }
+
+// Owner is the link address of the gateway that decided; empty where that takes no
+// reports.
+func (p PermitResponse) Owner() string { return p.owner }
 
 // EncodeMsgpack writes the fields in order, as one array.
-func (r Report) EncodeMsgpack(enc *msgpack.Encoder) error {
-	if err := enc.EncodeArrayLen(4); err != nil {
+func (p PermitResponse) EncodeMsgpack(enc *msgpack.Encoder) error {
+	if err := enc.EncodeArrayLen(5); err != nil {
 		return err
 	}
-	return enc.EncodeMulti(r.server, r.permit, r.outcome, r.perSecond)
+	return enc.EncodeMulti(p.permit, p.limitEnded, p.perSecond, p.retryAfter, p.owner)
 }
 
 // DecodeMsgpack reads what EncodeMsgpack wrote, of this version or another.
-func (r *Report) DecodeMsgpack(dec *msgpack.Decoder) error {
+func (p *PermitResponse) DecodeMsgpack(dec *msgpack.Decoder) error {
 	count, err := dec.DecodeArrayLen()
 	if err != nil {
 		return err
 	}
-	fields := []any{&r.server, &r.permit, &r.outcome, &r.perSecond}
+	fields := []any{&p.permit, &p.limitEnded, &p.perSecond, &p.retryAfter, &p.owner}
 	for i := 0; i < count; i++ {
 		if i >= len(fields) {
 			err = dec.Skip()
@@ -188,15 +188,15 @@
 }
 
 // NewServer returns a Server with the given fields.
-func NewServer(incarnation string, born uint64, domain string) Server {
-	return Server{incarnation: incarnation, born: born, domain: domain}
+func NewServer(incarnation string, startTime uint64, domain string) Server {
+	return Server{incarnation: incarnation, startTime: startTime, domain: domain}
 }
 
 // Incarnation names it.
 func (s Server) Incarnation() string { return s.incarnation }
 
-// Born tells starts of one incarnation apart; 0 where that is not known.
-func (s Server) Born() uint64 { return s.born }
+// StartTime tells starts of one incarnation apart; 0 where that is not known.
+func (s Server) StartTime() uint64 { return s.startTime }
 
 // Domain is its failure domain.
 func (s Server) Domain() string { return s.domain }
@@ -206,7 +206,7 @@
 	if err := enc.EncodeArrayLen(3); err != nil {
 		return err
 	}
-	return enc.EncodeMulti(s.incarnation, s.born, s.domain)
+	return enc.EncodeMulti(s.incarnation, s.startTime, s.domain)
 }
 
 // DecodeMsgpack reads what EncodeMsgpack wrote, of this version or another.
@@ -215,7 +215,7 @@
 	if err != nil {
 		return err
 	}
-	fields := []any{&s.incarnation, &s.born, &s.domain}
+	fields := []any{&s.incarnation, &s.startTime, &s.domain}
 	for i := 0; i < count; i++ {
 		if i >= len(fields) {
 			err = dec.Skip()
