--- a/pkg/gateway/ended_test.go
+++ b/pkg/gateway/crash_probe_test.go
@@ -1,3 +1,7 @@
+// ================================================================
+// The probe of a backend server after an attempt broke.
+// ================================================================
+
 package gateway
 
 import (
@@ -23,13 +27,13 @@
 	}
 }
 
-// backendAt returns a backend server at an address.
+// backendAt returns a backend server with the given address.
 func backendAt(address string) *backend {
 	return newBackend(registry.NewRegistration("i-1", "menu", address, "hall-a", "v1", 4, registry.Ready, 0, nil, 1, 0))
 }
 
-// Attempts that break together share a dial; one that was answered says nothing of an end
-// afterwards, and one that was refused holds for those that break with it.
+// Attempts that break together share a probe. An accepted probe proves nothing about a later crash,
+// and a refused one is valid for attempts that break with it.
 func TestCrashProbe(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -40,20 +44,20 @@
 	first := b.probe(now)
 	<-first.done
 	if first.refused {
-		t.Error("a server that listens has ended")
+		t.Error("the probe of a listening server was refused")
 	}
 	if err := l.Close(); err != nil {
 		t.Fatal(err)
 	}
 	second := b.probe(now)
 	if second == first {
-		t.Error("a dial that was answered holds after the end")
+		t.Error("an accepted probe was reused after the crash")
 	}
 	<-second.done
 	if !second.refused {
-		t.Error("a port that is closed is no end")
+		t.Error("the probe of a closed port was not refused")
 	}
 	if b.probe(now.Add(probeReuseWindow/2)) != second || b.probe(now.Add(2*probeReuseWindow)) == second {
-		t.Error("a refused dial holds too long, or not at all")
+		t.Error("a refused probe was reused for too long, or not at all")
 	}
 }
--- a/pkg/gateway/limit_fleet_test.go
+++ b/pkg/gateway/limit_fleet_test.go
@@ -1,8 +1,8 @@
 // ================================================================
-// What was seen: servers that named 1 and 1.9 requests a second got 18 and 23 in 4 s from
-// the gateways that they had told. A limit binds all gateways together, and each of them
-// hears of it alone. Here are the permits of 2 to 149 gateways, in virtual time and without
-// sockets, while gateways are killed, freeze, are cut off, start and are listed late.
+// Rate limits across 2 to 149 gateways, in virtual time and without sockets, while gateways are
+// killed, freeze, are partitioned, start and are listed late. Guards against a limit that each
+// gateway enforces on its own: servers that advertised 1 and 1.9 requests per second got 18 and 23
+// in 4 s from all gateways together.
 // ================================================================
 
 package gateway
@@ -24,37 +24,40 @@
 )
 
 const (
-	// A run of many gateways takes seconds; of a short one a permit more or less is a tenth.
+	// With many gateways a run takes seconds of real time. In a short run with few gateways one
+	// permit is a tenth of the result, so that run is longer.
 	largeFleetDuration, smallFleetDuration = 16 * time.Second, 40 * time.Second
-	// maxLinkDelay is the longest way between two gateways, or to the server.
+	// maxLinkDelay is the longest delay of a link between two gateways, or to the server.
 	maxLinkDelay = 6 * time.Millisecond
-	// The users' rule: no more in a window than half as much again as named, and some.
+	// The users' rule: in any window of limitWindow at most allowedFactor times the advertised
+	// limit, plus allowedSlack.
 	limitWindow   = 4 * time.Second
 	allowedFactor = 1.5
 	allowedSlack  = 5
-	// minKnownFor is how long a gateway has known of the limit when its requests count.
+	// minKnownFor is how long a gateway must know of the limit before its requests count.
 	minKnownFor = 500 * time.Millisecond
-	// warmUp the start on a limit is to be used: all gateways have heard of it by then.
+	// warmUp is the time after the start that usage does not count: by then all gateways know of
+	// the limit.
 	warmUp = 2 * time.Second
 )
 
-// fleetMember is one gateway of the fleet: its process, and the server as seen there.
+// fleetMember is one gateway of the fleet: its process, and the server as that process sees it.
 type fleetMember struct {
 	address, domain string
-	processes       []*Gateway // that have not begun: their making listens to signals
+	processes       []*Gateway // not yet started; created early since creation installs signal handlers
 	gateway         *Gateway
 	backend         *backend
 	startedAt       time.Time
 	down, frozen    bool
-	lateShare       float64 // the part of its answers that come too late
-	isolated        bool    // its links to those that are not are cut
+	lateShare       float64 // the share of its answers that arrive too late
+	isolated        bool    // its links to members that are not isolated are cut
 }
 
-// limitFleet is gateways before one server that names a limit.
+// limitFleet is a set of gateways that share one server with a rate limit.
 type limitFleet struct {
 	t         *testing.T
 	perSecond float64
-	demand    float64 // requests for the server a second that come to each gateway
+	demand    float64 // requests for the server per second that arrive at each gateway
 
 	randomMu sync.Mutex
 	random   *rand.Rand
@@ -62,17 +65,17 @@
 	mu          sync.Mutex
 	members     []*fleetMember
 	listed      map[string]feed.Peer
-	arrivals    []time.Time // that count
-	sent        int         // from useFrom after the start on
+	arrivals    []time.Time // requests at the server that count against the limit
+	sent        int         // requests sent after warmUp
 	runStart    time.Time
 	duration    time.Duration
-	ended       bool // the server names no limit any more
-	unpermitted int  // what came without a permit since
+	ended       bool // the server advertises no limit any more
+	unpermitted int  // requests without a permit since ended
 }
 
-var errUnreachable = errors.New("no way there")
+var errUnreachable = errors.New("connection refused")
 
-// newLimitFleet returns a fleet whose gateways have not begun.
+// newLimitFleet returns a fleet whose gateways have not started.
 func newLimitFleet(t *testing.T, gateways int, perSecond, demand float64) *limitFleet {
 	f := &limitFleet{t: t, perSecond: perSecond, demand: demand, listed: map[string]feed.Peer{}, random: rand.New(rand.NewPCG(1, 2))}
 	for i := range gateways {
@@ -88,22 +91,22 @@
 	return f
 }
 
-// maxOwnerRestarts is how often the owner may start again.
+// maxOwnerRestarts is how often the owner may be restarted.
 const maxOwnerRestarts = 30
 
-// draw draws a number by the fixed seed.
+// draw returns a random number from the fixed seed.
 func (f *limitFleet) draw(by func(*rand.Rand) float64) float64 {
 	f.randomMu.Lock()
 	defer f.randomMu.Unlock()
 	return by(f.random)
 }
 
-// linkDelay waits for as long as a way takes.
+// linkDelay sleeps for the delay of one link.
 func (f *limitFleet) linkDelay() {
 	time.Sleep(time.Duration(f.draw((*rand.Rand).Float64) * float64(maxLinkDelay)))
 }
 
-// newProcess returns a gateway at an address, whose links are calls.
+// newProcess returns a gateway for a member; its links are replaced by function calls.
 func (f *limitFleet) newProcess(m *fleetMember) *Gateway {
 	return newGateway(f.t, fmt.Sprintf(`
 vm: {name: gateway, region: north, failure_domain: %q}
@@ -114,7 +117,7 @@
 `, m.domain, m.address))
 }
 
-// startProcess begins a process of a member.
+// startProcess starts the next process of a member.
 func (f *limitFleet) startProcess(m *fleetMember) {
 	g := m.processes[0]
 	m.processes = m.processes[1:]
@@ -150,22 +153,22 @@
 	}
 }
 
-// connect waits for as long as the way from a member to an address takes, and returns the
-// process there; where nothing comes through, until the context ends.
+// connect sleeps for the delay of the link from a member to an address and returns the process
+// there. If the link is cut or the process frozen, it blocks until the context ends.
 func (f *limitFleet) connect(ctx context.Context, from *fleetMember, address string) (*Gateway, error) {
 	f.mu.Lock()
 	i := slices.IndexFunc(f.members, func(m *fleetMember) bool { return m.address == address })
 	var to *Gateway
-	silent := false
+	unreachable := false
 	if i >= 0 {
 		m := f.members[i]
-		to, silent = m.gateway, m.frozen || m.isolated != from.isolated || f.draw((*rand.Rand).Float64) < m.lateShare
+		to, unreachable = m.gateway, m.frozen || m.isolated != from.isolated || f.draw((*rand.Rand).Float64) < m.lateShare
 		if m.down {
 			to = nil
 		}
 	}
 	f.mu.Unlock()
-	if silent {
+	if unreachable {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
@@ -176,20 +179,20 @@
 	return to, ctx.Err()
 }
 
-// sendRequests has requests for the server come to a member until the context ends.
+// sendRequests sends requests for the server through a member until the context ends.
 func (f *limitFleet) sendRequests(ctx context.Context, m *fleetMember) {
 	for ctx.Err() == nil {
 		time.Sleep(time.Duration(f.draw((*rand.Rand).ExpFloat64) / f.demand * float64(time.Second)))
 		f.mu.Lock()
-		g, b, still := m.gateway, m.backend, m.down || m.frozen
+		g, b, stopped := m.gateway, m.backend, m.down || m.frozen
 		f.mu.Unlock()
-		if !still {
+		if !stopped {
 			f.sendRequest(ctx, m, g, b)
 		}
 	}
 }
 
-// sendRequest sends one request to the server if it may be sent.
+// sendRequest sends one request to the server if the gateway permits it.
 func (f *limitFleet) sendRequest(ctx context.Context, m *fleetMember, g *Gateway, b *backend) {
 	q := &request{ctx: ctx}
 	if b.load(time.Now()).isHeldBack(time.Now()) || !g.acquirePermit(q, b) {
@@ -213,22 +216,22 @@
 		f.unpermitted++
 	}
 	b.mu.Lock()
-	told := b.limit.active
+	known := b.limit.active
 	b.mu.Unlock()
-	if told && time.Since(m.startedAt) > minKnownFor && !f.ended {
+	if known && time.Since(m.startedAt) > minKnownFor && !f.ended {
 		f.arrivals = append(f.arrivals, time.Now())
 	}
-	over := f.ended
+	ended := f.ended
 	f.mu.Unlock()
 	x := &exchange{gateway: g, request: q, backend: b, permit: p, started: sent}
 	answer := ResponseHead{FromBackend: true, Limit: serverlimit.ParseHeader([]string{fmt.Sprint(f.perSecond)})}
-	if over {
+	if ended {
 		answer.Limit = serverlimit.ParseHeader(nil)
 	}
 	x.updateLimit(answer)
 }
 
-// maxInWindow returns the most arrivals in a window of the rule.
+// maxInWindow returns the most arrivals in any limitWindow.
 func (f *limitFleet) maxInWindow() (most int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -242,17 +245,17 @@
 	return most
 }
 
-// used returns how much of the limit was used.
+// used returns the share of the limit that was used after warmUp.
 func (f *limitFleet) used() float64 {
 	return float64(f.sent) / (f.perSecond * (f.duration - warmUp).Seconds())
 }
 
-// fleetFaults are what happens to the gateways.
+// fleetFaults are the faults that the gateways undergo.
 var fleetFaults = []struct {
 	name string
-	// used is how much of the limit is to be used: the aim where all reach the owner, what
-	// is left where the next one takes over late, and a stand-in's part where most answers
-	// are lost with their permits.
+	// used is the least share of the limit to be used: the normal aim where all gateways reach the
+	// owner, less where a backup takes over late, and the share of a partial backup where most
+	// answers are lost together with their permits.
 	used float64
 	do   func(f *limitFleet, ctx context.Context)
 }{
@@ -265,7 +268,7 @@
 			f.startProcess(owner)
 		})
 	}},
-	{"the owner stands still for 2 s of 4", 0.4, func(f *limitFleet, ctx context.Context) {
+	{"the owner is frozen for 2 s of 4", 0.4, func(f *limitFleet, ctx context.Context) {
 		f.every(ctx, 2*time.Second, func() {
 			owner := f.owner()
 			f.locked(func() { owner.frozen = true })
@@ -273,21 +276,21 @@
 			f.locked(func() { owner.frozen = false })
 		})
 	}},
-	{"a failure domain without the server is cut off for 6 s of 8", 0.8, func(f *limitFleet, ctx context.Context) {
+	{"a failure domain without the server is partitioned for 6 s of 8", 0.8, func(f *limitFleet, ctx context.Context) {
 		f.every(ctx, 2*time.Second, func() {
 			f.locked(func() { f.isolate("hall-b", true) })
 			time.Sleep(6 * time.Second)
 			f.locked(func() { f.isolate("hall-b", false) })
 		})
 	}},
-	{"the server's failure domain is cut off for 6 s of 8", 0.8, func(f *limitFleet, ctx context.Context) {
+	{"the server's failure domain is partitioned for 6 s of 8", 0.8, func(f *limitFleet, ctx context.Context) {
 		f.every(ctx, 2*time.Second, func() {
 			f.locked(func() { f.isolate("hall-a", true) })
 			time.Sleep(6 * time.Second)
 			f.locked(func() { f.isolate("hall-a", false) })
 		})
 	}},
-	{"all of the server's failure domain end, and stay listed", 0.4, func(f *limitFleet, _ context.Context) {
+	{"all gateways of the server's failure domain exit, and stay listed", 0.4, func(f *limitFleet, _ context.Context) {
 		time.Sleep(warmUp)
 		f.locked(func() {
 			for _, m := range f.members {
@@ -308,6 +311,7 @@
 	}},
 }
 
+// firstThird returns a third of the gateways, rounded up.
 func firstThird(all map[string]feed.Peer) map[string]feed.Peer {
 	some := map[string]feed.Peer{}
 	for address, peer := range all {
@@ -318,19 +322,21 @@
 	return some
 }
 
+// locked runs a function with the lock of the fleet held.
 func (f *limitFleet) locked(change func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	change()
 }
 
-func (f *limitFleet) isolate(domain string, apart bool) {
+// isolate cuts or restores the links between a failure domain and the others.
+func (f *limitFleet) isolate(domain string, isolated bool) {
 	for _, m := range f.members {
-		m.isolated = apart && m.domain == domain
+		m.isolated = isolated && m.domain == domain
 	}
 }
 
-// owner returns the member that owns the limit, whether it is up or not.
+// owner returns the member that owns the limit, whether it is running or not.
 func (f *limitFleet) owner() *fleetMember {
 	var all []serverlimit.Gateway
 	for _, m := range f.members {
@@ -340,6 +346,7 @@
 	return f.members[slices.IndexFunc(f.members, func(m *fleetMember) bool { return m.address == first.Address })]
 }
 
+// every runs a function after each pause until the context ends.
 func (f *limitFleet) every(ctx context.Context, pause time.Duration, do func()) {
 	for ctx.Err() == nil {
 		time.Sleep(pause)
@@ -349,37 +356,37 @@
 	}
 }
 
-// run has callers come to all gateways while something is done to them.
-func (f *limitFleet) run(do func(f *limitFleet, ctx context.Context), during time.Duration) {
-	ctx, cancel := context.WithTimeout(context.Background(), during)
+// run sends requests through all gateways for a time while a fault is injected.
+func (f *limitFleet) run(inject func(f *limitFleet, ctx context.Context), duration time.Duration) {
+	ctx, cancel := context.WithTimeout(context.Background(), duration)
 	defer cancel()
-	f.runStart, f.duration = time.Now(), during
+	f.runStart, f.duration = time.Now(), duration
 	for _, m := range f.members {
 		f.startProcess(m)
 	}
-	var under sync.WaitGroup
+	var group sync.WaitGroup
 	for _, m := range f.members {
-		under.Go(func() { f.sendRequests(ctx, m) })
+		group.Go(func() { f.sendRequests(ctx, m) })
 	}
-	under.Go(func() { do(f, ctx) })
-	under.Wait()
-	// The reports under way end.
+	group.Go(func() { inject(f, ctx) })
+	group.Wait()
+	// Lets the permit reports in flight finish.
 	time.Sleep(2 * permitReportTimeout)
 }
 
 func TestLimitHoldsAcrossGateways(t *testing.T) {
 	for _, fault := range fleetFaults {
 		for _, gateways := range []int{2, 6, 149} {
-			limits, lasts := []float64{0, 1, 1.9, 20}, smallFleetDuration
+			limits, duration := []float64{0, 1, 1.9, 20}, smallFleetDuration
 			if gateways > 100 {
-				limits, lasts = []float64{1, 20}, largeFleetDuration
+				limits, duration = []float64{1, 20}, largeFleetDuration
 			}
 			for _, perSecond := range limits {
 				t.Run(fmt.Sprintf("%s/%d/%g", fault.name, gateways, perSecond), func(t *testing.T) {
 					t.Parallel()
 					f := newLimitFleet(t, gateways, perSecond, max(10*perSecond/float64(gateways), 2))
 					synctest.Test(t, func(t *testing.T) {
-						f.run(fault.do, lasts)
+						f.run(fault.do, duration)
 						allowed := int(allowedFactor*limitWindow.Seconds()*perSecond) + allowedSlack
 						if most := f.maxInWindow(); most > allowed {
 							t.Errorf("%d requests in %s, %d allowed", most, limitWindow, allowed)
@@ -394,8 +401,8 @@
 	}
 }
 
-// Once the server names nothing any more all gateways send what they like within seconds,
-// also where a limit of one request in seconds lets few of them hear it themselves.
+// Once the server advertises no limit any more, all gateways send without permits within seconds,
+// also where so low a limit lets few of them see an answer themselves.
 func TestEndOfLimitReachesAllGateways(t *testing.T) {
 	for _, perSecond := range []float64{0, 1, 20} {
 		const gateways, demand = 149, 2.0
@@ -405,8 +412,8 @@
 				time.Sleep(largeFleetDuration / 2)
 				f.locked(func() { f.ended = true })
 			}, largeFleetDuration)
-			if most := gateways * demand * largeFleetDuration.Seconds() / 2; float64(f.unpermitted) < most/2 {
-				t.Errorf("%d requests came freely after the end of %g a second, of %.0f", f.unpermitted, perSecond, most)
+			if possible := gateways * demand * largeFleetDuration.Seconds() / 2; float64(f.unpermitted) < possible/2 {
+				t.Errorf("%d requests without a permit after the end of a limit of %g per second; %.0f were possible", f.unpermitted, perSecond, possible)
 			}
 		})
 	}
--- a/pkg/gateway/limit_owners.go
+++ b/pkg/gateway/limit_owners.go
@@ -1,6 +1,6 @@
 // ================================================================
-// The gateways that own limits: those that control nodes list, and how each answers here.
-// Without control nodes the last list goes on to hold.
+// The gateways that may own limits: those that the control nodes list, and whether each answers
+// this gateway. Without control nodes the last list stays in use.
 // ================================================================
 
 package gateway
@@ -16,56 +16,58 @@
 )
 
 const (
-	// ownerRetryInterval is when one that did not answer is asked again, and endedAgain one that has
-	// ended.
+	// ownerRetryInterval is when a gateway that didn't answer is asked again, and
+	// exitedRetryInterval one that has exited.
 	ownerRetryInterval  = 250 * time.Millisecond
 	exitedRetryInterval = time.Second
-	// takeoverDelay is how long an owner has to be silent before the next one grants in its
-	// place: a busy machine answers some questions late.
+	// takeoverDelay is how long an owner must fail to answer before the next gateway grants
+	// permits in its place: a busy machine answers some requests late.
 	takeoverDelay = 500 * time.Millisecond
-	// unlistedTTL is how long a gateway that is listed no more may own limits: it may come
-	// back by another control node. Where more than half are missing it is longLife: a
-	// control node that has just started or is cut off lists few.
+	// unlistedTTL is how long a gateway that is no longer listed may own limits: another control
+	// node may list it again. Where more than half of the gateways are missing from the list
+	// partialListTTL applies instead: a control node that has just started or is partitioned lists
+	// few.
 	unlistedTTL    = 2 * time.Second
 	partialListTTL = time.Minute
-	// listRefreshInterval is the time between two looks at the list: each request to a limited server
-	// asks for the order of owners twice, and working it out costs more the more gateways
+	// listRefreshInterval is the time between two reads of the list: each request to a limited
+	// server needs the ranking of owners twice, and computing it costs more the more gateways
 	// there are.
 	listRefreshInterval = 200 * time.Millisecond
 )
 
-// owners is what is known of the gateways that own limits.
+// owners holds what this gateway knows of the gateways that may own limits.
 type owners struct {
 	limiter *serverlimit.Limiter
-	// standalone grants a part of each limit while no other gateway is known.
+	// standalone grants a share of each limit while no other gateway is known.
 	standalone *serverlimit.Limiter
-	// listed returns the gateways that the control nodes list, and ask asks one for a permit.
+	// listed returns the gateways that the control nodes list, ask sends a permit request to one
+	// of them, and report a permit report.
 	listed func() map[string]feed.Peer
 	ask    func(ctx context.Context, address string, a serverlimit.PermitRequest) (serverlimit.PermitResponse, error)
 	report func(ctx context.Context, address string, r serverlimit.PermitReport) error
 
 	mu          sync.Mutex
 	known       map[string]knownGateway // by link address
-	refreshedAt time.Time               // at the list
-	// rankings are those in which gateways own the limits of servers, as known at the last look.
+	refreshedAt time.Time               // when the list was read last
+	// rankings caches the ranking of gateways for each server since the list was read last.
 	rankings map[serverlimit.Server][]serverlimit.Gateway
 }
 
-// knownGateway is a gateway and how it answers.
+// knownGateway is a gateway and whether it answers.
 type knownGateway struct {
 	gateway      serverlimit.Gateway
-	listedAt     time.Time // when it was last
-	exited       bool      // its VM says that nobody listens
+	listedAt     time.Time // when it was last listed
+	exited       bool      // its VM refuses connections
 	failingSince time.Time // zero while it answers
-	askedAt      time.Time // without an answer
+	askedAt      time.Time // when a permit was last requested from it
 }
 
-// isReplaceable tells whether a gateway may be stood in for.
+// isReplaceable reports whether a backup may grant permits in place of the gateway.
 func (k knownGateway) isReplaceable(now time.Time) bool {
 	return k.exited || !k.failingSince.IsZero() && now.Sub(k.failingSince) >= takeoverDelay
 }
 
-// isAskable tells whether a gateway is to be asked: it answers, or it is time to see.
+// isAskable reports whether the gateway is to be asked: it answers, or a retry is due.
 func (k knownGateway) isAskable(now time.Time) bool {
 	if k.exited {
 		return now.Sub(k.askedAt) >= exitedRetryInterval
@@ -81,14 +83,14 @@
 	}
 }
 
-// sweep forgets what nobody asks for.
+// sweep removes the limits that no gateway asks for any more.
 func (o *owners) sweep() {
 	o.limiter.Sweep(time.Now())
 	o.standalone.Sweep(time.Now())
 }
 
-// ranking returns the gateways that may own the limit of a server, in the order in which they
-// do. Nobody may change it.
+// ranking returns the gateways that may own the limit of a server, the owner first and then its
+// backups in order. Callers must not modify it.
 func (o *owners) ranking(server serverlimit.Server, now time.Time) []serverlimit.Gateway {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -96,16 +98,16 @@
 		o.refresh(now)
 		o.refreshedAt = now
 	}
-	order, known := o.rankings[server]
+	ranking, known := o.rankings[server]
 	if !known {
-		order = serverlimit.RankOwners(server, o.gateways())
-		o.rankings[server] = order
+		ranking = serverlimit.RankOwners(server, o.gateways())
+		o.rankings[server] = ranking
 	}
-	return order
+	return ranking
 }
 
-// refresh takes the gateways that are listed now, and forgets those that have not been for
-// long. The caller holds the lock.
+// refresh reads the list of gateways and removes those that have not been listed for too long. The
+// caller holds the lock.
 func (o *owners) refresh(now time.Time) {
 	listed := o.listed()
 	for address, peer := range listed {
@@ -113,15 +115,15 @@
 		k.gateway, k.listedAt = serverlimit.Gateway{Address: address, Domain: peer.Domain()}, now
 		o.known[address] = k
 	}
-	life := unlistedTTL
+	ttl := unlistedTTL
 	if 2*len(listed) < len(o.known) {
-		life = partialListTTL
+		ttl = partialListTTL
 	}
-	maps.DeleteFunc(o.known, func(_ string, k knownGateway) bool { return now.Sub(k.listedAt) > life })
+	maps.DeleteFunc(o.known, func(_ string, k knownGateway) bool { return now.Sub(k.listedAt) > ttl })
 	o.rankings = map[serverlimit.Server][]serverlimit.Gateway{}
 }
 
-// gateways returns those that are known. The caller holds the lock.
+// gateways returns the known gateways. The caller holds the lock.
 func (o *owners) gateways() []serverlimit.Gateway {
 	all := make([]serverlimit.Gateway, 0, len(o.known))
 	for _, k := range o.known {
@@ -130,53 +132,53 @@
 	return all
 }
 
-// lookup returns what is known of a gateway.
+// lookup returns what is known of a gateway, by its link address.
 func (o *owners) lookup(address string) knownGateway {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.known[address]
 }
 
-// askResult is how a question to a gateway ended.
+// askResult is the result of a permit request to another gateway.
 type askResult int
 
 const (
 	ownerAnswered askResult = iota
-	ownerExited             // nobody listens there
+	ownerExited             // its VM refuses connections
 	ownerTimedOut
 )
 
-// recordResult notes how a question to a gateway ended.
-func (o *owners) recordResult(address string, at time.Time, end askResult) {
+// recordResult records the result of a permit request that was sent to a gateway at a given moment.
+func (o *owners) recordResult(address string, at time.Time, result askResult) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	k, there := o.known[address]
+	k, known := o.known[address]
 	switch {
-	case !there:
+	case !known:
 		return
-	case end == ownerAnswered:
+	case result == ownerAnswered:
 		k.failingSince = time.Time{}
 	case k.failingSince.IsZero():
 		k.failingSince = at
 	}
-	k.askedAt, k.exited = at, end == ownerExited
+	k.askedAt, k.exited = at, result == ownerExited
 	o.known[address] = k
 }
 
-// role returns what this gateway is where some others own a limit before it; false where
-// one of them may still grant.
-func (o *owners) role(before []serverlimit.Gateway, now time.Time) (s serverlimit.Role, grants bool) {
+// role returns the role of this gateway where the given gateways rank before it; grants is false
+// while one of them may still grant permits.
+func (o *owners) role(before []serverlimit.Gateway, now time.Time) (role serverlimit.Role, grants bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for _, g := range before {
 		k := o.known[g.Address]
 		if !k.isReplaceable(now) {
-			return s, false
+			return role, false
 		}
-		s = max(s, serverlimit.Backup)
+		role = max(role, serverlimit.Backup)
 		if !k.exited {
-			s = serverlimit.PartialBackup
+			role = serverlimit.PartialBackup
 		}
 	}
-	return s, true
+	return role, true
 }
--- /dev/null
+++ b/pkg/gateway/limit_state.go
@@ -0,0 +1,148 @@
+// ================================================================
+// The rate limits that backend servers advertise, as this gateway knows them from their answers and
+// from the gateways that own the limits.
+// ================================================================
+
+package gateway
+
+import (
+	"time"
+
+	"github.com/go-kit/log/level"
+
+	"github.com/tidepost/tidepost/pkg/serverlimit"
+)
+
+const (
+	// limitLogRate bounds the log lines on limits per second, and limitLogBurst those written at
+	// one moment: each limited server has one when its limit begins, changes and ends.
+	limitLogRate  = 2
+	limitLogBurst = 64
+)
+
+// limitState is the limit of one backend server as this gateway knows it. The lock of the backend
+// guards it.
+type limitState struct {
+	active        bool
+	perSecond     float64
+	unreported    bool      // not yet reported to its owner
+	requestSentAt time.Time // when the request was sent whose answer advertised it
+	endedAt       time.Time // when its owner last said that it has ended
+	nextPermitAt  time.Time // when the next permit is due, by the last answer of its owner
+	heldUntil     time.Time // the owner is not asked before
+}
+
+// update applies what the answer to a request advertises that was sent at a given moment, and
+// reports whether the limit changed. An answer without a limit changes nothing: only the owner ends
+// a limit, since answers may arrive out of order. An answer to a request sent before the owner
+// ended the limit is outdated.
+func (l *limitState) update(s serverlimit.AdvertisedLimit, sent time.Time) (changed bool) {
+	if s.Kind() != serverlimit.Valid || !l.active && sent.Before(l.endedAt) {
+		return false
+	}
+	if l.active && l.perSecond == s.PerSecond() {
+		return false
+	}
+	l.active, l.perSecond, l.unreported, l.requestSentAt = true, s.PerSecond(), true, sent
+	return true
+}
+
+// updateLimit applies what an answer says about the limit of its backend server, and reports the
+// outcome of a permit to its owner where that is new to it.
+func (x *exchange) updateLimit(answer ResponseHead) {
+	if answer.Limit.Kind() == serverlimit.None && x.permit == nil {
+		// Nearly all answers: no limit is advertised, and no permit was used.
+		return
+	}
+	if answer.IsFromOther(x.backend.latestRegistration().Incarnation()) {
+		return
+	}
+	x.backend.mu.Lock()
+	changed := x.backend.limit.update(answer.Limit, x.started)
+	x.backend.mu.Unlock()
+	if changed {
+		x.gateway.logLimit(x.backend, answer.Limit)
+	}
+	switch {
+	case x.permit == nil:
+	case answer.Limit.Kind() == serverlimit.Valid && answer.Limit.PerSecond() != x.permit.perSecond:
+		x.gateway.reportPermit(x.permit, serverlimit.LimitAdvertised, answer.Limit.PerSecond())
+	case answer.Limit.Kind() == serverlimit.None && answer.FromBackend:
+		x.gateway.reportPermit(x.permit, serverlimit.NoLimitAdvertised, 0)
+	}
+}
+
+func (g *Gateway) logLimit(b *backend, s serverlimit.AdvertisedLimit) {
+	if !g.limitLogLimiter.Allow() {
+		return
+	}
+	r := b.latestRegistration()
+	message := "backend server names a limit"
+	if s.Kind() != serverlimit.Valid {
+		message = "backend server names no limit any more"
+	}
+	_ = level.Info(g.process.Logger).Log("msg", message, "backend", r.Incarnation(), "service", r.Service(),
+		"address", r.Address(), "per_second", s.PerSecond())
+}
+
+// limitedBackends counts the backend servers that have a limit.
+func (g *Gateway) limitedBackends() (count int) {
+	g.backends.each(func(b *backend, _ string) {
+		if b.isLimited() {
+			count++
+		}
+	})
+	return count
+}
+
+// isLimited reports whether the backend server has a limit.
+func (b *backend) isLimited() bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.limit.active
+}
+
+// permitRequest returns the request for a permit to the backend server; limited is false where none
+// is needed.
+func (b *backend) permitRequest() (request serverlimit.PermitRequest, limited bool) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if !b.limit.active {
+		return request, false
+	}
+	r := b.registration
+	server := serverlimit.NewServer(r.Incarnation(), r.StartedAt(), r.Domain())
+	return serverlimit.NewPermitRequest(server, b.limit.perSecond, b.limit.unreported, time.Since(b.limit.requestSentAt)), true
+}
+
+// endLimit removes the limit since its owner answered a permit request that it has ended, and
+// reports whether it did. A limit advertised after that request was made is newer and stays.
+func (b *backend) endLimit(request serverlimit.PermitRequest, now time.Time) (ended bool) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if !b.limit.active || b.limit.unreported && !request.Changed() {
+		return false
+	}
+	b.limit = limitState{endedAt: now}
+	return true
+}
+
+// markLimitReported notes that the owner knows the limit that a permit request carried.
+func (b *backend) markLimitReported(request serverlimit.PermitRequest) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if b.limit.perSecond == request.PerSecond() {
+		b.limit.unreported = false
+	}
+}
+
+// maxHold bounds how long this gateway doesn't ask an owner again: a low limit may rise or end long
+// before its next permit is due.
+const maxHold = time.Second
+
+// holdBack keeps requests of this gateway from the backend server until its next permit is due.
+func (b *backend) holdBack(now time.Time, next time.Duration) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.limit.nextPermitAt, b.limit.heldUntil = now.Add(next), now.Add(min(next, maxHold))
+}
--- a/pkg/gateway/limit_test.go
+++ b/pkg/gateway/limit_test.go
@@ -1,6 +1,6 @@
 // ================================================================
-// Limits that backend servers name, at one gateway before scripted servers: what it learns
-// of answers of all kinds, that it sends no more than is named, and what callers get.
+// Rate limits of backend servers at one gateway with fake servers: what the gateway learns from
+// valid and invalid answers, that it stays within the limit, and what callers get.
 // ================================================================
 
 package gateway
@@ -20,7 +20,7 @@
 	"github.com/tidepost/tidepost/pkg/serviceconfig"
 )
 
-// ownsAll has the gateway of a fixture own all limits: it is the only one.
+// ownsAll makes the gateway of a fixture the owner of all limits: it is the only one listed.
 func (f *fixture) ownsAll() *fixture {
 	self := f.gateway.process.Identity
 	f.gateway.limitOwners.listed = func() map[string]feed.Peer {
@@ -29,11 +29,12 @@
 	return f
 }
 
-// limitScript is a script whose answers say something of a limit; nothing where it is empty.
-func limitScript(says *atomic.Value, status string) responseScript {
+// limitScript answers with a status and the given limit header; without the header while its text
+// is empty.
+func limitScript(limit *atomic.Value, status string) responseScript {
 	return func(w *bufio.Writer, r *http.Request) bool {
 		header := ""
-		if text := says.Load().(string); text != "" {
+		if text := limit.Load().(string); text != "" {
 			header = headerLimit + ": " + text + "\r\n"
 		}
 		if status != "200 OK" {
@@ -44,27 +45,28 @@
 	}
 }
 
+// headerText returns a text that may change while servers read it.
 func headerText(text string) *atomic.Value {
 	var v atomic.Value
 	v.Store(text)
 	return &v
 }
 
-// get sends a request and returns the status and when to come back.
-func (f *fixture) get(t *testing.T, id string) (status int, after time.Duration) {
+// get sends a request and returns the status and the Retry-After time.
+func (f *fixture) get(t *testing.T, id string) (status int, retryAfter time.Duration) {
 	t.Helper()
 	status, header, _, _ := f.do(t, f.request(t, http.MethodGet, id, ""))
 	seconds, _ := strconv.ParseFloat(header.Get("Retry-After"), 64)
 	return status, time.Duration(seconds * float64(time.Second))
 }
 
-// maxRequests is how many requests may come to a server that names a limit, so long after it was
-// first asked: the one that heard of it, what is granted since, and one saved up.
+// maxRequests returns the most requests that may reach a server with a limit since a given time:
+// the one whose answer advertised the limit, those granted since, and one saved token.
 func maxRequests(perSecond float64, since time.Time) int {
 	return 2 + int(perSecond*time.Since(since).Seconds())
 }
 
-// A server that names a limit gets no more than that, and others get the rest.
+// A server with a limit gets no more requests than that, and other servers get the rest.
 func TestLimitedServerGetsItsLimitAndOthersGetTheRest(t *testing.T) {
 	limited := newFakeBackend(t, "s-1", limitScript(headerText("2"), "200 OK"))
 	other := newFakeBackend(t, "s-2", respondWith("200 OK", "done"))
@@ -76,11 +78,12 @@
 		}
 	}
 	if got := len(limited.requests()); got > maxRequests(2, start) {
-		t.Errorf("%d requests in %s for 2 a second", got, time.Since(start))
+		t.Errorf("%d requests in %s with a limit of 2 per second", got, time.Since(start))
 	}
 }
 
-// Where limits keep all servers away the caller hears at once when one takes the next.
+// Where limits keep a request from all servers, it is refused at once with the time of the next
+// permit.
 func TestExhaustedLimitsAreRefusedAtOnce(t *testing.T) {
 	for _, status := range []string{"200 OK", "503 Service Unavailable", "421 Misdirected Request"} {
 		limited := newFakeBackend(t, "s-1", limitScript(headerText("0.5"), status))
@@ -88,26 +91,27 @@
 		start := time.Now()
 		f.get(t, "first")
 		for i := range 20 {
-			status, after := f.get(t, fmt.Sprint("r", i))
+			status, retryAfter := f.get(t, fmt.Sprint("r", i))
 			if time.Since(start) > time.Second {
-				// The machine stood still, and there may be a permit.
+				// The machine paused this process, and a permit may be due.
 				break
 			}
-			if status != http.StatusServiceUnavailable || after <= 0 || after > 3*time.Second {
-				t.Errorf("status %d, come back in %s", status, after)
+			if status != http.StatusServiceUnavailable || retryAfter <= 0 || retryAfter > 3*time.Second {
+				t.Errorf("status %d, Retry-After %s", status, retryAfter)
 			}
 		}
 		if got := len(limited.requests()); got > maxRequests(0.5, start) {
-			t.Errorf("%s: %d requests in %s for 0.5 a second", status, got, time.Since(start))
+			t.Errorf("%s: %d requests in %s with a limit of 0.5 per second", status, got, time.Since(start))
 		}
 	}
 }
 
-// What is no number neither keeps requests from a server nor opens one that named a limit.
+// An invalid value neither keeps requests from a server nor lifts the limit that it advertised
+// before.
 func TestInvalidLimitsChangeNothing(t *testing.T) {
 	for _, text := range []string{"many", "-1", "NaN", "1e400", "0x1", "2, 3", "99999999"} {
-		says := headerText(text)
-		server := newFakeBackend(t, "s-1", limitScript(says, "200 OK"))
+		limit := headerText(text)
+		server := newFakeBackend(t, "s-1", limitScript(limit, "200 OK"))
 		f := newFixture(t, serviceconfig.Repeatable, false, server).ownsAll()
 		for i := range 5 {
 			if status, _ := f.get(t, fmt.Sprint("r", i)); status != http.StatusOK {
@@ -122,41 +126,41 @@
 	}
 }
 
-// Once its answers name none any more a server gets all requests again.
+// Once its answers advertise no limit any more, a server gets all requests again.
 func TestLimitEndsWithAnswerWithoutLimit(t *testing.T) {
-	says := headerText("50")
-	server := newFakeBackend(t, "s-1", limitScript(says, "200 OK"))
+	limit := headerText("50")
+	server := newFakeBackend(t, "s-1", limitScript(limit, "200 OK"))
 	f := newFixture(t, serviceconfig.Repeatable, false, server).ownsAll()
 	f.get(t, "first")
 	b := f.gateway.backends.forService("menu")[0]
 	if !b.isLimited() {
-		t.Fatal("no limit is known")
+		t.Fatal("the gateway knows no limit")
 	}
-	says.Store("")
+	limit.Store("")
 	for i := 0; b.isLimited(); i++ {
 		f.get(t, fmt.Sprint("r", i))
 		time.Sleep(time.Millisecond)
 	}
 	for i := range 100 {
 		if status, _ := f.get(t, fmt.Sprint("s", i)); status != http.StatusOK {
-			t.Fatalf("status %d once it names none", status)
+			t.Fatalf("status %d after the limit ended", status)
 		}
 	}
 }
 
-// A late answer to a request of before the limit's end does not bring it back.
+// A late answer to a request sent before the limit ended does not restore it.
 func TestOlderAnswerDoesNotRestoreLimit(t *testing.T) {
 	now := time.Now()
 	l := limitState{endedAt: now}
 	if l.update(serverlimit.ParseHeader([]string{"1"}), now.Add(-time.Millisecond)) {
-		t.Error("an older answer named it anew")
+		t.Error("an older answer restored the limit")
 	}
 	if !l.update(serverlimit.ParseHeader([]string{"1"}), now.Add(time.Millisecond)) {
-		t.Error("a newer answer did not")
+		t.Error("a newer answer did not set the limit")
 	}
 }
 
-// Repeats and streams that go on need permits too.
+// Retries and resumed streams need permits too.
 func TestRetriesNeedPermits(t *testing.T) {
 	broken := newFakeBackend(t, "s-1", func(w *bufio.Writer, r *http.Request) bool { return false })
 	limited := newFakeBackend(t, "s-2", limitScript(headerText("1"), "200 OK"))
@@ -166,11 +170,11 @@
 		f.get(t, fmt.Sprint("r", i))
 	}
 	if got := len(limited.requests()); got > maxRequests(1, start) {
-		t.Errorf("%d requests in %s for 1 a second", got, time.Since(start))
+		t.Errorf("%d requests in %s with a limit of 1 per second", got, time.Since(start))
 	}
 }
 
-// One request asks for the permits of few servers: its caller waits for each.
+// A request asks for the permits of few servers, since its caller waits for each.
 func TestPermitRequestsPerRequestAreBounded(t *testing.T) {
 	var servers []*fakeBackend
 	for i := range 2 * maxPermitsRequested {
@@ -190,20 +194,20 @@
 		}
 	}
 	if asked != maxPermitsRequested {
-		t.Errorf("%d servers' permits were asked for", asked)
+		t.Errorf("permits of %d servers were requested", asked)
 	}
 }
 
-// A caller that leaves while a permit is asked for keeps the server from nobody.
+// A caller that cancels while a permit is requested does not keep other requests from the server.
 func TestCanceledCallerDoesNotHoldServerBack(t *testing.T) {
 	f := newFixture(t, serviceconfig.Repeatable, false, newFakeBackend(t, "s-1", respondWith("200 OK", "done")))
 	g := f.gateway
 	g.limitOwners.listed = func() map[string]feed.Peer {
 		return map[string]feed.Peer{"127.0.0.2:1": feed.NewPeer("127.0.0.2:1", "hall-a", "", "", false, true)}
 	}
-	ctx, leave := context.WithCancel(t.Context())
+	ctx, cancel := context.WithCancel(t.Context())
 	g.limitOwners.ask = func(ctx context.Context, _ string, _ serverlimit.PermitRequest) (serverlimit.PermitResponse, error) {
-		leave()
+		cancel()
 		return serverlimit.PermitResponse{}, ctx.Err()
 	}
 	b := g.backends.forService("menu")[0]
@@ -216,7 +220,7 @@
 	}
 }
 
-// A request that holds a permit and goes elsewhere gives it back.
+// A request that holds a permit and goes to another server returns it.
 func TestUnusedPermitIsReturned(t *testing.T) {
 	limited := newFakeBackend(t, "s-1", limitScript(headerText("1"), "200 OK"))
 	f := newFixture(t, serviceconfig.Repeatable, false, limited).ownsAll()
@@ -233,18 +237,19 @@
 	}
 }
 
-// An engine that names a limit counts as what it takes, where that is less than it could do.
+// The capacity of an engine with a limit is that limit, where it is below what the engine could
+// serve.
 func TestCapacityOfLimitedEngines(t *testing.T) {
 	w := requirements{engine: serviceconfig.NewEngine(16, []string{"menu"}, 1, 96, 24576, 9*time.Millisecond, 0, 20000, 979, 92, 0, 5)}
-	whole := 1 / w.engine.Turn().Seconds()
+	unlimited := 1 / w.engine.Turn().Seconds()
 	for _, c := range []struct {
 		load load
 		want float64
 	}{
-		{load{}, whole}, {load{limited: true, perSecond: 1}, 1}, {load{limited: true}, 0}, {load{limited: true, perSecond: 1000}, whole},
+		{load{}, unlimited}, {load{limited: true, perSecond: 1}, 1}, {load{limited: true}, 0}, {load{limited: true, perSecond: 1000}, unlimited},
 	} {
 		if got := w.capacity([]candidate{{load: c.load}})[""]; got != c.want {
-			t.Errorf("limited %t, %g a second: %g, want %g", c.load.limited, c.load.perSecond, got, c.want)
+			t.Errorf("limited %t, %g per second: capacity %g, want %g", c.load.limited, c.load.perSecond, got, c.want)
 		}
 	}
 }
--- a/pkg/gateway/quarantine.go
+++ b/pkg/gateway/quarantine.go
@@ -1,12 +1,12 @@
 // ================================================================
-// Requests that end the backend servers that run them. A server that ends takes all its
-// requests with it, and each end costs its place for seconds: one such request, tried
-// four times a second, kept twelve servers down and two fifths of all other work unserved.
-// So what is known of such requests is told to all gateways, and after three separate
-// ends (pkg/quarantine) a request is kept away from servers.
+// Requests that crash the backend servers that run them. A crash fails all other requests on that
+// server, and its place is lost for seconds: one such request, tried four times a second, kept
+// twelve servers down and failed two fifths of all other work. So gateways share what they know of
+// such requests, and after three independent crashes (pkg/quarantine) a request is no longer sent
+// to servers.
 //
-// Its caller is told at once that it has not run, and to come back in a minute: 503 is
-// the promise that is true here, and a later one may be answered where servers are mended.
+// Its caller gets a 503 at once, with the statement that the request has not run and a Retry-After
+// of a minute: a later attempt may succeed once the servers are fixed.
 // ================================================================
 
 package gateway
@@ -21,19 +21,20 @@
 )
 
 const (
-	// crashReportRate bounds the first ends of requests that are told a second, and endsToldAtOnce
-	// those of one moment, some 80 bytes each: a server ends with tens of requests, nearly
-	// all innocent. What goes untold is told with the second end.
+	// crashReportRate bounds the first crashes of requests that are shared per second, and
+	// crashReportBurst those at one moment, about 80 bytes each: a crash hits tens of requests,
+	// nearly all of them innocent. A first crash that was not shared is shared with the second.
 	crashReportRate  = 16
 	crashReportBurst = 64
-	// suspectRetryAfter is when a request may come back that is under way here already, and
-	// under which servers ended before.
+	// suspectRetryAfter is when to retry a request that is already in flight here and under which
+	// servers crashed before.
 	suspectRetryAfter = time.Second
-	// trialRequestRate bounds the trials of barred requests that are asked for a second.
+	// trialRequestRate bounds the trials of quarantined requests that this gateway asks for per
+	// second.
 	trialRequestRate = 0.5
 )
 
-// admit tells why a request may not be tried; where it may, done is to be called at its end.
+// admit returns why a request may not be tried, or else a function to call when it ends.
 func (g *Gateway) admit(q *request) (done func(), f *failure.Failure) {
 	var verdict quarantine.Verdict
 	verdict, q.avoid = g.quarantine.Begin(q.fingerprint)
@@ -43,13 +44,13 @@
 	case quarantine.Quarantined:
 		return g.admitQuarantined(q)
 	case quarantine.Busy:
-		return nil, failure.New(failure.Overloaded, "backend servers ended under request %s, and a try of it is under way", q.fingerprint).WithRetryAfter(suspectRetryAfter)
+		return nil, failure.New(failure.Overloaded, "backend servers exited while running request %s, and another attempt of it is in flight", q.fingerprint).WithRetryAfter(suspectRetryAfter)
 	}
 	return func() {}, nil
 }
 
-// admitQuarantined tells whether a request that is kept away from servers is to be tried on
-// those of another build, and else why not.
+// admitQuarantined decides whether a quarantined request is tried on servers of another build, and
+// returns why it is not.
 func (g *Gateway) admitQuarantined(q *request) (done func(), f *failure.Failure) {
 	g.recordArrival(q)
 	switch g.quarantine.BeginTrial(q.fingerprint, g.tester) {
@@ -67,7 +68,8 @@
 	return nil, quarantinedFailure(q, g.quarantine.Crashes(q.fingerprint))
 }
 
-// hasFixedBuild tells whether a server serves that may be mended.
+// hasFixedBuild reports whether a server is ready that runs a build in which the crash may be
+// fixed.
 func (g *Gateway) hasFixedBuild(q *request) bool {
 	model, layers := q.modelAndLayers()
 	for _, b := range g.backends.forService(q.service.Name()) {
@@ -80,42 +82,44 @@
 	return false
 }
 
-// mayRun tells whether so many ends held against a request let it be sent to a server. A
+// mayRun reports whether a request with so many independent crashes may be sent to a server. A
 // trial is sent once.
-func (q *request) mayRun(ends int) bool {
+func (q *request) mayRun(crashes int) bool {
 	switch {
 	case q.isTrial:
 		return q.sent == 0
 	case len(q.avoid) > 0:
 		return true
 	}
-	return ends < quarantine.CrashesToQuarantine
+	return crashes < quarantine.CrashesToQuarantine
 }
 
 // quarantinedFailure is the failure of a request that is kept away from servers.
-func quarantinedFailure(q *request, ends int) *failure.Failure {
-	return failure.New(failure.EndsServers, "%d backend servers ended under request %s", ends, q.fingerprint)
+func quarantinedFailure(q *request, crashes int) *failure.Failure {
+	return failure.New(failure.EndsServers, "%d backend servers exited while running request %s", crashes, q.fingerprint)
 }
 
-// recordArrival has the others remember a request that still comes.
+// recordArrival notes that a quarantined request still arrives, so that all gateways go on
+// remembering it.
 func (g *Gateway) recordArrival(q *request) {
-	if r, tell := g.quarantine.RecordArrival(q.fingerprint); tell {
+	if r, share := g.quarantine.RecordArrival(q.fingerprint); share {
 		g.publishRecords([]quarantine.Record{r})
 	}
 }
 
-// crash is what is told of the backend server if it ended under the attempt.
+// crash returns the crash to record if the backend server exited during the attempt.
 func (x *exchange) crash() quarantine.Crash {
-	word := x.backend.latestRegistration()
-	return quarantine.NewCrash(word.Incarnation(), word.StartedAt(), word.Domain(), x.request.build, x.request.knownServerExits, 0)
+	r := x.backend.latestRegistration()
+	return quarantine.NewCrash(r.Incarnation(), r.StartedAt(), r.Domain(), x.request.build, x.request.knownServerExits, 0)
 }
 
-// recordCrash notes that the backend server ended while it had the request.
-func (x *exchange) recordCrash(end quarantine.Crash) {
+// recordCrash records that the backend server crashed while it ran the request, and shares that
+// with the other gateways.
+func (x *exchange) recordCrash(crash quarantine.Crash) {
 	g := x.gateway
 	g.metrics.serverExits.Inc()
-	r, tell := g.quarantine.RecordCrash(x.request.fingerprint, end)
-	if !tell {
+	r, share := g.quarantine.RecordCrash(x.request.fingerprint, crash)
+	if !share {
 		return
 	}
 	quarantine.LogQuarantined(g.process.Logger, []quarantine.Record{r})
@@ -124,21 +128,22 @@
 	}
 }
 
-// recordCompletion notes that the request ran whole where its answer shows that. The answer must
-// say itself where it ends: one that ends with its connection may have been broken off.
+// recordCompletion records that the request ran to completion where its answer shows that. The
+// answer must be framed by a length or by chunks: one that ends with its connection may have been
+// cut off.
 func (x *exchange) recordCompletion(answer *http.Response) {
 	framed := answer.ContentLength >= 0 || len(answer.TransferEncoding) > 0
 	if !framed || !ranToCompletion(answer.StatusCode) {
 		return
 	}
 	g, q := x.gateway, x.request
-	if r, tell := g.quarantine.RecordCompletion(q.fingerprint, q.build); tell {
+	if r, share := g.quarantine.RecordCompletion(q.fingerprint, q.build); share {
 		g.publishRecords([]quarantine.Record{r})
 	}
 }
 
-// ranToCompletion tells whether a backend server that answers with a status has run the request to
-// its end: with success, or with a failure that it found in the request or by running it.
+// ranToCompletion reports whether a backend server that answers with a status has run the request
+// to completion: with success, or with an error that it found in the request or by running it.
 func ranToCompletion(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests,
@@ -148,8 +153,8 @@
 	return true
 }
 
-// build is what a backend server runs: its software, and the version of a model's weights
-// that it serves, 0 where it has none.
+// build returns what a backend server runs: its software, and the version of a model's weights that
+// it serves, 0 where it serves none.
 func (b *backend) build(model string, layers int) string {
 	var version uint64
 	if model != "" {
@@ -158,13 +163,14 @@
 	return quarantine.Build(b.latestRegistration().Software(), version)
 }
 
-// modelAndLayers are the model that a request needs, empty for plain services, and its layers.
+// modelAndLayers returns the model that a request needs, empty for plain services, and its number
+// of layers.
 func (q *request) modelAndLayers() (model string, layers int) {
 	return q.model, max(q.service.Engine().Layers(), 1)
 }
 
-// mergeRecords takes what a control node tells. Of a request that ran whole here the
-// others are told so.
+// mergeRecords merges records from a control node. Where one holds crashes against a request that
+// ran to completion here, that is shared with the other gateways.
 func (g *Gateway) mergeRecords(records []quarantine.Record) {
 	changed, cleared := g.quarantine.Merge(records)
 	quarantine.LogQuarantined(g.process.Logger, changed)
--- a/pkg/quarantine/build.go
+++ b/pkg/quarantine/build.go
@@ -1,6 +1,6 @@
 // ================================================================
-// A build: what a server runs, its software and its weights. A request that ends servers
-// of one build may run on another, where either has been mended.
+// A build is what a server runs: its software and its weights. A request that crashes servers of
+// one build may run on another, in which the fault is fixed.
 // ================================================================
 
 package quarantine
@@ -11,30 +11,30 @@
 	"strings"
 )
 
-// Build returns how a server's software and the version of its weights are told; version 0
-// is that of plain servers, and of engines that serve nothing.
+// Build returns the build of a server from its software and the version of its weights. Version 0
+// stands for plain servers, and for engines that serve no weights.
 func Build(software string, weights uint64) string { return fmt.Sprintf("%s/%d", software, weights) }
 
 // splitBuild returns the software and the weights of a build.
 func splitBuild(build string) (software string, weights uint64) {
-	at := strings.LastIndexByte(build, '/')
-	if at < 0 {
+	slash := strings.LastIndexByte(build, '/')
+	if slash < 0 {
 		return build, 0
 	}
-	weights, err := strconv.ParseUint(build[at+1:], 10, 64)
+	weights, err := strconv.ParseUint(build[slash+1:], 10, 64)
 	if err != nil {
 		return build, 0
 	}
-	return build[:at], weights
+	return build[:slash], weights
 }
 
-// MayBeFixed tells whether a build may run a request under which servers of others ended:
-// it has other software, or the same with later weights. A server that starts anew may
-// serve earlier weights for a while, and those are not mended.
-func MayBeFixed(build string, ended []string) bool {
+// MayBeFixed reports whether a build may run a request that crashed servers of other builds: its
+// software differs, or is the same with later weights. Earlier weights don't count, since a
+// restarted server may serve them for a while.
+func MayBeFixed(build string, crashed []string) bool {
 	software, weights := splitBuild(build)
-	for _, one := range ended {
-		if s, w := splitBuild(one); s == software && w >= weights {
+	for _, other := range crashed {
+		if s, w := splitBuild(other); s == software && w >= weights {
 			return false
 		}
 	}
--- a/pkg/quarantine/cost_test.go
+++ b/pkg/quarantine/cost_test.go
@@ -1,3 +1,7 @@
+// ================================================================
+// The cost of the quarantine to each request of a gateway, and the memory of a full table.
+// ================================================================
+
 package quarantine
 
 import (
@@ -7,7 +11,7 @@
 	"testing"
 )
 
-// What each request of a gateway pays for.
+// BenchmarkFingerprint measures the fingerprint of one request.
 func BenchmarkFingerprint(b *testing.B) {
 	for _, size := range []int{0, 2 << 10, 64 << 10} {
 		c := Content{Organisation: "larder", Method: "POST", Host: "menus.example", Target: "/draft/x", Body: bytes.Repeat([]byte("x"), size)}
@@ -19,6 +23,7 @@
 	}
 }
 
+// BenchmarkCompletedRequest measures the calls to the table for a request that runs to completion.
 func BenchmarkCompletedRequest(b *testing.B) {
 	table := NewTable(nil)
 	fingerprints := make([]Fingerprint, 1<<14)
@@ -34,7 +39,7 @@
 	}
 }
 
-// BenchmarkFullTable tells what a full table takes of the heap.
+// BenchmarkFullTable measures the heap size of a full table.
 func BenchmarkFullTable(b *testing.B) {
 	var before, after runtime.MemStats
 	for range b.N {
--- a/pkg/quarantine/fingerprint.go
+++ b/pkg/quarantine/fingerprint.go
@@ -1,15 +1,15 @@
 // ================================================================
-// What makes two requests the same one. Each try of a caller has a new id, a
-// shorter deadline and perhaps the last event that it has; what a backend server
-// works on is told by who asks, and by method, host, path and body.
+// The fingerprint that identifies repeated attempts of one request. Each attempt of a caller has a
+// new id, a shorter deadline and perhaps a last event id; the work of a backend server is
+// determined by the caller's organisation, method, host, path and body.
 //
-// A cryptographic digest, since a caller who can make two bodies of one
-// fingerprint could have another one's request kept away from servers. SHA-256
-// costs 2.6 µs for a body of 2 KB and 65 µs for one of 64 KB (BenchmarkFingerprint).
+// The digest is cryptographic, since a caller who could make two bodies with one fingerprint could
+// have another caller's request quarantined. SHA-256 costs 2.6 µs for a body of 2 KB and 65 µs for
+// one of 64 KB (BenchmarkFingerprint).
 // ================================================================
 
-// Package quarantine knows which requests end the backend servers that run them,
-// and keeps those away from servers.
+// Package quarantine records which requests crash the backend servers that run them, and keeps
+// those requests away from servers.
 package quarantine
 
 import (
@@ -18,20 +18,20 @@
 	"encoding/hex"
 )
 
-// fingerprintBytes of a digest make two requests that differ distinct: by chance
-// two of 2^32 requests share one with a probability of 2^-65.
+// fingerprintBytes of the digest are enough to tell requests apart: the probability that any two of
+// 2^32 requests share a fingerprint is 2^-65.
 const fingerprintBytes = 16
 
-// Fingerprint tells requests apart by their content; 16 raw bytes, or empty.
+// Fingerprint identifies a request by its content; 16 raw bytes, or empty.
 type Fingerprint string
 
-// Content is what a fingerprint is made of.
+// Content is the part of a request that its fingerprint covers.
 type Content struct {
-	// Organisation is the caller's; empty where it is not known.
+	// Organisation is that of the caller; empty where it is not known.
 	Organisation string
 	// Method, Host and Target (path and query) are as the caller wrote them.
 	Method, Host, Target string
-	// Body is the whole body.
+	// Body is the complete body.
 	Body []byte
 }
 
@@ -40,7 +40,7 @@
 	digest := sha256.New()
 	var length [8]byte
 	for _, part := range []string{c.Organisation, c.Method, c.Host, c.Target} {
-		// The length goes before each part, so that none runs into the next.
+		// A length before each part keeps different splits of the same text apart.
 		binary.BigEndian.PutUint64(length[:], uint64(len(part)))
 		digest.Write(length[:])
 		digest.Write([]byte(part))
--- a/pkg/quarantine/log.go
+++ b/pkg/quarantine/log.go
@@ -1,6 +1,5 @@
 // ================================================================
-// The log lines of requests that are kept away from servers, the same at gateways and
-// control nodes.
+// The log lines about quarantined requests, the same for gateways and control nodes.
 // ================================================================
 
 package quarantine
@@ -10,16 +9,16 @@
 	"github.com/go-kit/log/level"
 )
 
-// LogQuarantined logs those of some records that changed whose requests are kept away from
-// servers, with the servers that ended.
+// LogQuarantined logs the requests among some changed records that are quarantined, with the
+// servers that crashed.
 func LogQuarantined(logger log.Logger, changed []Record) {
 	for _, r := range changed {
 		if !r.IsQuarantined() {
 			continue
 		}
 		var servers []string
-		for _, one := range r.crashes {
-			servers = append(servers, one.server)
+		for _, crash := range r.crashes {
+			servers = append(servers, crash.server)
 		}
 		_ = level.Warn(logger).Log("msg", "request ends backend servers", "fingerprint", r.fingerprint, "servers", servers)
 	}
--- a/pkg/quarantine/record.go
+++ b/pkg/quarantine/record.go
@@ -1,17 +1,18 @@
 // ================================================================
-// What is known of one request: the servers that ended while they ran it, and where it
-// has run whole. Records are told by gateways through control nodes and merged by union,
-// so all come to know the same whatever the order, also after a cut.
+// What is known of one request: the servers that crashed while they ran it, and the builds on which
+// it ran to completion. Gateways share records through the control nodes. Merging is a union, so
+// all reach the same state in any order of messages, also after a partition.
 //
-// An end alone proves nothing: a server that ends takes all its requests with it, the
-// innocent as well. So what counts is separate ends, and one whole run clears a request:
+// A single crash proves nothing: a server that crashes fails all its requests, innocent ones as
+// well. So only independent crashes count, and one completed run clears a request:
 //
-//   - ends of one failure domain within a second are one, as of a rack that fails, unless
-//     the sender of the later request knew of the earlier end: then that server lived on;
-//   - a request that ran whole somewhere does not end servers of that build.
+//   - crashes in one failure domain within a second count as one, as when a rack fails,
+//     unless the sender of the later request knew of the earlier crash: then that server
+//     outlived it;
+//   - a request that ran to completion on a build doesn't crash servers of that build.
 //
-// Rejected: the count of ends alone. What everybody asks is under way at nearly each
-// server, and had three ends behind it within a second of the first.
+// Rejected: the plain number of crashes. A popular request is in flight on nearly every server, and
+// had three crashes against it within a second of the first.
 // ================================================================
 
 package quarantine
@@ -24,114 +25,114 @@
 )
 
 const (
-	// CrashesToQuarantine is how many separate ends keep a request away from servers. After two, one
-	// innocent request of some eight under way at each end would be kept away as well;
-	// after three one in fifty, at 20 servers.
+	// CrashesToQuarantine is how many independent crashes quarantine a request. After two, one
+	// innocent request of about eight in flight at each crash would be quarantined as well; after
+	// three, one in fifty, with 20 servers.
 	CrashesToQuarantine = 3
-	// crashesToSuspect has one try of a request at a time at each gateway. After one end that
-	// would hold up what many ask whenever a rack fails.
+	// crashesToSuspect limits a request to one attempt at a time in each gateway. After a single
+	// crash that would delay popular requests whenever a rack fails.
 	crashesToSuspect = 2
-	// maxCrashes and maxBuilds bound a record: some 40 bytes an end.
+	// maxCrashes and maxBuilds bound a record: about 40 bytes per crash.
 	maxCrashes = 6
 	maxBuilds  = 4
-	// sameFailureWindow is within what time ends of one failure domain are one: gateways see an end
-	// within milliseconds, and tell of it within some hundred.
+	// sameFailureWindow is the time within which crashes in one failure domain count as one:
+	// gateways detect a crash within milliseconds, and share it within a few hundred.
 	sameFailureWindow = time.Second
 )
 
-// Crash is that a backend server ended while it ran a request.
+// Crash says that a backend server exited while it ran a request.
 //
 //wire:generate
 type Crash struct {
 	// server is the incarnation of the backend server.
 	server string
-	// startTime is when that one started, in Unix milliseconds; 0 when not known.
+	// startTime is when that process started, in Unix milliseconds; 0 where it is not known.
 	startTime uint64
-	// domain is its failure domain.
+	// domain is the failure domain of the server.
 	domain string
-	// build is its software and the weights that it served.
+	// build is the software of the server and the weights that it served.
 	build string
-	// knownCrashes is how many separate ends the sender knew of when it sent the request.
+	// knownCrashes is how many independent crashes the sender knew of when it sent the request.
 	knownCrashes int
-	// age is how long ago it ended, as far as the teller knows.
+	// age is the time since the crash, as far as the sender of this message knows.
 	age time.Duration
 }
 
-// isSameProcess tells whether two ends are of one life of a server.
-func (e Crash) isSameProcess(o Crash) bool { return e.server == o.server && e.startTime == o.startTime }
+// isSameProcess reports whether two crashes are of one process of a server.
+func (c Crash) isSameProcess(o Crash) bool { return c.server == o.server && c.startTime == o.startTime }
 
-// Record is what is told of one request.
+// Record is what gateways and control nodes share about one request.
 //
 //wire:generate
 type Record struct {
-	// fingerprint is the request's.
+	// fingerprint identifies the request.
 	fingerprint Fingerprint
-	// crashes are the servers that ended while they ran it, oldest first.
+	// crashes are the crashes of servers that ran the request, oldest first.
 	crashes []Crash
-	// completedOn are the builds on which it ran whole.
+	// completedOn are the builds on which it ran to completion.
 	completedOn []string
-	// trials is how often one gateway was let to try it once more after it was barred, and
-	// tester who that was last.
+	// trials is how often a gateway was allowed to try the request again after it was quarantined,
+	// and tester the gateway that was allowed to do so last.
 	trials int
 	tester string
-	// idle is how long ago anything was learnt of it, or it came while it was barred, as far
-	// as the teller knows.
+	// idle is the time since something new was learned of the request, or since it last arrived
+	// while it was quarantined, as far as the sender of this message knows.
 	idle time.Duration
 }
 
-// IsQuarantined tells whether a record, as it is, keeps its request away from servers.
+// IsQuarantined reports whether the record, taken alone, quarantines its request.
 func (r Record) IsQuarantined() bool {
 	e := entry{completedOn: r.completedOn}
-	for _, one := range r.crashes {
-		e.addCrash(one, time.Time{})
+	for _, crash := range r.crashes {
+		e.addCrash(crash, time.Time{})
 	}
 	return e.verdict() == Quarantined
 }
 
-// SortByCrashes returns records with those first that have more ends: of what is told in parts,
-// they are the most urgent.
+// SortByCrashes sorts records in place by decreasing number of crashes: where records are sent in
+// parts, those with more crashes are more urgent.
 func SortByCrashes(records []Record) []Record {
 	slices.SortStableFunc(records, func(a, b Record) int { return len(b.crashes) - len(a.crashes) })
 	return records
 }
 
-// timedCrash is an end and when it was, by the clock here.
+// timedCrash is a crash with its time by the local clock.
 type timedCrash struct {
 	Crash
 	at time.Time
 }
 
-// entry is a record as it is held here.
+// entry is the local state of one record.
 type entry struct {
 	crashes     []timedCrash
 	completedOn []string
-	// trials and tester are those of the record; used is how many were used here.
+	// trials and tester are those of the record; trialsUsed is how many of them began here.
 	trials, trialsUsed int
 	tester             string
-	lastActivity       time.Time // when it last changed, or was asked for while it was barred
-	triesInFlight      int       // tries under way here
+	lastActivity       time.Time // when it last changed, or arrived while it was quarantined
+	triesInFlight      int       // attempts in flight here
 }
 
-// record returns what is told of an entry.
+// record returns the record to share.
 func (e *entry) record(f Fingerprint, now time.Time) Record {
 	r := Record{fingerprint: f, completedOn: slices.Clone(e.completedOn), trials: e.trials, tester: e.tester, idle: now.Sub(e.lastActivity)}
-	for _, one := range e.crashes {
-		one.age = now.Sub(one.at)
-		r.crashes = append(r.crashes, one.Crash)
+	for _, crash := range e.crashes {
+		crash.age = now.Sub(crash.at)
+		r.crashes = append(r.crashes, crash.Crash)
 	}
 	return r
 }
 
-// addCrash takes an end and tells whether that says anything new.
-func (e *entry) addCrash(one Crash, now time.Time) (changed bool) {
-	at := now.Add(-one.age)
+// addCrash adds a crash and reports whether that changes the entry.
+func (e *entry) addCrash(crash Crash, now time.Time) (changed bool) {
+	at := now.Add(-crash.age)
 	for i := range e.crashes {
 		held := &e.crashes[i]
-		if !held.isSameProcess(one) {
+		if !held.isSameProcess(crash) {
 			continue
 		}
-		changed = one.knownCrashes > held.knownCrashes
-		held.knownCrashes = max(held.knownCrashes, one.knownCrashes)
+		changed = crash.knownCrashes > held.knownCrashes
+		held.knownCrashes = max(held.knownCrashes, crash.knownCrashes)
 		if at.Before(held.at) {
 			held.at = at
 		}
@@ -140,12 +141,12 @@
 	if len(e.crashes) >= maxCrashes {
 		return false
 	}
-	e.crashes = append(e.crashes, timedCrash{one, at})
+	e.crashes = append(e.crashes, timedCrash{crash, at})
 	slices.SortStableFunc(e.crashes, func(a, b timedCrash) int { return a.at.Compare(b.at) })
 	return true
 }
 
-// addCompletion takes a build on which the request ran whole and tells whether that is new.
+// addCompletion adds a build on which the request ran to completion and reports whether it is new.
 func (e *entry) addCompletion(build string) (changed bool) {
 	if slices.Contains(e.completedOn, build) || len(e.completedOn) >= maxBuilds {
 		return false
@@ -154,7 +155,7 @@
 	return true
 }
 
-// addTrial takes who may try the request once more, and tells whether that is new.
+// addTrial sets the gateway that may try the request again, and reports whether that is new.
 func (e *entry) addTrial(trials int, tester string) (changed bool) {
 	if trials <= e.trials {
 		return false
@@ -163,8 +164,8 @@
 	return true
 }
 
-// mergeActivity takes how long ago others heard of the request, and tells whether the others here
-// are to know that too, so that they go on remembering it.
+// mergeActivity applies the time since others last saw activity of the request, and reports whether
+// that must be shared, so that all go on remembering it.
 func (e *entry) mergeActivity(idle time.Duration, now time.Time) (changed bool) {
 	at := now.Add(-idle)
 	if !at.After(e.lastActivity) {
@@ -175,37 +176,37 @@
 	return changed
 }
 
-// crashedBuilds returns the builds on which servers ended under the request, and it never ran
-// whole.
+// crashedBuilds returns the builds that crashed under the request and on which it never ran to
+// completion.
 func (e *entry) crashedBuilds() (builds []string) {
-	for _, one := range e.crashes {
-		if !slices.Contains(e.completedOn, one.build) && !slices.Contains(builds, one.build) {
-			builds = append(builds, one.build)
+	for _, crash := range e.crashes {
+		if !slices.Contains(e.completedOn, crash.build) && !slices.Contains(builds, crash.build) {
+			builds = append(builds, crash.build)
 		}
 	}
 	return builds
 }
 
-// independentCrashes counts the ends that stand for failures of their own, on builds where the
-// request has not run whole.
+// independentCrashes counts the crashes that are separate failures, on builds where the request has
+// not run to completion.
 func (e *entry) independentCrashes() int {
 	var counted []timedCrash
-	all, known := 0, 0
-	for _, one := range e.crashes {
-		if slices.Contains(e.completedOn, one.build) {
+	total, known := 0, 0
+	for _, crash := range e.crashes {
+		if slices.Contains(e.completedOn, crash.build) {
 			continue
 		}
-		all++
-		known = max(known, one.knownCrashes)
-		if !slices.ContainsFunc(counted, one.isSameFailureAs) {
-			counted = append(counted, one)
+		total++
+		known = max(known, crash.knownCrashes)
+		if !slices.ContainsFunc(counted, crash.isSameFailureAs) {
+			counted = append(counted, crash)
 		}
 	}
-	return max(len(counted), min(known+1, all))
+	return max(len(counted), min(known+1, total))
 }
 
-// isSameFailureAs tells whether two ends may be one failure: of a rack, or of what else a
-// failure domain shares.
-func (s timedCrash) isSameFailureAs(o timedCrash) bool {
-	return s.domain == o.domain && s.at.Sub(o.at).Abs() < sameFailureWindow
+// isSameFailureAs reports whether two crashes may have one cause in their failure domain, such as
+// the failure of a rack.
+func (c timedCrash) isSameFailureAs(o timedCrash) bool {
+	return c.domain == o.domain && c.at.Sub(o.at).Abs() < sameFailureWindow
 }
--- a/pkg/quarantine/table.go
+++ b/pkg/quarantine/table.go
@@ -1,11 +1,11 @@
 // ================================================================
-// The table of the requests that servers ended under, in shards by fingerprint, each
-// under its own lock: every request of a gateway looks here before it is admitted, before
-// each decision on an attempt and its sending, and after it ran whole.
+// The table of the requests under which servers crashed, in shards by fingerprint with a lock each:
+// a gateway looks up every request before it admits it, before each decision on an attempt and its
+// sending, and after it has run to completion.
 //
-// It is bounded whatever callers send. Requests whose servers never ended have no record;
-// of the others the ones with the fewest ends are forgotten first. What ran whole is
-// remembered for the newest few thousand requests, which is enough for what comes often.
+// The table is bounded whatever callers send. Requests whose servers never crashed have no record;
+// of the others those with the fewest crashes are evicted first. Completed runs are remembered for
+// the last few thousand requests, which covers those that come often.
 // ================================================================
 
 package quarantine
@@ -19,17 +19,18 @@
 
 const (
 	shardCount = 16
-	// maxRecords of a shard bound the table: 1,024 in all. Full, with what ran whole, it takes
-	// 1.6 MiB (BenchmarkFullTable).
+	// maxRecords bounds a shard: 1,024 records in the table. A full table, completions included,
+	// takes 1.6 MiB (BenchmarkFullTable).
 	maxRecords = 64
-	// maxCompletions of a shard bounds what ran whole, twice: 2,048 to 4,096 requests in all.
+	// maxCompletions bounds each of the two sets of completions of a shard: 2,048 to 4,096
+	// requests in the table.
 	maxCompletions = 128
-	// suspectTTL is how long a request with too few ends to bar it is remembered, and
-	// barredLife the same for one that is barred, from when it last came.
+	// suspectTTL is how long a request with too few crashes for quarantine is remembered, and
+	// quarantinedTTL a quarantined one, since its last activity.
 	suspectTTL     = time.Hour
 	quarantinedTTL = 24 * time.Hour
-	// activityInterval is how often the coming of a barred request counts as a change, so that
-	// all remember it as long as it comes anywhere.
+	// activityInterval is how often the arrival of a quarantined request counts as a change to be
+	// shared, so that all remember it as long as it arrives anywhere.
 	activityInterval = time.Hour
 )
 
@@ -38,29 +39,31 @@
 
 // The verdicts.
 const (
-	// Clear is a request that little or nothing is held against.
+	// Clear means that too little is held against the request.
 	Clear Verdict = "clear"
-	// Suspect is one that may end servers: one try of it at a time.
+	// Suspect means that the request may crash servers: one attempt of it at a time.
 	Suspect Verdict = "suspect"
-	// Busy is a suspect with a try under way here.
+	// Busy means that the request is a suspect with an attempt in flight here.
 	Busy Verdict = "busy"
-	// Quarantined is one that is kept away from servers.
+	// Quarantined means that the request is kept away from servers.
 	Quarantined Verdict = "barred"
-	// Restricted is one that is kept away from servers of some builds, and runs on others.
+	// Restricted means that the request is kept away from servers of some builds, and may run on
+	// others.
 	Restricted Verdict = "limited"
 )
 
-// completion is a request that ran whole on a build.
+// completion is a request that ran to completion on a build.
 type completion struct {
 	fingerprint Fingerprint
 	build       string
 }
 
+// shard is a part of the table. Its lock guards its fields.
 type shard struct {
 	mu      sync.Mutex
 	entries map[Fingerprint]*entry
-	// completions and wholeBefore are what ran whole: when the first is full it takes the place
-	// of the second.
+	// completions and olderCompletions are two generations: when the first is full, it replaces
+	// the second.
 	completions, olderCompletions map[completion]bool
 }
 
@@ -89,8 +92,8 @@
 // ----------------------------------------------------------------
 // Before and while a request runs
 
-// Begin asks whether a request may be tried, and which builds are to be avoided. After
-// Suspect, Done must follow.
+// Begin returns whether a request may be tried, and the builds to avoid. After Suspect the caller
+// must call TryDone.
 func (t *Table) Begin(f Fingerprint) (v Verdict, avoid []string) {
 	s := t.shard(f)
 	s.mu.Lock()
@@ -109,7 +112,7 @@
 	return v, avoid
 }
 
-// TryDone notes that a try of a suspect is over.
+// TryDone records that an attempt of a suspect has ended.
 func (t *Table) TryDone(f Fingerprint) {
 	s := t.shard(f)
 	s.mu.Lock()
@@ -119,17 +122,17 @@
 	}
 }
 
-// tryDone takes a try off. Its entry may be another one than it began with, where that was
-// forgotten meanwhile.
+// tryDone removes an attempt in flight. It may have begun with an earlier entry that has been
+// evicted since, so the count stays at 0 or more.
 func (e *entry) tryDone() { e.triesInFlight = max(e.triesInFlight-1, 0) }
 
 func (e *entry) verdict() Verdict {
-	switch ends := e.independentCrashes(); {
-	case ends >= CrashesToQuarantine && len(e.completedOn) > 0:
+	switch crashes := e.independentCrashes(); {
+	case crashes >= CrashesToQuarantine && len(e.completedOn) > 0:
 		return Restricted
-	case ends >= CrashesToQuarantine:
+	case crashes >= CrashesToQuarantine:
 		return Quarantined
-	case ends < crashesToSuspect:
+	case crashes < crashesToSuspect:
 		return Clear
 	case e.triesInFlight > 0:
 		return Busy
@@ -137,7 +140,7 @@
 	return Suspect
 }
 
-// Crashes returns how many separate ends are held against a request.
+// Crashes returns the number of independent crashes held against a request.
 func (t *Table) Crashes(f Fingerprint) int {
 	s := t.shard(f)
 	s.mu.Lock()
@@ -148,9 +151,9 @@
 	return 0
 }
 
-// RecordArrival notes that a barred request came, and tells whether others are to hear of it, so
-// that they go on remembering.
-func (t *Table) RecordArrival(f Fingerprint) (r Record, tell bool) {
+// RecordArrival records that a quarantined request arrived, and returns its record with true if it
+// must be shared, so that all go on remembering it.
+func (t *Table) RecordArrival(f Fingerprint) (r Record, share bool) {
 	s := t.shard(f)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -163,29 +166,29 @@
 }
 
 // ----------------------------------------------------------------
-// What is learnt
+// Crashes and completions
 
-// RecordCrash notes that a server ended while it ran a request, and returns what others are to
-// hear of it: nothing where the request has run whole on such a server.
-func (t *Table) RecordCrash(f Fingerprint, one Crash) (r Record, tell bool) {
+// RecordCrash records that a server crashed while it ran a request, and returns the record to
+// share: none where the request has run to completion on that build.
+func (t *Table) RecordCrash(f Fingerprint, crash Crash) (r Record, share bool) {
 	s := t.shard(f)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.hasCompleted(completion{f, one.build}) {
+	if s.hasCompleted(completion{f, crash.build}) {
 		return Record{}, false
 	}
 	now := t.now()
 	e := s.entry(f, now)
-	if !e.addCrash(one, now) {
+	if !e.addCrash(crash, now) {
 		return Record{}, false
 	}
 	e.lastActivity = now
 	return e.record(f, now), true
 }
 
-// RecordCompletion notes that a request ran whole on a build, and returns what others are to hear where
-// an end is held against it.
-func (t *Table) RecordCompletion(f Fingerprint, build string) (r Record, tell bool) {
+// RecordCompletion records that a request ran to completion on a build, and returns the record to
+// share where crashes are held against it.
+func (t *Table) RecordCompletion(f Fingerprint, build string) (r Record, share bool) {
 	s := t.shard(f)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -198,16 +201,16 @@
 	return e.record(f, now), true
 }
 
-// Merge takes what others tell. It returns the records that say more than was known here,
-// and those of them that the others are to hear of because their requests ran whole here.
+// Merge merges records of other processes. It returns the records that changed, and those of them
+// that must be shared since their requests ran to completion here.
 func (t *Table) Merge(records []Record) (changed, cleared []Record) {
 	for _, r := range records {
-		now, isChanged, isCleared := t.merge(r)
+		merged, isChanged, isCleared := t.merge(r)
 		if isChanged {
-			changed = append(changed, now)
+			changed = append(changed, merged)
 		}
 		if isCleared {
-			cleared = append(cleared, now)
+			cleared = append(cleared, merged)
 		}
 	}
 	return changed, cleared
@@ -224,10 +227,10 @@
 	for _, build := range r.completedOn {
 		changed = e.addCompletion(build) || changed
 	}
-	for _, one := range r.crashes {
-		changed = e.addCrash(one, now) || changed
-		if s.hasCompleted(completion{r.fingerprint, one.build}) {
-			cleared = e.addCompletion(one.build) || cleared
+	for _, crash := range r.crashes {
+		changed = e.addCrash(crash, now) || changed
+		if s.hasCompleted(completion{r.fingerprint, crash.build}) {
+			cleared = e.addCompletion(crash.build) || cleared
 		}
 	}
 	if cleared {
@@ -250,7 +253,7 @@
 	return all
 }
 
-// CountQuarantined counts the requests that are kept away from servers.
+// CountQuarantined counts the quarantined requests.
 func (t *Table) CountQuarantined() (count int) {
 	for i := range t.shards {
 		s := &t.shards[i]
@@ -265,7 +268,7 @@
 	return count
 }
 
-// Sweep forgets what is old.
+// Sweep removes the records that have expired.
 func (t *Table) Sweep() {
 	now := t.now()
 	for i := range t.shards {
@@ -288,31 +291,31 @@
 }
 
 // ----------------------------------------------------------------
-// A shard, for whoever holds its lock
+// Shards; callers hold the lock
 
-// entry returns the entry of a request, a new one of a time where there is none.
-func (s *shard) entry(f Fingerprint, heard time.Time) *entry {
+// entry returns the entry of a request; a new one starts with the given time of last activity.
+func (s *shard) entry(f Fingerprint, lastActivity time.Time) *entry {
 	if e := s.entries[f]; e != nil {
 		return e
 	}
 	if len(s.entries) >= maxRecords {
 		s.evict()
 	}
-	e := &entry{lastActivity: heard}
+	e := &entry{lastActivity: lastActivity}
 	s.entries[f] = e
 	return e
 }
 
-// evict forgets the record with the fewest ends, the oldest of those.
+// evict removes the record with the fewest independent crashes, the oldest of those.
 func (s *shard) evict() {
-	var least Fingerprint
-	var held *entry
+	var victim Fingerprint
+	var candidate *entry
 	for f, e := range s.entries {
-		if held == nil || e.isEvictedBefore(held) {
-			least, held = f, e
+		if candidate == nil || e.isEvictedBefore(candidate) {
+			victim, candidate = f, e
 		}
 	}
-	delete(s.entries, least)
+	delete(s.entries, victim)
 }
 
 func (e *entry) isEvictedBefore(o *entry) bool {
--- a/pkg/quarantine/table_test.go
+++ b/pkg/quarantine/table_test.go
@@ -1,3 +1,7 @@
+// ================================================================
+// The table of quarantined requests: verdicts, merging, bounds, expiry and trials.
+// ================================================================
+
 package quarantine
 
 import (
@@ -10,7 +14,7 @@
 	"pgregory.net/rapid"
 )
 
-// clock is a clock that tests set.
+// clock is a clock that tests advance.
 type clock struct{ now time.Time }
 
 func newClock() *clock                   { return &clock{time.Unix(1_000_000, 0)} }
@@ -19,22 +23,25 @@
 
 const request = Fingerprint("0123456789abcdef")
 
+// crashOf returns a crash of the process of a server that started at 1.
 func crashOf(server, domain, build string, known int) Crash {
 	return NewCrash(server, 1, domain, build, known, 0)
 }
 
-// step is something that is learnt of a request.
+// step is one crash, or one completed run, after a pause.
 type step struct {
 	after       time.Duration
 	crash       *Crash
 	completedOn string
 }
 
+// crashStep returns the step of a crash on build v1/0.
 func crashStep(after time.Duration, server, domain string, known int) step {
 	e := crashOf(server, domain, "v1/0", known)
 	return step{after: after, crash: &e}
 }
 
+// Which crashes and completed runs quarantine a request.
 func TestVerdict(t *testing.T) {
 	at := func(ms int) time.Duration { return time.Duration(ms) * time.Millisecond }
 	cases := []struct {
@@ -42,17 +49,17 @@
 		steps []step
 		want  Verdict
 	}{
-		{"two ends", []step{crashStep(0, "a", "x", 0), crashStep(at(10), "b", "y", 0)}, Suspect},
-		{"three ends of different domains at once", []step{crashStep(0, "a", "x", 0), crashStep(0, "b", "y", 0), crashStep(0, "c", "z", 0)}, Quarantined},
-		{"a rack that ends at once", []step{crashStep(0, "a", "x", 0), crashStep(at(5), "b", "x", 0), crashStep(at(5), "c", "x", 0), crashStep(at(5), "d", "x", 0)}, Clear},
-		{"a rack that ends twice", []step{crashStep(0, "a", "x", 0), crashStep(0, "b", "x", 0), crashStep(at(4000), "c", "x", 1), crashStep(0, "d", "x", 1)}, Suspect},
-		{"each sent by one who knew of the ends before", []step{crashStep(0, "a", "x", 0), crashStep(at(100), "b", "x", 1), crashStep(at(100), "c", "x", 2)}, Quarantined},
-		{"three ends a while apart in one domain", []step{crashStep(0, "a", "x", 0), crashStep(at(1500), "b", "x", 0), crashStep(at(1500), "c", "x", 0)}, Quarantined},
-		{"the same end told again", []step{crashStep(0, "a", "x", 0), crashStep(at(1500), "a", "x", 0), crashStep(at(1500), "a", "x", 0)}, Clear},
-		{"a whole run before the ends", []step{{completedOn: "v1/0"}, crashStep(0, "a", "x", 0), crashStep(0, "b", "y", 0), crashStep(0, "c", "z", 0)}, Clear},
-		{"a whole run after the ends", []step{crashStep(0, "a", "x", 0), crashStep(0, "b", "y", 0), crashStep(0, "c", "z", 0), {completedOn: "v1/0"}}, Clear},
-		{"a whole run on another build", []step{{completedOn: "v2/0"}, crashStep(0, "a", "x", 0), crashStep(0, "b", "y", 0), crashStep(0, "c", "z", 0)}, Quarantined},
-		{"a whole run on another build after the ends", []step{crashStep(0, "a", "x", 0), crashStep(0, "b", "y", 0), crashStep(0, "c", "z", 0), {completedOn: "v2/0"}}, Restricted},
+		{"two crashes", []step{crashStep(0, "a", "x", 0), crashStep(at(10), "b", "y", 0)}, Suspect},
+		{"three crashes in different domains at once", []step{crashStep(0, "a", "x", 0), crashStep(0, "b", "y", 0), crashStep(0, "c", "z", 0)}, Quarantined},
+		{"a rack that fails at once", []step{crashStep(0, "a", "x", 0), crashStep(at(5), "b", "x", 0), crashStep(at(5), "c", "x", 0), crashStep(at(5), "d", "x", 0)}, Clear},
+		{"a rack that fails twice", []step{crashStep(0, "a", "x", 0), crashStep(0, "b", "x", 0), crashStep(at(4000), "c", "x", 1), crashStep(0, "d", "x", 1)}, Suspect},
+		{"each sent by a gateway that knew of the earlier crashes", []step{crashStep(0, "a", "x", 0), crashStep(at(100), "b", "x", 1), crashStep(at(100), "c", "x", 2)}, Quarantined},
+		{"three crashes a while apart in one domain", []step{crashStep(0, "a", "x", 0), crashStep(at(1500), "b", "x", 0), crashStep(at(1500), "c", "x", 0)}, Quarantined},
+		{"the same crash recorded again", []step{crashStep(0, "a", "x", 0), crashStep(at(1500), "a", "x", 0), crashStep(at(1500), "a", "x", 0)}, Clear},
+		{"a completed run before the crashes", []step{{completedOn: "v1/0"}, crashStep(0, "a", "x", 0), crashStep(0, "b", "y", 0), crashStep(0, "c", "z", 0)}, Clear},
+		{"a completed run after the crashes", []step{crashStep(0, "a", "x", 0), crashStep(0, "b", "y", 0), crashStep(0, "c", "z", 0), {completedOn: "v1/0"}}, Clear},
+		{"a completed run on another build", []step{{completedOn: "v2/0"}, crashStep(0, "a", "x", 0), crashStep(0, "b", "y", 0), crashStep(0, "c", "z", 0)}, Quarantined},
+		{"a completed run on another build after the crashes", []step{crashStep(0, "a", "x", 0), crashStep(0, "b", "y", 0), crashStep(0, "c", "z", 0), {completedOn: "v2/0"}}, Restricted},
 	}
 	for _, c := range cases {
 		now := newClock()
@@ -75,6 +82,7 @@
 	}
 }
 
+// A suspect has one attempt in flight at a time.
 func TestSuspectHasOneTryInFlight(t *testing.T) {
 	table := NewTable(nil)
 	table.RecordCrash(request, crashOf("a", "x", "v1/0", 0))
@@ -86,11 +94,11 @@
 	}
 	table.TryDone(request)
 	if got, _ := table.Begin(request); got != Suspect {
-		t.Errorf("%s after the try", got)
+		t.Errorf("%s after the attempt", got)
 	}
 }
 
-// overWire is a record as another process gets it.
+// overWire returns a record as another process receives it.
 func overWire(t *rapid.T, r Record) (got Record) {
 	raw, err := msgpack.Marshal(r)
 	if err != nil {
@@ -102,8 +110,8 @@
 	return got
 }
 
-// Gateways that were cut off from each other learn for themselves, and agree when joined,
-// in whatever order they hear.
+// Gateways that were partitioned learn different things, and agree after the partition in whatever
+// order they merge records.
 func TestMergeIsOrderIndependent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := newClock()
@@ -134,39 +142,40 @@
 		for _, table := range tables[1:] {
 			a, b := tables[0].Crashes(request), table.Crashes(request)
 			if a != b {
-				t.Fatalf("%d and %d ends: %v, %v", a, b, tables[0].Records(), table.Records())
+				t.Fatalf("%d and %d crashes: %v, %v", a, b, tables[0].Records(), table.Records())
 			}
 		}
 		for _, table := range tables {
 			for _, r := range tables[0].Records() {
 				if changed, _ := table.Merge([]Record{r}); len(changed) > 0 {
-					t.Fatalf("a record that is known is told on: %v", changed)
+					t.Fatalf("a known record is shared again: %v", changed)
 				}
 			}
 		}
 	})
 }
 
-// What a gateway saw run whole it tells those who hold ends against it.
+// A gateway that saw a request run to completion shares that with those that hold crashes against
+// it.
 func TestCompletionClearsRequest(t *testing.T) {
-	saw, others := NewTable(nil), NewTable(nil)
-	saw.RecordCompletion(request, "v1/0")
+	witness, others := NewTable(nil), NewTable(nil)
+	witness.RecordCompletion(request, "v1/0")
 	for _, name := range []string{"a", "b", "c"} {
-		r, tell := others.RecordCrash(request, crashOf(name, name, "v1/0", 0))
-		if !tell {
-			t.Fatal("an end is not told")
+		r, share := others.RecordCrash(request, crashOf(name, name, "v1/0", 0))
+		if !share {
+			t.Fatal("a crash is not shared")
 		}
-		if _, cleared := saw.Merge([]Record{r}); name == "a" && len(cleared) != 1 {
-			t.Fatal("it is not cleared")
+		if _, cleared := witness.Merge([]Record{r}); name == "a" && len(cleared) != 1 {
+			t.Fatal("the request is not cleared")
 		}
 	}
-	others.Merge(saw.Records())
+	others.Merge(witness.Records())
 	if got, _ := others.Begin(request); got != Clear {
 		t.Errorf("%s", got)
 	}
 }
 
-// Whatever comes, the table stays small and keeps what is barred.
+// Whatever requests arrive, the table stays within its bounds and keeps quarantined requests.
 func TestTableIsBounded(t *testing.T) {
 	table := NewTable(nil)
 	for _, name := range []string{"a", "b", "c"} {
@@ -182,15 +191,15 @@
 	}
 	for i := range table.shards {
 		if s := &table.shards[i]; len(s.completions)+len(s.olderCompletions) > 2*maxCompletions {
-			t.Errorf("%d requests that ran whole in one shard", len(s.completions)+len(s.olderCompletions))
+			t.Errorf("%d completed requests in one shard", len(s.completions)+len(s.olderCompletions))
 		}
 	}
 	if got, _ := table.Begin(request); got != Quarantined {
-		t.Errorf("what was barred is %s", got)
+		t.Errorf("the quarantined request is %s", got)
 	}
 }
 
-// A barred request is remembered for as long as it comes.
+// A quarantined request is remembered in all tables for as long as it arrives at one of them.
 func TestQuarantineLastsWhileRequestsArrive(t *testing.T) {
 	now := newClock()
 	table := NewTable(now.read)
@@ -201,13 +210,13 @@
 	others[0].Merge(table.Records())
 	for range 10 {
 		now.advance(quarantinedTTL - time.Minute)
-		r, tell := table.RecordArrival(request)
-		if !tell {
-			t.Error("others are not told that it comes")
+		r, share := table.RecordArrival(request)
+		if !share {
+			t.Error("the arrival is not shared")
 		}
 		changed, _ := others[0].Merge([]Record{r})
 		if again, _ := others[0].Merge([]Record{r}); len(again) > 0 {
-			t.Error("it is told on twice")
+			t.Error("the arrival is shared twice")
 		}
 		others[1].Merge(changed)
 		for _, one := range append(others, table) {
@@ -216,18 +225,18 @@
 	}
 	for i, one := range append(others, table) {
 		if got, _ := one.Begin(request); got != Quarantined {
-			t.Errorf("while it comes it is %s at table %d", got, i)
+			t.Errorf("while it arrives the request is %s in table %d", got, i)
 		}
 	}
 	now.advance(quarantinedTTL + time.Minute)
 	table.Sweep()
 	if got, _ := table.Begin(request); got != Clear {
-		t.Errorf("a day after it came last it is %s", got)
+		t.Errorf("a day after its last arrival the request is %s", got)
 	}
 }
 
-// The same path and body of another organisation is another request, and no field runs
-// into the next.
+// The same path and body of another organisation is another request, and moving text from one field
+// to the next changes the fingerprint.
 func TestFingerprintsDiffer(t *testing.T) {
 	base := Content{Organisation: "larder", Method: "POST", Host: "a.example", Target: "/x", Body: []byte("order")}
 	others := []Content{
@@ -246,17 +255,19 @@
 	}
 	again := base
 	if NewFingerprint(again) != NewFingerprint(base) || len(NewFingerprint(base)) != fingerprintBytes {
-		t.Error("the fingerprint is not the same twice")
+		t.Error("the same content has two fingerprints, or the length is wrong")
 	}
 }
 
 // ----------------------------------------------------------------
 // Trials
 
+// A request that crashes every new build gets two trials and no more, and only the chosen gateway
+// makes them.
 func TestTrialCountIsBounded(t *testing.T) {
 	now := newClock()
 	leader, tester, other := NewTable(now.read), NewTable(now.read), NewTable(now.read)
-	share := func() {
+	exchange := func() {
 		for range 2 {
 			leader.Merge(append(tester.Records(), other.Records()...))
 			tester.Merge(leader.Records())
@@ -266,9 +277,9 @@
 	for _, name := range []string{"a", "b", "c"} {
 		tester.RecordCrash(request, crashOf(name, name, "v1/0", 0))
 	}
-	share()
+	exchange()
 	if _, granted := leader.GrantTrial(request, "g1"); granted || tester.BeginTrial(request, "g1") != NoTrialDue {
-		t.Fatal("a trial right after the last end")
+		t.Fatal("a trial was granted right after the last crash")
 	}
 	made := 0
 	for range 100 {
@@ -277,25 +288,26 @@
 			leader.GrantTrial(request, "g1")
 			leader.GrantTrial(request, "g2")
 		}
-		share()
+		exchange()
 		if other.BeginTrial(request, "g2") == TrialGranted {
-			t.Fatal("a gateway tries it that was not named")
+			t.Fatal("a gateway that was not chosen makes the trial")
 		}
 		if tester.BeginTrial(request, "g1") == TrialGranted {
 			made++
 			tester.RecordCrash(request, crashOf(fmt.Sprint("d", made), "x", fmt.Sprint("v", made+1, "/0"), CrashesToQuarantine))
 			tester.TrialDone(request, true)
 		}
-		share()
+		exchange()
 	}
 	if made != len(trialDelays) {
-		t.Errorf("%d trials in 100 minutes; %d may be", made, len(trialDelays))
+		t.Errorf("%d trials in 100 minutes; %d are allowed", made, len(trialDelays))
 	}
 	if got, _ := other.Begin(request); got != Quarantined {
-		t.Errorf("after the trials it is %s", got)
+		t.Errorf("after the trials the request is %s", got)
 	}
 }
 
+// A trial that was not sent to a server may begin again; one that was sent may not.
 func TestUnsentTrialRemainsGranted(t *testing.T) {
 	now := newClock()
 	table := NewTable(now.read)
@@ -311,17 +323,19 @@
 		table.TrialDone(request, wasSent)
 	}
 	if got := table.BeginTrial(request, "g1"); got != NoTrialDue {
-		t.Errorf("%d after it was sent", got)
+		t.Errorf("state %d after the trial was sent", got)
 	}
 }
 
+// A build may be fixed if its software differs from that of each build that crashed, or its weights
+// are later.
 func TestMayBeFixed(t *testing.T) {
-	ended := []string{Build("v1", 2), Build("v1", 3)}
+	crashed := []string{Build("v1", 2), Build("v1", 3)}
 	for build, want := range map[string]bool{
 		Build("v1", 1): false, Build("v1", 2): false, Build("v1", 3): false, Build("v1", 4): true,
 		Build("v2", 0): true, Build("v2", 2): true, Build("a/b", 1): true, "odd": true,
 	} {
-		if got := MayBeFixed(build, ended); got != want {
+		if got := MayBeFixed(build, crashed); got != want {
 			t.Errorf("%s: %t", build, got)
 		}
 	}
--- a/pkg/quarantine/trial.go
+++ b/pkg/quarantine/trial.go
@@ -1,11 +1,11 @@
 // ================================================================
-// Trials: a request that was barred may run again where the servers' software or their
-// weights have been mended. One gateway tries it once, on a server of a build under which
-// no server has ended, and one whole run lets it run on such builds again everywhere.
+// Trials: a quarantined request may run again once the software or the weights of servers are
+// fixed. One gateway tries it once, on a server of a build that never crashed under it, and one
+// completed run lets it run on such builds everywhere.
 //
-// The leader of the control nodes says which gateway, so that a hundred do not try it at
-// one moment, and the records remember it. Trials are few for good: a request that ends
-// servers of each build costs one server for each trial.
+// The leader of the control nodes chooses the gateway, so that not a hundred of them try at one
+// moment, and the record keeps the choice. The number of trials is limited for the lifetime of a
+// record: a request that crashes every build costs one server per trial.
 // ================================================================
 
 package quarantine
@@ -17,14 +17,14 @@
 	"github.com/tidepost/tidepost/pkg/vm"
 )
 
-// trialDelays is how long after the last end a trial may come, the first and the second:
-// a roll of software is over after the one, and the second is for those who needed another.
+// trialDelays are the times after the last crash at which the first and the second trial may begin:
+// a software rollout is over after the first, and the second serves a further fix.
 var trialDelays = []time.Duration{30 * time.Second, 10 * time.Minute}
 
-// TesterID names a gateway, by its start.
+// TesterID identifies the process of a gateway that makes trials.
 func TesterID(v vm.Identity) string { return fmt.Sprintf("%s/%x", v.ID(), v.Incarnation()) }
 
-// GrantTrial lets a gateway try a barred request, if there is a trial left and it is time.
+// GrantTrial allows a gateway to try a quarantined request, if a trial is left and due.
 func (t *Table) GrantTrial(f Fingerprint, tester string) (r Record, granted bool) {
 	s := t.shard(f)
 	s.mu.Lock()
@@ -38,7 +38,7 @@
 	return e.record(f, now), true
 }
 
-// isTrialDue tells whether another trial is left, and its time has come.
+// isTrialDue reports whether another trial is left, and its delay has passed.
 func (e *entry) isTrialDue(now time.Time) bool {
 	if e.trials >= len(trialDelays) || len(e.crashes) == 0 {
 		return false
@@ -46,20 +46,20 @@
 	return now.Sub(e.crashes[len(e.crashes)-1].at) >= trialDelays[e.trials]
 }
 
-// TrialState is how a barred request stands with a gateway.
+// TrialState is whether a gateway may try a quarantined request.
 type TrialState int
 
-// The trials.
+// The states.
 const (
-	// NoTrialDue is that none is left, or not yet due.
+	// NoTrialDue means that no trial is left, or the next one is not yet due.
 	NoTrialDue TrialState = iota
-	// TrialDue is that one may be asked for.
+	// TrialDue means that a trial may be requested.
 	TrialDue
-	// TrialGranted is that this gateway is to make it; TrialDone must follow.
+	// TrialGranted means that this gateway makes the trial; it must call TrialDone.
 	TrialGranted
 )
 
-// BeginTrial asks whether a gateway is to try a barred request now.
+// BeginTrial returns whether a gateway is to try a quarantined request now.
 func (t *Table) BeginTrial(f Fingerprint, tester string) TrialState {
 	s := t.shard(f)
 	s.mu.Lock()
@@ -78,7 +78,7 @@
 	return NoTrialDue
 }
 
-// TrialDone notes that a trial is over. One that was not sent to a server is still to come.
+// TrialDone records that a trial has ended. One that was not sent to a server remains granted.
 func (t *Table) TrialDone(f Fingerprint, wasSent bool) {
 	s := t.shard(f)
 	s.mu.Lock()
--- a/pkg/quarantine/wire_generated.go
+++ b/pkg/quarantine/wire_generated.go
@@ -16,19 +16,19 @@
 // Server is the incarnation of the backend server.
 func (c Crash) Server() string { return c.server }
 
-// StartTime is when that one started, in Unix milliseconds; 0 when not known.
+// StartTime is when that process started, in Unix milliseconds; 0 where it is not known.
 func (c Crash) StartTime() uint64 { return c.startTime }
 
-// Domain is its failure domain.
+// Domain is the failure domain of the server.
 func (c Crash) Domain() string { return c.domain }
 
-// Build is its software and the weights that it served.
+// Build is the software of the server and the weights that it served.
 func (c Crash) Build() string { return c.build }
 
-// KnownCrashes is how many separate ends the sender knew of when it sent the request.
+// KnownCrashes is how many independent crashes the sender knew of when it sent the request.
 func (c Crash) KnownCrashes() int { return c.knownCrashes }
 
-// Age is how long ago it ended, as far as the teller knows.
+// Age is the time since the crash, as far as the sender of this message knows.
 func (c Crash) Age() time.Duration { return c.age }
 
 // EncodeMsgpack writes the fields in order, as one array.
@@ -64,24 +64,24 @@
 	return Record{fingerprint: fingerprint, crashes: crashes, completedOn: completedOn, trials: trials, tester: tester, idle: idle}
 }
 
-// Fingerprint is the request's.
+// Fingerprint identifies the request.
 func (r Record) Fingerprint() Fingerprint { return r.fingerprint }
 
-// Crashes are the servers that ended while they ran it, oldest first.
+// Crashes are the crashes of servers that ran the request, oldest first.
 func (r Record) Crashes() []Crash { return r.crashes }
 
-// CompletedOn are the builds on which it ran whole.
+// CompletedOn are the builds on which it ran to completion.
 func (r Record) CompletedOn() []string { return r.completedOn }
 
-// Trials is how often one gateway was let to try it once more after it was barred, and
-// tester who that was last.
+// Trials is how often a gateway was allowed to try the request again after it was quarantined,
+// and tester the gateway that was allowed to do so last.
 func (r Record) Trials() int { return r.trials }
 
 // Tester returns the field of that name.
 func (r Record) Tester() string { return r.tester }
 
-// Idle is how long ago anything was learnt of it, or it came while it was barred, as far
-// as the teller knows.
+// Idle is the time since something new was learned of the request, or since it last arrived
+// while it was quarantined, as far as the sender of this message knows.
 func (r Record) Idle() time.Duration { return r.idle }
 
 // EncodeMsgpack writes the fields in order, as one array.
--- a/pkg/serverlimit/saying_test.go
+++ b/pkg/serverlimit/advertised_test.go
@@ -1,3 +1,7 @@
+// ================================================================
+// Which values of the limit header are limits.
+// ================================================================
+
 package serverlimit
 
 import "testing"
@@ -15,13 +19,13 @@
 		{"1.2.3", AdvertisedLimit{kind: Invalid}}, {"+", AdvertisedLimit{kind: Invalid}}, {"1 /s", AdvertisedLimit{kind: Invalid}},
 	} {
 		if got := ParseHeader([]string{c.text}); got != c.want {
-			t.Errorf("%q is %v, want %v", c.text, got, c.want)
+			t.Errorf("%q gives %v, want %v", c.text, got, c.want)
 		}
 	}
 	if got := ParseHeader(nil); got.Kind() != None {
-		t.Errorf("no field is %v", got)
+		t.Errorf("a missing header gives %v", got)
 	}
 	if got := ParseHeader([]string{"1", "2"}); got.Kind() != Invalid {
-		t.Errorf("two fields are %v", got)
+		t.Errorf("two headers give %v", got)
 	}
 }
--- a/pkg/serverlimit/limiter.go
+++ b/pkg/serverlimit/limiter.go
@@ -1,15 +1,16 @@
 // ================================================================
-// The limiter: grants permits for the servers whose limits this process owns, from one
-// token bucket a server. A plain object: a time and what others tell go in.
+// The limiter grants permits for the servers whose limits this process owns, from one token bucket
+// per server. It reads no clock and sends nothing: callers pass in the time and the messages of
+// other processes.
 //
-// A bucket begins empty, so an owner that takes over from another spends nothing that the
-// other may have spent; and a stand-in's is emptied where nobody asked it for a while, so
-// that two owners that take turns do not save up twice. A stand-in for an owner that is
-// silent grants a part only: the owner may be cut off and grant all.
+// A bucket starts empty, so an owner that takes over from another grants nothing that the other may
+// have granted already. The bucket of a backup is emptied after a pause in requests, so that two
+// owners that alternate don't both accumulate tokens. A backup for an owner that doesn't answer
+// grants only a part: the owner may be partitioned and grant the whole limit.
 //
-// A limit is over when the answer to a permit says so that was granted after the limit was
-// told here last: answers overtake one another, and that one cannot be older. What a
-// gateway heard before its permit proves nothing.
+// A limit has ended when an answer says so whose permit was granted after the limit was last
+// reported here: answers may arrive out of order, and that one can't be older. An answer that a
+// gateway got before its permit proves nothing.
 // ================================================================
 
 package serverlimit
@@ -20,26 +21,26 @@
 )
 
 const (
-	// grantedShare of a limit is granted. At its full the limit would be passed wherever the ways
-	// to the server bunch requests up, and where ownership changes hands.
+	// grantedShare of a limit is granted. The full limit would be exceeded wherever varying
+	// network delays bunch requests up, and where ownership changes.
 	grantedShare = 0.95
-	// partialBackupShare is granted by a stand-in for an owner that is silent. Two of those may be
-	// beside the owner, as where three failure domains are cut off from each other, and the
-	// sum is to stay near the limit.
+	// partialBackupShare of a limit is granted by a backup for an owner that doesn't answer. Two
+	// such backups may exist besides the owner, for instance where three failure domains are
+	// partitioned from each other, and the sum must stay near the limit.
 	partialBackupShare = 0.2
-	// minRate and leastCutRate, in requests a second, are granted whatever is named: a
-	// server that gets nothing says nothing, and would never be heard to be well again.
+	// minRate and minPartialBackupRate, in requests per second, are granted however low the limit
+	// is: a server that gets no requests can't advertise that its limit has risen or ended.
 	minRate              = 0.25
 	minPartialBackupRate = 0.1
-	// burstWindow is for how long a bucket saves up, besides one permit: requests do not come
-	// evenly, and what nobody asks for at a moment is not lost at once.
+	// burstWindow is for how long a bucket accumulates tokens, besides one permit: requests arrive
+	// unevenly, and permits that nobody requests at one moment may be used a moment later.
 	burstWindow = 250 * time.Millisecond
-	// backupIdleGap is how long a stand-in for an owner may go without a question, beyond the
-	// time between two permits, and keep what it saved up.
+	// backupIdleGap is how long a backup may get no request, beyond the interval between two
+	// permits, and keep its tokens.
 	backupIdleGap = time.Second
-	// idleTTL is how long a bucket is kept that nobody asks of.
+	// idleTTL is how long a bucket is kept for which no permit is requested.
 	idleTTL = time.Minute
-	// minRetryAfter is after which time at least another permit may be asked for.
+	// minRetryAfter is the shortest time after which another permit may be requested.
 	minRetryAfter = 10 * time.Millisecond
 )
 
@@ -51,50 +52,50 @@
 	buckets map[Server]*bucket
 }
 
-// Role is what the process is that grants.
+// Role is the role of the process that grants permits for a limit.
 type Role uint8
 
-// The standings.
+// The roles.
 const (
 	// Owner owns the limit.
 	Owner Role = iota
-	// Backup grants for an owner that has ended, and CutStandIn for one that is silent.
+	// Backup grants for an owner that has exited, and PartialBackup for one that doesn't answer.
 	Backup
 	PartialBackup
 )
 
-// bucket is what is known of one server's limit.
+// bucket is the token bucket of one server and what is known of its limit.
 type bucket struct {
 	perSecond       float64
 	role            Role
-	limitEnded      bool // the server names none any more
+	limitEnded      bool // the server advertises no limit any more
 	tokens          float64
-	refilledAt      time.Time // when tokens were counted
-	requestedAt     time.Time
-	granted         uint64    // how many permits
-	grantedAtUpdate uint64    // granted when the limit was told last
-	updatedAt       time.Time // when it was told last
+	refilledAt      time.Time // when tokens were last added
+	requestedAt     time.Time // when a permit was last requested
+	granted         uint64    // the number of permits granted
+	grantedAtUpdate uint64    // granted when the limit was last reported
+	updatedAt       time.Time // when the limit was last reported
 }
 
-// NewLimiter returns a limiter without limits, under an id that no other process has.
+// NewLimiter returns a limiter without limits; no other process may have the same id.
 func NewLimiter(id uint64) *Limiter { return &Limiter{id: id, buckets: map[Server]*bucket{}} }
 
-// Decide answers a question for a permit, as what the process is at the moment.
-func (l *Limiter) Decide(now time.Time, a PermitRequest, s Role) PermitResponse {
+// Decide answers a permit request, in the role that the process has at the moment.
+func (l *Limiter) Decide(now time.Time, request PermitRequest, role Role) PermitResponse {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	b := l.buckets[a.server]
+	b := l.buckets[request.server]
 	switch {
 	case b == nil:
-		b = &bucket{perSecond: a.perSecond, refilledAt: now, updatedAt: now}
-		l.buckets[a.server] = b
-	case b.limitEnded && a.changed:
-		*b = bucket{perSecond: a.perSecond, refilledAt: now, granted: b.granted, grantedAtUpdate: b.granted, updatedAt: now}
-	case a.changed:
+		b = &bucket{perSecond: request.perSecond, refilledAt: now, updatedAt: now}
+		l.buckets[request.server] = b
+	case b.limitEnded && request.changed:
+		*b = bucket{perSecond: request.perSecond, refilledAt: now, granted: b.granted, grantedAtUpdate: b.granted, updatedAt: now}
+	case request.changed:
 		b.refill(now)
-		b.update(now, a.perSecond, now.Add(-a.age).After(b.updatedAt))
+		b.update(now, request.perSecond, now.Add(-request.age).After(b.updatedAt))
 	}
-	if s != Owner && now.Sub(b.requestedAt) > backupIdleGap+b.interval() {
+	if role != Owner && now.Sub(b.requestedAt) > backupIdleGap+b.interval() {
 		b.tokens, b.refilledAt = 0, now
 	}
 	b.requestedAt = now
@@ -102,7 +103,7 @@
 		return PermitResponse{limitEnded: true}
 	}
 	b.refill(now)
-	b.role = s
+	b.role = role
 	if b.tokens < 1 {
 		return PermitResponse{perSecond: b.perSecond, retryAfter: b.untilNext()}
 	}
@@ -111,27 +112,28 @@
 	return PermitResponse{permit: Permit{l.id, b.granted}, perSecond: b.perSecond}
 }
 
-// ApplyReport takes what became of a permit. One that another process granted says nothing here.
-func (l *Limiter) ApplyReport(now time.Time, r PermitReport) {
+// ApplyReport applies the outcome of a permit. The outcome of one that another process granted is
+// ignored.
+func (l *Limiter) ApplyReport(now time.Time, report PermitReport) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	b := l.buckets[r.server]
-	if b == nil || b.limitEnded || r.permit.limiterID != l.id {
+	b := l.buckets[report.server]
+	if b == nil || b.limitEnded || report.permit.limiterID != l.id {
 		return
 	}
-	switch r.outcome {
+	switch report.outcome {
 	case Unused:
 		b.refill(now)
 		b.tokens = min(b.tokens+1, b.capacity())
 	case LimitAdvertised:
 		b.refill(now)
-		b.update(now, r.perSecond, r.permit.number > b.grantedAtUpdate)
+		b.update(now, report.perSecond, report.permit.number > b.grantedAtUpdate)
 	case NoLimitAdvertised:
-		b.limitEnded = r.permit.number > b.grantedAtUpdate
+		b.limitEnded = report.permit.number > b.grantedAtUpdate
 	}
 }
 
-// Sweep forgets the servers that nobody asks of.
+// Sweep removes the servers for which no permit has been requested for a minute.
 func (l *Limiter) Sweep(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -142,8 +144,8 @@
 	}
 }
 
-// update takes a number that a server named. Where it may be older than the one that is kept
-// the lower one goes.
+// update applies a limit that a server advertised. Unless it is known to be newer than the present
+// one, the lower of the two holds.
 func (b *bucket) update(now time.Time, perSecond float64, newer bool) {
 	if newer || perSecond < b.perSecond {
 		b.perSecond = perSecond
@@ -151,7 +153,7 @@
 	b.grantedAtUpdate, b.updatedAt = b.granted, now
 }
 
-// rate is what is granted, in requests a second.
+// rate returns the permits granted per second.
 func (b *bucket) rate() float64 {
 	if b.role == PartialBackup {
 		return max(partialBackupShare*b.perSecond, minPartialBackupRate)
@@ -159,17 +161,17 @@
 	return max(grantedShare*b.perSecond, minRate)
 }
 
-// interval is the time between two permits.
+// interval returns the time between two permits.
 func (b *bucket) interval() time.Duration {
 	return time.Duration(float64(time.Second) / b.rate())
 }
 
-// capacity is how many permits the bucket saves up at the most.
+// capacity returns the most tokens that the bucket holds.
 func (b *bucket) capacity() float64 { return 1 + burstWindow.Seconds()*b.rate() }
 
 func (b *bucket) refill(now time.Time) {
-	if past := now.Sub(b.refilledAt); past > 0 {
-		b.tokens = min(b.tokens+past.Seconds()*b.rate(), b.capacity())
+	if elapsed := now.Sub(b.refilledAt); elapsed > 0 {
+		b.tokens = min(b.tokens+elapsed.Seconds()*b.rate(), b.capacity())
 		b.refilledAt = now
 	}
 }
--- a/pkg/serverlimit/messages.go
+++ b/pkg/serverlimit/messages.go
@@ -1,18 +1,22 @@
+// ================================================================
+// The messages that gateways exchange about permits.
+// ================================================================
+
 package serverlimit
 
 //go:generate go run github.com/tidepost/tidepost/tools/wiregen
 
 import "time"
 
-// Server is one start of a backend server.
+// Server identifies one process of a backend server.
 //
 //wire:generate
 type Server struct {
-	// incarnation names it.
+	// incarnation identifies the backend server.
 	incarnation string
-	// startTime tells starts of one incarnation apart; 0 where that is not known.
+	// startTime tells the processes of one incarnation apart; 0 where it is not known.
 	startTime uint64
-	// domain is its failure domain.
+	// domain is the failure domain of the server.
 	domain string
 }
 
@@ -22,48 +26,49 @@
 type PermitRequest struct {
 	// server is the backend server.
 	server Server
-	// perSecond is the limit as the asking gateway heard it last.
+	// perSecond is the limit, in requests per second, that the requesting gateway learned last.
 	perSecond float64
-	// changed says that it heard it since it asked last.
+	// changed says that the gateway learned this limit since its last request.
 	changed bool
-	// age is for how long it has known it at the most: since it sent the request whose answer
-	// named it.
+	// age is the longest time for which the gateway may have known the limit: since it sent the
+	// request whose answer advertised it.
 	age time.Duration
 }
 
-// PermitResponse answers an Ask.
+// PermitResponse answers a PermitRequest.
 //
 //wire:generate
 type PermitResponse struct {
-	// permit is what was granted; its zero value is none.
+	// permit is the permit that was granted; its zero value is none.
 	permit Permit
-	// limitEnded says that the server names no limit any more: whoever asked need not ask.
+	// limitEnded says that the server advertises no limit any more, so that no permit is needed.
 	limitEnded bool
-	// perSecond is the limit that the owner keeps.
+	// perSecond is the limit that the owner applies, in requests per second.
 	perSecond float64
-	// retryAfter is after which time there is another permit, where none was granted.
+	// retryAfter is the time until the next permit is due, where none was granted.
 	retryAfter time.Duration
-	// owner is the link address of the gateway that decided; empty where that takes no
+	// owner is the link address of the gateway that decided; empty where that gateway takes no
 	// reports.
 	owner string
 }
 
-// WithOwner returns the answer with the gateway that decided it.
-func (a PermitResponse) WithOwner(owner string) PermitResponse {
-	a.owner = owner
-	return a
+// WithOwner returns the response with the link address of the gateway that decided.
+func (r PermitResponse) WithOwner(owner string) PermitResponse {
+	r.owner = owner
+	return r
 }
 
-// Permit allows to send one request to a server.
+// Permit allows one request to be sent to a server.
 //
 //wire:generate
 type Permit struct {
-	// limiterID is the process that granted it, and number its number there, from 1 on.
+	// limiterID is the id of the limiter that granted it, and number its sequence number there,
+	// from 1 on.
 	limiterID uint64
 	number    uint64
 }
 
-// IsGranted tells whether there is a permit.
+// IsGranted reports whether there is a permit.
 func (p Permit) IsGranted() bool { return p.number > 0 }
 
 // Outcome is what became of a permit.
@@ -71,9 +76,10 @@
 
 // The outcomes.
 const (
-	// Unused is a permit that was not used.
+	// Unused means that no request was sent with the permit.
 	Unused Outcome = iota + 1
-	// LimitAdvertised is that the answer named a limit, and NotNamed that it named none.
+	// LimitAdvertised means that the answer advertised a limit, and NoLimitAdvertised that it
+	// advertised none.
 	LimitAdvertised
 	NoLimitAdvertised
 )
@@ -84,10 +90,10 @@
 type PermitReport struct {
 	// server is the backend server.
 	server Server
-	// permit is the one that was granted.
+	// permit is the permit that was granted.
 	permit Permit
 	// outcome is what became of it.
 	outcome Outcome
-	// perSecond is the limit that the answer named.
+	// perSecond is the limit that the answer advertised, in requests per second.
 	perSecond float64
 }
--- a/pkg/serverlimit/wire_generated.go
+++ b/pkg/serverlimit/wire_generated.go
@@ -13,7 +13,8 @@
 	return Permit{limiterID: limiterID, number: number}
 }
 
-// LimiterID is the process that granted it, and number its number there, from 1 on.
+// LimiterID is the id of the limiter that granted it, and number its sequence number there,
+// from 1 on.
 func (p Permit) LimiterID() uint64 { return p.limiterID }
 
 // Number returns the field of that name.
@@ -55,13 +56,13 @@
 // Server is the backend server.
 func (p PermitReport) Server() Server { return p.server }
 
-// Permit is the one that was granted.
+// Permit is the permit that was granted.
 func (p PermitReport) Permit() Permit { return p.permit }
 
 // Outcome is what became of it.
 func (p PermitReport) Outcome() Outcome { return p.outcome }
 
-// PerSecond is the limit that the answer named.
+// PerSecond is the limit that the answer advertised, in requests per second.
 func (p PermitReport) PerSecond() float64 { return p.perSecond }
 
 // EncodeMsgpack writes the fields in order, as one array.
@@ -100,14 +101,14 @@
 // Server is the backend server.
 func (p PermitRequest) Server() Server { return p.server }
 
-// PerSecond is the limit as the asking gateway heard it last.
+// PerSecond is the limit, in requests per second, that the requesting gateway learned last.
 func (p PermitRequest) PerSecond() float64 { return p.perSecond }
 
-// Changed says that it heard it since it asked last.
+// Changed says that the gateway learned this limit since its last request.
 func (p PermitRequest) Changed() bool { return p.changed }
 
-// Age is for how long it has known it at the most: since it sent the request whose answer
-// named it.
+// Age is the longest time for which the gateway may have known the limit: since it sent the
+// request whose answer advertised it.
 func (p PermitRequest) Age() time.Duration { return p.age }
 
 // EncodeMsgpack writes the fields in order, as one array.
@@ -143,19 +144,19 @@
 	return PermitResponse{permit: permit, limitEnded: limitEnded, perSecond: perSecond, retryAfter: retryAfter, owner: owner}
 }
 
-// Permit is what was granted; its zero value is none.
+// Permit is the permit that was granted; its zero value is none.
 func (p PermitResponse) Permit() Permit { return p.permit }
 
-// LimitEnded says that the server names no limit any more: whoever asked need not ask.
+// LimitEnded says that the server advertises no limit any more, so that no permit is needed.
 func (p PermitResponse) LimitEnded() bool { return p.limitEnded }
 
-// PerSecond is the limit that the owner keeps.
+// PerSecond is the limit that the owner applies, in requests per second.
 func (p PermitResponse) PerSecond() float64 { return p.perSecond }
 
-// RetryAfter is after which time there is another permit, where none was granted.
+// RetryAfter is the time until the next permit is due, where none was granted.
 func (p PermitResponse) RetryAfter() time.Duration { return p.retryAfter }
 
-// Owner is the link address of the gateway that decided; empty where that takes no
+// Owner is the link address of the gateway that decided; empty where that gateway takes no
 // reports.
 func (p PermitResponse) Owner() string { return p.owner }
 
@@ -192,13 +193,13 @@
 	return Server{incarnation: incarnation, startTime: startTime, domain: domain}
 }
 
-// Incarnation names it.
+// Incarnation identifies the backend server.
 func (s Server) Incarnation() string { return s.incarnation }
 
-// StartTime tells starts of one incarnation apart; 0 where that is not known.
+// StartTime tells the processes of one incarnation apart; 0 where it is not known.
 func (s Server) StartTime() uint64 { return s.startTime }
 
-// Domain is its failure domain.
+// Domain is the failure domain of the server.
 func (s Server) Domain() string { return s.domain }
 
 // EncodeMsgpack writes the fields in order, as one array.
