--- a/pkg/agent/loader.go
+++ b/pkg/agent/loader.go
@@ -96,7 +96,7 @@
 func (l *loader) poll(ctx context.Context) {
 	pollContext, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
-	s, err := l.agent.engine.Report(pollContext)
+	s, err := l.agent.engine.ReadState(pollContext)
 	if err != nil {
 		l.noteLost(err)
 		return
@@ -189,7 +189,7 @@
 
 func (l *loader) load(ctx context.Context, c copyState) {
 	held := l.agent.store.Find(c.assignment.Digest)
-	if held == nil || !held.Whole() {
+	if held == nil || !held.IsComplete() {
 		return
 	}
 	l.agent.copies.setPhase(c.assignment.Digest, contract.PhaseLoading)
@@ -230,7 +230,7 @@
 	defer cancel()
 	l.agent.process.Recorder.Record(event.OrderGiven, o.Digest[:min(len(o.Digest), shortDigest)],
 		fmt.Sprintf("%s %s, fence %d", o.Action, o.Model, o.Fence))
-	s, err := l.agent.engine.Give(orderContext, o)
+	s, err := l.agent.engine.SendOrder(orderContext, o)
 	if err != nil {
 		_ = level.Warn(l.agent.process.Logger).Log("msg", "order failed", "action", o.Action, "model", o.Model, "err", err)
 		if failure.Of(err).Ran() != failure.NotRun && !l.agent.settings.EngineFences() {
--- a/pkg/agent/requests.go
+++ b/pkg/agent/requests.go
@@ -93,7 +93,7 @@
 
 // execute sends the request to the backend server and its answer back.
 func (a *Agent) execute(ctx context.Context, s *link.Stream, backend *engine.Engine, r contract.Request) error {
-	response, err := backend.Send(ctx, r)
+	response, err := backend.SendRequest(ctx, r)
 	if err != nil {
 		return err
 	}
--- a/pkg/engine/engine.go
+++ b/pkg/engine/engine.go
@@ -33,8 +33,8 @@
 	// DigestHeader pins a request to a digest, and says in an answer which one
 	// the engine answered with.
 	DigestHeader = "X-Model-Digest"
-	// maxState bounds the answers to orders and state requests, in bytes.
-	maxState = 1 << 20
+	// maxStateBytes bounds the answers to orders and state requests, in bytes.
+	maxStateBytes = 1 << 20
 )
 
 // Action is what an order asks for.
@@ -89,13 +89,13 @@
 
 // Engine is an engine or plain service on this VM.
 type Engine struct {
-	// Give gives an order and returns the state after it.
-	Give func(ctx context.Context, o Order) (State, error)
-	// Report returns the present state.
-	Report func(ctx context.Context) (State, error)
-	// Send sends a request and returns its answer as it comes. An error means
+	// SendOrder gives an order and returns the state after it.
+	SendOrder func(ctx context.Context, o Order) (State, error)
+	// ReadState returns the present state.
+	ReadState func(ctx context.Context) (State, error)
+	// SendRequest sends a request and returns its answer as it comes. An error means
 	// that no answer came; the failure says whether it may have run.
-	Send func(ctx context.Context, r contract.Request) (*http.Response, error)
+	SendRequest func(ctx context.Context, r contract.Request) (*http.Response, error)
 }
 
 // NewHTTP returns the engine behind a base URL.
@@ -103,11 +103,11 @@
 	once := newTransport()
 	once.DisableKeepAlives = true
 	h := httpEngine{
-		base:   base,
-		client: &http.Client{Transport: newTransport()},
-		once:   &http.Client{Transport: once},
+		base:      base,
+		client:    &http.Client{Transport: newTransport()},
+		singleUse: &http.Client{Transport: once},
 	}
-	return &Engine{Give: h.give, Report: h.report, Send: h.send}
+	return &Engine{SendOrder: h.sendOrder, ReadState: h.readState, SendRequest: h.sendRequest}
 }
 
 // maxIdleConnections keeps connections to the engine open between requests.
@@ -124,25 +124,25 @@
 type httpEngine struct {
 	base   string
 	client *http.Client
-	// once opens a connection for each request. Go's client sends a request
+	// singleUse opens a connection for each request. Go's client sends a request
 	// again when a kept connection breaks, and a call that may not be repeated
 	// must not be.
-	once *http.Client
+	singleUse *http.Client
 }
 
-func (h httpEngine) give(ctx context.Context, o Order) (State, error) {
+func (h httpEngine) sendOrder(ctx context.Context, o Order) (State, error) {
 	body, err := json.Marshal(o)
 	if err != nil {
 		return State{}, err
 	}
-	return h.state(ctx, http.MethodPost, "/v1/orders", bytes.NewReader(body))
+	return h.callState(ctx, http.MethodPost, "/v1/orders", bytes.NewReader(body))
 }
 
-func (h httpEngine) report(ctx context.Context) (State, error) {
-	return h.state(ctx, http.MethodGet, "/v1/state", nil)
+func (h httpEngine) readState(ctx context.Context) (State, error) {
+	return h.callState(ctx, http.MethodGet, "/v1/state", nil)
 }
 
-func (h httpEngine) state(ctx context.Context, method, path string, body io.Reader) (State, error) {
+func (h httpEngine) callState(ctx context.Context, method, path string, body io.Reader) (State, error) {
 	request, err := http.NewRequestWithContext(ctx, method, h.base+path, body)
 	if err != nil {
 		return State{}, err
@@ -152,7 +152,7 @@
 		return State{}, failure.New(failure.BackendFailed, "engine: %v", err).WithRan(failure.RanUnknown)
 	}
 	defer response.Body.Close()
-	raw, err := io.ReadAll(io.LimitReader(response.Body, maxState))
+	raw, err := io.ReadAll(io.LimitReader(response.Body, maxStateBytes))
 	if err != nil {
 		return State{}, failure.New(failure.BackendFailed, "engine: %v", err).WithRan(failure.RanUnknown)
 	}
@@ -170,7 +170,7 @@
 	return s, nil
 }
 
-func (h httpEngine) send(ctx context.Context, r contract.Request) (*http.Response, error) {
+func (h httpEngine) sendRequest(ctx context.Context, r contract.Request) (*http.Response, error) {
 	request, err := http.NewRequestWithContext(ctx, r.Method(), h.base+r.Path(), bytes.NewReader(r.Body()))
 	if err != nil {
 		return nil, failure.New(failure.BadRequest, "%v", err)
@@ -185,7 +185,7 @@
 	}
 	client := h.client
 	if !r.Repeatable() {
-		client = h.once
+		client = h.singleUse
 	}
 	response, err := client.Do(request)
 	var network *net.OpError
--- a/pkg/staging/cache.go
+++ b/pkg/staging/cache.go
@@ -23,14 +23,14 @@
 )
 
 const (
-	// cacheUploads bounds the chunks on their way to others at one time.
-	cacheUploads = 64
-	// cacheLook is the time between looks at what is named.
-	cacheLook = time.Second
-	// usualWithin stands for the agreed time, which a cache is not told: where the
+	// maxCacheUploads bounds the chunks on their way to others at one time.
+	maxCacheUploads = 64
+	// cacheInterval is the time between looks at what is named.
+	cacheInterval = time.Second
+	// defaultRolloutLimit stands for the agreed time, which a cache is not told: where the
 	// newest version is not to be had, it gathers none whose successor is due. A
 	// cache that has just started hears of hours of them.
-	usualWithin = time.Minute
+	defaultRolloutLimit = time.Minute
 )
 
 // Cache keeps copies for the stagers.
@@ -45,19 +45,19 @@
 func NewCache(process *daemon.Process, protocol Protocol, seeds func() []string, open func() (*disk.Folder, error)) *Cache {
 	hello := feed.NewHello(feed.RoleCache, process.Identity, "", "", nil, false)
 	k := &Cache{
-		Member: newMember(process, protocol, hello, seeds, cacheUploads),
+		Member: newMember(process, protocol, hello, seeds, maxCacheUploads),
 		store:  newCopyStore(open, process.Logger),
 	}
-	k.within = usualWithin
+	k.rolloutLimit = defaultRolloutLimit
 	return k
 }
 
 // Run runs the cache until the context ends.
 func (k *Cache) Run(ctx context.Context) error {
 	defer k.notices.Close()
-	k.running = ctx
+	k.runContext = ctx
 	for _, c := range k.store.load() {
-		k.keepCopy(c)
+		k.addCopy(c)
 	}
 	go k.store.run(ctx)
 	following, cancel := context.WithCancel(ctx)
@@ -65,12 +65,12 @@
 	go func() { _ = k.follower.Run(following) }()
 	for ctx.Err() == nil {
 		for _, model := range k.models() {
-			k.hold(ctx, model)
+			k.update(ctx, model)
 		}
 		select {
 		case <-ctx.Done():
 		case <-k.wake:
-		case <-time.After(cacheLook):
+		case <-time.After(cacheInterval):
 		}
 	}
 	return nil
@@ -90,14 +90,14 @@
 	return models
 }
 
-// hold gathers the version of a model that is the target and has it stored.
-func (k *Cache) hold(ctx context.Context, model string) {
+// update gathers the version of a model that is the target and has it stored.
+func (k *Cache) update(ctx context.Context, model string) {
 	held := func() uint64 { return k.newestComplete(model) }
 	c, err := k.obtain(ctx, model, k.target(model, held()), held)
 	if err != nil {
 		_ = level.Info(k.process.Logger).Log("msg", "manifest not found", "model", model, "err", err)
 	}
 	if c != nil {
-		k.store.keep(c)
+		k.store.enqueue(c)
 	}
 }
--- a/pkg/staging/cache_test.go
+++ b/pkg/staging/cache_test.go
@@ -11,23 +11,23 @@
 	"github.com/tidepost/tidepost/pkg/feed"
 )
 
-// swarmOf returns the swarm of two failure domains, "a" with a cache and "b"
+// testSwarm returns the swarm of two failure domains, "a" with a cache and "b"
 // without, as the member own sees it.
-func swarmOf(own string, resting string) swarm {
+func testSwarm(own string, unavailable string) swarm {
 	return swarm{
-		own:     own,
-		domains: map[string]string{"a1": "a", "a2": "a", "a3": "a", "acache": "a", "b1": "b", "b2": "b"},
-		caches:  map[string]bool{"acache": true},
-		holders: map[string]bool{"a3": own != "a3", "b2": own != "b2"},
-		resting: map[string]bool{resting: true},
+		own:         own,
+		domains:     map[string]string{"a1": "a", "a2": "a", "a3": "a", "acache": "a", "b1": "b", "b2": "b"},
+		caches:      map[string]bool{"acache": true},
+		holders:     map[string]bool{"a3": own != "a3", "b2": own != "b2"},
+		unavailable: map[string]bool{unavailable: true},
 	}
 }
 
 // Where there is a cache, chunks come from it alone: it owns all, and is the
 // importer of its failure domain.
-func TestPlanLeadsThroughCaches(t *testing.T) {
+func TestPlanUsesCachesAsSources(t *testing.T) {
 	for _, own := range []string{"a1", "a2", "b1", "acache"} {
-		p := newPlan(swarmOf(own, ""), "menu", 2, 32)
+		p := newPlan(testSwarm(own, ""), "menu", 2, 32)
 		for number := range 32 {
 			if p.owners[number] != "acache" {
 				t.Fatalf("chunk %d is owned by %s", number, p.owners[number])
@@ -40,24 +40,24 @@
 				t.Fatal("b1 asks a stager of another failure domain")
 			}
 		}
-		if own == "a1" && len(p.near) > 0 {
-			t.Fatalf("a stager beside a cache asks holders %v", p.near)
+		if own == "a1" && len(p.preferredHolders) > 0 {
+			t.Fatalf("a stager beside a cache asks holders %v", p.preferredHolders)
 		}
-		if own == "acache" && len(p.near) == 0 {
+		if own == "acache" && len(p.preferredHolders) == 0 {
 			t.Fatal("the cache does not ask those who hold the version already")
 		}
 	}
 }
 
 // A cache that does not answer is left out; the stagers go on by themselves.
-func TestPlanWithoutItsCache(t *testing.T) {
-	p := newPlan(swarmOf("a1", "acache"), "menu", 2, 32)
+func TestPlanOmitsUnavailableCache(t *testing.T) {
+	p := newPlan(testSwarm("a1", "acache"), "menu", 2, 32)
 	for number := range 32 {
 		if p.owners[number] == "acache" || p.source(number) == "acache" {
 			t.Fatal("a cache that rests is asked")
 		}
 	}
-	if len(p.near) == 0 {
+	if len(p.preferredHolders) == 0 {
 		t.Fatal("holders are not asked although no cache answers")
 	}
 }
@@ -74,7 +74,7 @@
 }
 
 // What a loss of power leaves of a stored copy is used whole or not at all.
-func TestStoredCopyIsChecked(t *testing.T) {
+func TestStoredCopyIsVerifiedOnLoad(t *testing.T) {
 	memory := disk.NewMemory()
 	open := func() (*disk.Folder, error) { return memory.Folder(), nil }
 	store := newCopyStore(open, log.NewNopLogger())
@@ -85,13 +85,13 @@
 	if len(again) != 1 || !again[0].isComplete() || again[0].manifest.version != 2 {
 		t.Fatalf("read back %d copies", len(again))
 	}
-	whole, err := memory.Folder().Read(fileOf("menu"))
+	whole, err := memory.Folder().Read(fileName("menu"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, spoilt := range [][]byte{whole[:len(whole)/2], append([]byte{}, whole...)} {
 		spoilt[len(spoilt)-1] ^= 1
-		if err := memory.Folder().Replace(fileOf("menu"), spoilt); err != nil {
+		if err := memory.Folder().Replace(fileName("menu"), spoilt); err != nil {
 			t.Fatal(err)
 		}
 		if copies := newCopyStore(open, log.NewNopLogger()).load(); len(copies) != 0 {
@@ -101,7 +101,7 @@
 }
 
 // A disk that refuses leaves the copy waiting for the next try.
-func TestCopyIsStoredOnceTheDiskTakesIt(t *testing.T) {
+func TestCopyIsStoredAfterDiskRecovers(t *testing.T) {
 	memory := disk.NewMemory()
 	refuse := true
 	store := newCopyStore(func() (*disk.Folder, error) {
@@ -114,9 +114,9 @@
 	if store.write(c) == nil {
 		t.Fatal("a refused copy counts as stored")
 	}
-	store.putBack(c)
+	store.requeue(c)
 	refuse = false
-	for _, waiting := range store.takeWaiting() {
+	for _, waiting := range store.takePending() {
 		if err := store.write(waiting); err != nil {
 			t.Fatal(err)
 		}
--- a/pkg/staging/copy.go
+++ b/pkg/staging/copy.go
@@ -20,29 +20,29 @@
 // weightsCopy is a copy in memory. It is safe for concurrent use.
 type weightsCopy struct {
 	manifest Manifest
-	// beside says that the chunks may lie beside the engine here.
-	beside atomic.Bool
+	// readableFromEngine says that the chunks may lie beside the engine here.
+	readableFromEngine atomic.Bool
 
-	mu        sync.Mutex
-	chunks    [][]byte
-	arrived   []chan struct{} // closed when the chunk is here
-	missing   int
-	lastAdded time.Time
-	complete  chan struct{}
-	news      chan struct{}     // closed at the next word of what others have
-	at        []map[string]bool // by chunk: the stagers known to have it
+	mu              sync.Mutex
+	chunks          [][]byte
+	arrived         []chan struct{} // closed when the chunk is here
+	missing         int
+	lastAdded       time.Time
+	complete        chan struct{}
+	holdingsChanged chan struct{}     // closed at the next word of what others have
+	holders         []map[string]bool // by chunk: the stagers known to have it
 }
 
 func newCopy(m Manifest) *weightsCopy {
 	c := &weightsCopy{
-		manifest:  m,
-		chunks:    make([][]byte, len(m.digests)),
-		arrived:   make([]chan struct{}, len(m.digests)),
-		missing:   len(m.digests),
-		lastAdded: time.Now(),
-		complete:  make(chan struct{}),
-		news:      make(chan struct{}),
-		at:        make([]map[string]bool, len(m.digests)),
+		manifest:        m,
+		chunks:          make([][]byte, len(m.digests)),
+		arrived:         make([]chan struct{}, len(m.digests)),
+		missing:         len(m.digests),
+		lastAdded:       time.Now(),
+		complete:        make(chan struct{}),
+		holdingsChanged: make(chan struct{}),
+		holders:         make([]map[string]bool, len(m.digests)),
 	}
 	for i := range c.arrived {
 		c.arrived[i] = make(chan struct{})
@@ -77,8 +77,8 @@
 	return true, nil
 }
 
-// restedFor returns how long ago the last chunk came.
-func (c *weightsCopy) restedFor(now time.Time) time.Duration {
+// timeSinceLastChunk returns how long ago the last chunk came.
+func (c *weightsCopy) timeSinceLastChunk(now time.Time) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return now.Sub(c.lastAdded)
@@ -134,8 +134,8 @@
 // ----------------------------------------------------------------
 // What others have
 
-// held returns the chunks that are here, one bit each.
-func (c *weightsCopy) held() []byte {
+// heldBits returns the chunks that are here, one bit each.
+func (c *weightsCopy) heldBits() []byte {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	bits := make([]byte, (len(c.chunks)+7)/8)
@@ -147,50 +147,50 @@
 	return bits
 }
 
-// learn notes which chunks another stager has.
-func (c *weightsCopy) learn(address string, bits []byte) {
+// addHoldings notes which chunks another stager has.
+func (c *weightsCopy) addHoldings(address string, bits []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	close(c.news)
-	c.news = make(chan struct{})
-	for i := range min(len(c.at), 8*len(bits)) {
+	close(c.holdingsChanged)
+	c.holdingsChanged = make(chan struct{})
+	for i := range min(len(c.holders), 8*len(bits)) {
 		if bits[i/8]&(1<<(i%8)) == 0 {
 			continue
 		}
-		if c.at[i] == nil {
-			c.at[i] = map[string]bool{}
+		if c.holders[i] == nil {
+			c.holders[i] = map[string]bool{}
 		}
-		c.at[i][address] = true
+		c.holders[i][address] = true
 	}
 }
 
-// nextNews returns a channel that is closed at the next word of what others
+// nextHoldingsChange returns a channel that is closed at the next word of what others
 // have.
-func (c *weightsCopy) nextNews() <-chan struct{} {
+func (c *weightsCopy) nextHoldingsChange() <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.news
+	return c.holdingsChanged
 }
 
-// unlearn notes that a stager did not have a chunk after all.
-func (c *weightsCopy) unlearn(address string, number int) {
+// removeHolder notes that a stager did not have a chunk after all.
+func (c *weightsCopy) removeHolder(address string, number int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.at[number], address)
+	delete(c.holders[number], address)
 }
 
-// knownAt returns a copy of the stagers known to have a chunk.
-func (c *weightsCopy) knownAt(number int) map[string]bool {
+// holdersOf returns a copy of the stagers known to have a chunk.
+func (c *weightsCopy) holdersOf(number int) map[string]bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	known := make(map[string]bool, len(c.at[number]))
-	maps.Copy(known, c.at[number])
+	known := make(map[string]bool, len(c.holders[number]))
+	maps.Copy(known, c.holders[number])
 	return known
 }
 
-// knownBy tells whether a stager is known to have a chunk.
-func (c *weightsCopy) knownBy(address string, number int) bool {
+// isHeldBy tells whether a stager is known to have a chunk.
+func (c *weightsCopy) isHeldBy(address string, number int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.at[number][address]
+	return c.holders[number][address]
 }
--- a/pkg/staging/copy_store.go
+++ b/pkg/staging/copy_store.go
@@ -25,8 +25,8 @@
 const (
 	// copySuffix ends the name of a copy's file.
 	copySuffix = ".copy"
-	// storeAgain is when a copy is stored again that could not be.
-	storeAgain = 2 * time.Second
+	// storeRetryInterval is when a copy is stored again that could not be.
+	storeRetryInterval = 2 * time.Second
 )
 
 // storedCopy is a copy as its file holds it.
@@ -48,19 +48,19 @@
 
 	mu      sync.Mutex
 	folder  *disk.Folder
-	waiting map[string]*weightsCopy // by model
+	pending map[string]*weightsCopy // by model
 	stored  map[string]uint64       // version by model
 }
 
 func newCopyStore(open func() (*disk.Folder, error), logger log.Logger) *copyStore {
 	return &copyStore{
 		open: open, logger: logger, wake: make(chan struct{}, 1),
-		waiting: map[string]*weightsCopy{}, stored: map[string]uint64{},
+		pending: map[string]*weightsCopy{}, stored: map[string]uint64{},
 	}
 }
 
-// keep has a complete copy stored.
-func (s *copyStore) keep(c *weightsCopy) {
+// enqueue has a complete copy stored.
+func (s *copyStore) enqueue(c *weightsCopy) {
 	if s.open == nil {
 		return
 	}
@@ -69,7 +69,7 @@
 	if s.stored[c.manifest.model] >= c.manifest.version {
 		return
 	}
-	s.waiting[c.manifest.model] = c
+	s.pending[c.manifest.model] = c
 	daemon.Wake(s.wake)
 }
 
@@ -80,39 +80,39 @@
 		case <-ctx.Done():
 			return
 		case <-s.wake:
-		case <-time.After(storeAgain):
+		case <-time.After(storeRetryInterval):
 		}
-		for _, c := range s.takeWaiting() {
+		for _, c := range s.takePending() {
 			if err := s.write(c); err != nil {
 				_ = level.Warn(s.logger).Log("msg", "copy not stored", "model", c.manifest.model, "version", c.manifest.version, "err", err)
-				s.putBack(c)
+				s.requeue(c)
 			}
 		}
 	}
 }
 
-func (s *copyStore) takeWaiting() []*weightsCopy {
+func (s *copyStore) takePending() []*weightsCopy {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var copies []*weightsCopy
-	for _, c := range s.waiting {
+	for _, c := range s.pending {
 		copies = append(copies, c)
 	}
-	s.waiting = map[string]*weightsCopy{}
+	s.pending = map[string]*weightsCopy{}
 	return copies
 }
 
-// putBack has a copy tried again, unless a later one waits.
-func (s *copyStore) putBack(c *weightsCopy) {
+// requeue has a copy tried again, unless a later one waits.
+func (s *copyStore) requeue(c *weightsCopy) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.waiting[c.manifest.model] == nil {
-		s.waiting[c.manifest.model] = c
+	if s.pending[c.manifest.model] == nil {
+		s.pending[c.manifest.model] = c
 	}
 }
 
 func (s *copyStore) write(c *weightsCopy) error {
-	folder, err := s.opened()
+	folder, err := s.openFolder()
 	if err != nil {
 		return err
 	}
@@ -124,7 +124,7 @@
 	if err != nil {
 		return errors.Wrap(err, "encode a copy")
 	}
-	if err := folder.Replace(fileOf(c.manifest.model), data); err != nil {
+	if err := folder.Replace(fileName(c.manifest.model), data); err != nil {
 		return err
 	}
 	s.mu.Lock()
@@ -134,7 +134,7 @@
 	return nil
 }
 
-func (s *copyStore) opened() (*disk.Folder, error) {
+func (s *copyStore) openFolder() (*disk.Folder, error) {
 	s.mu.Lock()
 	folder := s.folder
 	s.mu.Unlock()
@@ -151,15 +151,15 @@
 	return folder, nil
 }
 
-// fileOf returns the name of a model's file.
-func fileOf(model string) string { return url.PathEscape(model) + copySuffix }
+// fileName returns the name of a model's file.
+func fileName(model string) string { return url.PathEscape(model) + copySuffix }
 
 // load returns the copies that are whole on disk.
 func (s *copyStore) load() []*weightsCopy {
 	if s.open == nil {
 		return nil
 	}
-	folder, err := s.opened()
+	folder, err := s.openFolder()
 	if err != nil {
 		_ = level.Warn(s.logger).Log("msg", "stored copies not read", "err", err)
 		return nil
--- a/pkg/staging/copy_test.go
+++ b/pkg/staging/copy_test.go
@@ -19,7 +19,7 @@
 	return newCopy(NewManifest("menu", 2, digests)), data
 }
 
-func TestCopyTakesOnlyItsChunks(t *testing.T) {
+func TestCopyRejectsChunkWithWrongDigest(t *testing.T) {
 	c, data := testCopy(3)
 	if _, err := c.add(1, data[0]); !failure.Is(err, failure.CorruptChunk) {
 		t.Fatalf("a chunk of another number was taken: %v", err)
@@ -35,7 +35,7 @@
 	}
 }
 
-func TestCopyLearnsWhatOthersHave(t *testing.T) {
+func TestCopyTracksHoldersOfChunks(t *testing.T) {
 	c, data := testCopy(10)
 	other, _ := testCopy(10)
 	for _, n := range []int{0, 8, 9} {
@@ -43,28 +43,28 @@
 			t.Fatal(err)
 		}
 	}
-	news := c.nextNews()
-	c.learn("a", other.held())
+	news := c.nextHoldingsChange()
+	c.addHoldings("a", other.heldBits())
 	select {
 	case <-news:
 	default:
 		t.Fatal("nobody was told of the news")
 	}
-	if !c.knownBy("a", 8) || c.knownBy("a", 7) || len(c.knownAt(3)) != 0 {
+	if !c.isHeldBy("a", 8) || c.isHeldBy("a", 7) || len(c.holdersOf(3)) != 0 {
 		t.Fatal("the bits were read wrongly")
 	}
-	c.knownAt(3)["b"] = true
-	if c.knownBy("b", 3) {
+	c.holdersOf(3)["b"] = true
+	if c.isHeldBy("b", 3) {
 		t.Fatal("knownAt hands out its own map")
 	}
-	c.unlearn("a", 8)
-	if c.knownBy("a", 8) {
+	c.removeHolder("a", 8)
+	if c.isHeldBy("a", 8) {
 		t.Fatal("unlearn did nothing")
 	}
 }
 
-// plans returns the plans of all stagers of a fleet of domains x each.
-func plans(domains, each, chunks int, rests func(string) bool) map[string]plan {
+// testPlans returns the plans of all stagers of a fleet of domains x each.
+func testPlans(domains, each, chunks int, rests func(string) bool) map[string]plan {
 	domain := map[string]string{}
 	for d := range domains {
 		for i := range each {
@@ -73,12 +73,12 @@
 	}
 	all := map[string]plan{}
 	for own := range domain {
-		all[own] = newPlan(swarm{own: own, domains: domain, resting: restingOf(domain, rests)}, "menu", 2, chunks)
+		all[own] = newPlan(swarm{own: own, domains: domain, unavailable: unavailableAmong(domain, rests)}, "menu", 2, chunks)
 	}
 	return all
 }
 
-func restingOf(domain map[string]string, rests func(string) bool) map[string]bool {
+func unavailableAmong(domain map[string]string, rests func(string) bool) map[string]bool {
 	resting := map[string]bool{}
 	for address := range domain {
 		resting[address] = rests(address)
@@ -88,9 +88,9 @@
 
 // Every chunk reaches everybody by the plans alone, crosses between failure
 // domains once each, and no stager gives much more than the others.
-func TestPlansReachEverybodyOnce(t *testing.T) {
+func TestPlansDeliverEachChunkOnce(t *testing.T) {
 	const domains, each, chunks = 3, 5, 96
-	all := plans(domains, each, chunks, func(string) bool { return false })
+	all := testPlans(domains, each, chunks, func(string) bool { return false })
 	gives := map[string]int{}
 	for number := range chunks {
 		has := map[string]int{}
@@ -120,9 +120,9 @@
 }
 
 // Stagers that do not answer are left out of the plan.
-func TestPlanAvoidsWhoRests(t *testing.T) {
+func TestPlanOmitsUnavailableStagers(t *testing.T) {
 	resting := "10.1.0.2:7"
-	for own, p := range plans(3, 5, 96, func(a string) bool { return a == resting }) {
+	for own, p := range testPlans(3, 5, 96, func(a string) bool { return a == resting }) {
 		if own == resting {
 			continue
 		}
@@ -134,11 +134,11 @@
 	}
 }
 
-func TestGathererWaitsForNews(t *testing.T) {
+func TestSchedulerRequestsOnlyHeldChunks(t *testing.T) {
 	c, _ := testCopy(8)
-	all := plans(2, 2, 8, func(string) bool { return false })
+	all := testPlans(2, 2, 8, func(string) bool { return false })
 	own := "10.0.0.0:7"
-	g := newGatherer(c, func() plan { return all[own] }, asksAtOnce)
+	g := newFetchScheduler(c, func() plan { return all[own] }, maxRequests)
 	now := time.Now()
 	asked := map[int]bool{}
 	for {
@@ -160,7 +160,7 @@
 	for i := range data {
 		_, _ = full.add(i, data[i])
 	}
-	c.learn(near, full.held())
+	c.addHoldings(near, full.heldBits())
 	s, ok := g.next(now)
 	if !ok || s.source != near {
 		t.Fatalf("news of %s is not used: %v %v", near, s, ok)
@@ -168,18 +168,18 @@
 }
 
 // A stager behind a narrow link has one chunk under way at a time.
-func TestGathererIsModestOnNarrowLink(t *testing.T) {
+func TestSchedulerLimitsRequestsOnSlowLink(t *testing.T) {
 	c, _ := testCopy(32)
 	full, data := testCopy(32)
 	for i := range data {
 		_, _ = full.add(i, data[i])
 	}
-	all := plans(2, 3, 32, func(string) bool { return false })
-	g := newGatherer(c, func() plan { return all["10.0.0.0:7"] }, asksAtOnce)
-	c.learn("10.0.0.1:7", full.held())
+	all := testPlans(2, 3, 32, func(string) bool { return false })
+	g := newFetchScheduler(c, func() plan { return all["10.0.0.0:7"] }, maxRequests)
+	c.addHoldings("10.0.0.1:7", full.heldBits())
 	now := time.Now()
 	s, _ := g.next(now)
-	g.done(s, true, 2*slowAnswer, now)
+	g.done(s, true, 2*slowReply, now)
 	if _, ok := g.next(now); !ok {
 		t.Fatal("nothing more is asked")
 	}
--- a/pkg/staging/due_test.go
+++ b/pkg/staging/due_test.go
@@ -10,9 +10,9 @@
 	"github.com/tidepost/tidepost/pkg/settings"
 )
 
-// anew returns a member that has just started and was told of versions 2 and 3 of a
+// restartedMember returns a member that has just started and was told of versions 2 and 3 of a
 // model, named some time ago.
-func anew(second, third time.Duration) *Member {
+func restartedMember(second, third time.Duration) *Member {
 	m := &Member{versions: feed.NewVersionTable(), copies: map[string][]*weightsCopy{}}
 	m.versions.Add([]feed.NamedVersion{feed.NewNamedVersion("menu", 2, second), feed.NewNamedVersion("menu", 3, third)}, time.Now())
 	return m
@@ -21,8 +21,8 @@
 // Found by reading, when nodes were to tell the earlier versions too: a stager or a
 // cache that had just started took the newest version for one that is not to be had,
 // since it was named long ago and nothing of it was here, and gathered the one before.
-func TestMemberThatStartsAnewGathersTheNewestVersion(t *testing.T) {
-	m := anew(30*time.Second, 20*time.Second)
+func TestRestartedMemberDownloadsNewestVersion(t *testing.T) {
+	m := restartedMember(30*time.Second, 20*time.Second)
 	if got := m.target("menu", 1).Version(); got != 3 {
 		t.Fatalf("version %d is gathered", got)
 	}
@@ -30,13 +30,13 @@
 
 // While the origin is away nothing of the newest version comes. A cache then gathers
 // the one before for engines that wait for it, and none that nobody can use any more.
-func TestCacheThatStartsAnewGathersNoSpentVersion(t *testing.T) {
+func TestRestartedCacheSkipsObsoleteVersions(t *testing.T) {
 	process, err := daemon.New(settings.Common{}, 1, daemon.Seams{Log: io.Discard})
 	if err != nil {
 		t.Fatal(err)
 	}
 	k := NewCache(process, Protocol{}, func() []string { return nil }, nil)
-	long := time.Now().Add(-2 * stallAfter) // since then it tries in vain
+	long := time.Now().Add(-2 * stallTimeout) // since then it tries in vain
 	k.versions.Add([]feed.NamedVersion{
 		feed.NewNamedVersion("menu", 2, 40*time.Minute), feed.NewNamedVersion("menu", 3, 20*time.Minute), feed.NewNamedVersion("menu", 4, 20*time.Second),
 	}, long)
@@ -64,7 +64,7 @@
 		{[]feed.NamedVersion{feed.NewNamedVersion("menu", 2, time.Second), feed.NewNamedVersion("menu", 3, 0)}, true},
 		{[]feed.NamedVersion{feed.NewNamedVersion("menu", 2, time.Hour), feed.NewNamedVersion("menu", 3, time.Minute)}, false},
 	} {
-		m.takeUpdate("10.0.0.9:7700", feed.NewUpdate(0, nil, step.told, nil, true, nil, 0, false, nil, nil, nil, nil, nil, nil))
+		m.applyUpdate("10.0.0.9:7700", feed.NewUpdate(0, nil, step.told, nil, true, nil, 0, false, nil, nil, nil, nil, nil, nil))
 		select {
 		case <-m.wake:
 			if !step.wake {
@@ -84,8 +84,8 @@
 
 // Where all who knew the ages have lost power, the log names the versions all at one
 // moment. Their times end together then, and only the last of them is worth having.
-func TestVersionWhoseTimeEndsWithTheNextOneIsNotNext(t *testing.T) {
-	m := anew(time.Second+3*time.Millisecond, time.Second)
+func TestVersionDueWithItsSuccessorIsSkipped(t *testing.T) {
+	m := restartedMember(time.Second+3*time.Millisecond, time.Second)
 	m.versions.Add([]feed.NamedVersion{feed.NewNamedVersion("menu", 4, 500*time.Millisecond)}, time.Now())
 	if due := m.nextDue("menu", 0).Version(); due != 3 {
 		t.Fatalf("version %d is the next where 2 and 3 were named together", due)
@@ -97,14 +97,14 @@
 
 // A version may be served until the time of the next one ends, so one whose
 // successor is due as well is no engine's next.
-func TestVersionWhoseSuccessorIsDueIsNotNext(t *testing.T) {
-	m := anew(30*time.Second, 20*time.Second)
-	m.within = 8 * time.Second
+func TestVersionWithDueSuccessorIsSkipped(t *testing.T) {
+	m := restartedMember(30*time.Second, 20*time.Second)
+	m.rolloutLimit = 8 * time.Second
 	if due := m.nextDue("menu", 1).Version(); due != 3 {
 		t.Fatalf("version %d is the next where 3 is due", due)
 	}
-	m = anew(9*time.Second, 3*time.Second)
-	m.within = 8 * time.Second
+	m = restartedMember(9*time.Second, 3*time.Second)
+	m.rolloutLimit = 8 * time.Second
 	if due := m.nextDue("menu", 1).Version(); due != 2 {
 		t.Fatalf("version %d is the next where 3 is not due yet", due)
 	}
--- a/pkg/staging/gather.go
+++ b/pkg/staging/gather.go
@@ -15,45 +15,45 @@
 )
 
 const (
-	// asksAtOnce bounds the questions of one member under way, and
+	// maxRequests bounds the questions of one member under way, and
 	// asksBesideWork those of one whose engine serves: two keep its link full, and
 	// every chunk more under way keeps requests to the engine waiting.
-	asksAtOnce     = 8
-	asksBesideWork = 2
-	// drawTimeout bounds one draw from the origin.
-	drawTimeout = 4 * time.Second
-	// missPause is how long a chunk rests that a source did not have.
-	missPause = 150 * time.Millisecond
-	// idlePause is how long a gatherer waits that finds nothing to ask.
-	idlePause = 100 * time.Millisecond
+	maxRequests             = 8
+	maxRequestsWhileServing = 2
+	// originTimeout bounds one draw from the origin.
+	originTimeout = 4 * time.Second
+	// missBackoff is how long a chunk rests that a source did not have.
+	missBackoff = 150 * time.Millisecond
+	// idleWait is how long a gatherer waits that finds nothing to ask.
+	idleWait = 100 * time.Millisecond
 )
 
-// gather brings all chunks of a copy here, or ends with the context.
-func (m *Member) gather(ctx context.Context, c *weightsCopy) {
-	m.learnFromCaches(ctx, c)
-	most := asksAtOnce
-	if m.beside.serves != nil && m.beside.serves() {
-		most = asksBesideWork
+// download brings all chunks of a copy here, or ends with the context.
+func (m *Member) download(ctx context.Context, c *weightsCopy) {
+	m.queryCaches(ctx, c)
+	most := maxRequests
+	if m.stagingArea.isServing != nil && m.stagingArea.isServing() {
+		most = maxRequestsWhileServing
 	}
-	g := newGatherer(c, func() plan { return m.planFor(c) }, most)
+	g := newFetchScheduler(c, func() plan { return m.planFor(c) }, most)
 	var group sync.WaitGroup
 	for range most {
-		group.Go(func() { m.gatherOne(ctx, c, g) })
+		group.Go(func() { m.downloadLoop(ctx, c, g) })
 	}
 	group.Wait()
 }
 
-// gatherOne asks one question after the other.
-func (m *Member) gatherOne(ctx context.Context, c *weightsCopy, g *gatherer) {
+// downloadLoop asks one question after the other.
+func (m *Member) downloadLoop(ctx context.Context, c *weightsCopy, g *fetchScheduler) {
 	for ctx.Err() == nil && !c.isComplete() {
-		news := c.nextNews()
+		news := c.nextHoldingsChange()
 		next, ok := g.next(time.Now())
 		if !ok {
 			select {
 			case <-ctx.Done():
 			case <-c.complete:
 			case <-news:
-			case <-time.After(idlePause):
+			case <-time.After(idleWait):
 			}
 			continue
 		}
@@ -63,21 +63,21 @@
 	}
 }
 
-// learnFromCaches asks the caches of this failure domain which chunks they have
+// queryCaches asks the caches of this failure domain which chunks they have
 // already: nobody tells a newcomer of what came before it.
-func (m *Member) learnFromCaches(ctx context.Context, c *weightsCopy) {
+func (m *Member) queryCaches(ctx context.Context, c *weightsCopy) {
 	domains, caches := m.members(c.manifest.model)
 	own := m.process.Identity
 	for address := range caches {
-		if address == own.Address() || domains[address] != own.Domain() || m.failing.rests(address) {
+		if address == own.Address() || domains[address] != own.Domain() || m.peerFailures.isUnavailable(address) {
 			continue
 		}
-		r, err := m.ask(ctx, address, question{model: c.manifest.model, version: c.manifest.version, number: heldNumber})
+		r, err := m.query(ctx, address, chunkQuery{model: c.manifest.model, version: c.manifest.version, number: heldNumber})
 		if err != nil {
-			m.failing.failed(address)
+			m.peerFailures.record(address)
 			continue
 		}
-		c.learn(address, r.held)
+		c.addHoldings(address, r.heldBits)
 	}
 }
 
@@ -88,13 +88,13 @@
 	domains, caches := m.members(model)
 	seen := swarm{
 		own: m.process.Identity.Address(), domains: domains, caches: caches,
-		holders: m.holders(model, version), resting: m.failing.resting(domains),
+		holders: m.holders(model, version), unavailable: m.peerFailures.unavailable(domains),
 	}
 	m.planLock.Lock()
 	defer m.planLock.Unlock()
-	if m.plannedFor != c || !seen.equal(m.planned) {
+	if m.planCopy != c || !seen.equal(m.planSwarm) {
 		m.plan = newPlan(seen, model, version, len(c.manifest.digests))
-		m.plannedFor, m.planned = c, seen
+		m.planCopy, m.planSwarm = c, seen
 	}
 	return m.plan
 }
@@ -104,39 +104,39 @@
 func (m *Member) fetch(ctx context.Context, c *weightsCopy, source string, number int) bool {
 	key := fetchKey{c, number}
 	if !m.claimFetch(key) {
-		waiting, cancel := context.WithTimeout(ctx, waitForChunk)
+		waiting, cancel := context.WithTimeout(ctx, chunkWait)
 		defer cancel()
 		c.wait(waiting, number)
 		return true
 	}
 	defer m.releaseFetch(key)
 	if source == m.process.Identity.Address() {
-		m.draw(ctx, c, number)
+		m.fetchFromOrigin(ctx, c, number)
 		return true
 	}
-	holders, answered := m.askFor(ctx, c, source, number, true)
+	holders, answered := m.fetchFromPeer(ctx, c, source, number, true)
 	for _, holder := range holders {
 		if c.get(number) != nil {
 			break
 		}
-		m.askFor(ctx, c, holder, number, false)
+		m.fetchFromPeer(ctx, c, holder, number, false)
 	}
 	return answered
 }
 
-// askFor asks another member for a chunk and takes it. Where that one has no upload
+// fetchFromPeer asks another member for a chunk and takes it. Where that one has no upload
 // free it names others that have the chunk; answered is false where it does not
 // answer. draw has it bring the chunk there if need be.
-func (m *Member) askFor(ctx context.Context, c *weightsCopy, source string, number int, draw bool) (holders []string, answered bool) {
-	r, err := m.ask(ctx, source, question{c.manifest.model, c.manifest.version, number, draw, c.held()})
+func (m *Member) fetchFromPeer(ctx context.Context, c *weightsCopy, source string, number int, draw bool) (holders []string, answered bool) {
+	r, err := m.query(ctx, source, chunkQuery{c.manifest.model, c.manifest.version, number, draw, c.heldBits()})
 	if err != nil {
-		m.failing.failed(source)
+		m.peerFailures.record(source)
 		_ = level.Info(m.process.Logger).Log("msg", "stager lost", "address", source, "chunk", number, "err", err)
 		return nil, false
 	}
-	c.learn(source, r.held)
+	c.addHoldings(source, r.heldBits)
 	if r.data != nil {
-		m.take(c, number, r.data, sourcePeer, source)
+		m.acceptChunk(c, number, r.data, sourcePeer, source)
 	}
 	return r.holders, true
 }
@@ -148,45 +148,45 @@
 }
 
 func (m *Member) claimFetch(k fetchKey) bool {
-	m.fetching.Lock()
-	defer m.fetching.Unlock()
-	if m.underWay[k] {
+	m.fetchLock.Lock()
+	defer m.fetchLock.Unlock()
+	if m.fetches[k] {
 		return false
 	}
-	m.underWay[k] = true
+	m.fetches[k] = true
 	return true
 }
 
 func (m *Member) releaseFetch(k fetchKey) {
-	m.fetching.Lock()
-	defer m.fetching.Unlock()
-	delete(m.underWay, k)
+	m.fetchLock.Lock()
+	defer m.fetchLock.Unlock()
+	delete(m.fetches, k)
 }
 
-// fetchSoon brings a chunk here that another stager asks for.
-func (m *Member) fetchSoon(c *weightsCopy, number int) {
+// startFetch brings a chunk here that another stager asks for.
+func (m *Member) startFetch(c *weightsCopy, number int) {
 	source := m.planFor(c).source(number)
-	go m.fetch(m.running, c, source, number)
+	go m.fetch(m.runContext, c, source, number)
 }
 
 // chunkSource is where a chunk came from.
 type chunkSource string
 
 const (
-	sourceOrigin chunkSource = "origin"
-	sourcePeer   chunkSource = "peer"
-	sourceEngine chunkSource = "engine"
-	sourceSpoilt chunkSource = "spoilt"
+	sourceOrigin  chunkSource = "origin"
+	sourcePeer    chunkSource = "peer"
+	sourceEngine  chunkSource = "engine"
+	sourceCorrupt chunkSource = "spoilt"
 )
 
-// take checks a chunk and keeps it.
-func (m *Member) take(c *weightsCopy, number int, data []byte, from chunkSource, address string) bool {
+// acceptChunk checks a chunk and keeps it.
+func (m *Member) acceptChunk(c *weightsCopy, number int, data []byte, from chunkSource, address string) bool {
 	fresh, err := c.add(number, data)
 	if err != nil {
-		m.metrics.chunks.WithLabelValues(string(sourceSpoilt)).Inc()
+		m.metrics.chunks.WithLabelValues(string(sourceCorrupt)).Inc()
 		_ = level.Warn(m.process.Logger).Log("msg", "chunk refused", "chunk", number, "from", address, "err", err)
 		if from == sourcePeer {
-			m.failing.failed(address)
+			m.peerFailures.record(address)
 		}
 		return false
 	}
@@ -197,18 +197,18 @@
 	return true
 }
 
-// draw draws a chunk from the origin.
-func (m *Member) draw(ctx context.Context, c *weightsCopy, number int) {
+// fetchFromOrigin draws a chunk from the origin.
+func (m *Member) fetchFromOrigin(ctx context.Context, c *weightsCopy, number int) {
 	origin := m.origin()
 	if origin == "" {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, drawTimeout)
+	ctx, cancel := context.WithTimeout(ctx, originTimeout)
 	defer cancel()
-	data, err := m.protocol.Draw(ctx, origin, c.manifest.model, c.manifest.version, number)
+	data, err := m.protocol.FetchChunk(ctx, origin, c.manifest.model, c.manifest.version, number)
 	if err != nil {
 		_ = level.Info(m.process.Logger).Log("msg", "draw failed", "chunk", number, "origin", origin, "err", err)
 		return
 	}
-	m.take(c, number, data, sourceOrigin, origin)
+	m.acceptChunk(c, number, data, sourceOrigin, origin)
 }
--- a/pkg/staging/loads.go
+++ b/pkg/staging/loads.go
@@ -14,25 +14,25 @@
 )
 
 const (
-	// loadEvery is the time between looks at an engine with work, and
+	// busyLoadInterval is the time between looks at an engine with work, and
 	// restEvery at one without.
-	loadEvery = 150 * time.Millisecond
-	restEvery = 500 * time.Millisecond
-	// tellAgain is when a load is told although it did not change.
-	tellAgain = time.Second
+	busyLoadInterval = 150 * time.Millisecond
+	idleLoadInterval = 500 * time.Millisecond
+	// maxReportInterval is when a load is told although it did not change.
+	maxReportInterval = time.Second
 )
 
-// tellLoads tells the load of the engine until the context ends.
-func (s *Stager) tellLoads(ctx context.Context) error {
+// reportLoads tells the load of the engine until the context ends.
+func (s *Stager) reportLoads(ctx context.Context) error {
 	var last feed.Load
 	var toldAt time.Time
 	for {
-		pause := restEvery
+		pause := idleLoadInterval
 		if l, ok := s.load(ctx); ok {
 			if l.Running()+l.Queued() > 0 || l.Busy() {
-				pause = loadEvery
+				pause = busyLoadInterval
 			}
-			if l != last || time.Since(toldAt) > tellAgain {
+			if l != last || time.Since(toldAt) > maxReportInterval {
 				s.follower.ReportLoad(l)
 				last, toldAt = l, time.Now()
 			}
@@ -40,7 +40,7 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-s.tell:
+		case <-s.loadChanged:
 		case <-time.After(pause):
 		}
 	}
@@ -57,6 +57,6 @@
 	if err != nil {
 		return feed.Load{}, false
 	}
-	version := wholeVersion(report.Holdings, model, max(service.Engine().Layers(), 1))
-	return feed.NewLoad(service.Name(), s.settings.Engine(), model, version, report.Running, report.Queued, report.Pace, report.Busy || s.withdrawn.Load(), s.isExchanging()), true
+	version := completeVersion(report.Holdings, model, max(service.Engine().Layers(), 1))
+	return feed.NewLoad(service.Name(), s.settings.Engine(), model, version, report.Running, report.Queued, report.Pace, report.Busy || s.draining.Load(), s.isExchanging()), true
 }
--- a/pkg/staging/manifests.go
+++ b/pkg/staging/manifests.go
@@ -18,8 +18,8 @@
 	"github.com/tidepost/tidepost/pkg/failure"
 )
 
-// manifestAsks is how many others are asked before this stager draws itself.
-const manifestAsks = 3
+// maxManifestQueries is how many others are asked before this stager draws itself.
+const maxManifestQueries = 3
 
 // findManifest returns the manifest of a version. Caches are asked before
 // stagers.
@@ -30,68 +30,68 @@
 	own := m.process.Identity.Address()
 	asked := 0
 	for _, address := range m.manifestOrder(model, version) {
-		if address == own || asked == manifestAsks {
+		if address == own || asked == maxManifestQueries {
 			break
 		}
-		if m.failing.rests(address) {
+		if m.peerFailures.isUnavailable(address) {
 			continue
 		}
 		asked++
-		r, err := m.ask(ctx, address, question{model: model, version: version, number: manifestNumber, draw: true})
+		r, err := m.query(ctx, address, chunkQuery{model: model, version: version, number: manifestNumber, fetchIfMissing: true})
 		if err != nil {
-			m.failing.failed(address)
+			m.peerFailures.record(address)
 			continue
 		}
 		if r.manifest != nil && r.manifest.version == version {
 			return *r.manifest, nil
 		}
 	}
-	return m.drawManifest(ctx, model, version)
+	return m.fetchOriginManifest(ctx, model, version)
 }
 
 // manifestOrder returns whom to ask for a manifest, first choice first.
 func (m *Member) manifestOrder(model string, version uint64) []string {
 	domains, caches := m.members(model)
-	order := ranked(slices.Sorted(maps.Keys(domains)), model, version, manifestNumber)
+	order := rankAddresses(slices.Sorted(maps.Keys(domains)), model, version, manifestNumber)
 	sort.SliceStable(order, func(i, j int) bool { return caches[order[i]] && !caches[order[j]] })
 	return order
 }
 
-// drawManifest draws a manifest from the origin, one at a time.
-func (m *Member) drawManifest(ctx context.Context, model string, version uint64) (Manifest, error) {
+// fetchOriginManifest draws a manifest from the origin, one at a time.
+func (m *Member) fetchOriginManifest(ctx context.Context, model string, version uint64) (Manifest, error) {
 	m.manifestLock.Lock()
 	defer m.manifestLock.Unlock()
-	if drawn := m.drawnManifests[model]; drawn.version == version {
+	if drawn := m.originManifests[model]; drawn.version == version {
 		return drawn, nil
 	}
 	origin := m.origin()
 	if origin == "" {
 		return Manifest{}, failure.New(failure.SourceRefused, "the configuration names no origin")
 	}
-	ctx, cancel := context.WithTimeout(ctx, drawTimeout)
+	ctx, cancel := context.WithTimeout(ctx, originTimeout)
 	defer cancel()
-	drawn, err := m.protocol.Manifest(ctx, origin, model, version)
+	drawn, err := m.protocol.FetchManifest(ctx, origin, model, version)
 	if err != nil {
 		return drawn, err
 	}
 	if drawn.version != version || len(drawn.digests) == 0 {
 		return drawn, failure.New(failure.VersionChanged, "the origin answers version %d for %d, with %d digests", drawn.version, version, len(drawn.digests))
 	}
-	m.drawnManifests[model] = drawn
+	m.originManifests[model] = drawn
 	_ = level.Info(m.process.Logger).Log("msg", "manifest drawn", "model", model, "version", version, "chunks", len(drawn.digests))
 	return drawn, nil
 }
 
 // manifestFor returns a manifest for another member; nil when it is not to be
 // had.
-func (m *Member) manifestFor(ctx context.Context, q question) *Manifest {
+func (m *Member) manifestFor(ctx context.Context, q chunkQuery) *Manifest {
 	if known := m.knownManifest(q.model, q.version); known != nil {
 		return known
 	}
-	if !q.draw {
+	if !q.fetchIfMissing {
 		return nil
 	}
-	drawn, err := m.drawManifest(ctx, q.model, q.version)
+	drawn, err := m.fetchOriginManifest(ctx, q.model, q.version)
 	if err != nil {
 		return nil
 	}
--- a/pkg/staging/member.go
+++ b/pkg/staging/member.go
@@ -27,43 +27,43 @@
 
 // Member exchanges chunks with other members.
 type Member struct {
-	process  *daemon.Process
-	protocol Protocol
-	follower *feed.Follower
-	registry *registry.Table
-	failing  *failingPeers
-	metrics  *metrics
-	running  context.Context
-	index    serviceconfig.Current
-	versions *feed.VersionTable
-	within   time.Duration // the agreed time; 0 where it is not known
-	wake     chan struct{}
-	beside   beside
-
-	manifestLock   sync.Mutex
-	drawnManifests map[string]Manifest // the newest, by model
-
-	notices  *link.Messenger[notice]
-	uploads  chan struct{}
-	fetching sync.Mutex
-	underWay map[fetchKey]bool
-
-	planLock   sync.Mutex
-	plan       plan         // the last one made,
-	plannedFor *weightsCopy // for this copy,
-	planned    swarm        // from these members
+	process      *daemon.Process
+	protocol     Protocol
+	follower     *feed.Follower
+	registry     *registry.Table
+	peerFailures *peerFailures
+	metrics      *metrics
+	runContext   context.Context
+	index        serviceconfig.Current
+	versions     *feed.VersionTable
+	rolloutLimit time.Duration // the agreed time; 0 where it is not known
+	wake         chan struct{}
+	stagingArea  engineStagingArea
+
+	manifestLock    sync.Mutex
+	originManifests map[string]Manifest // the newest, by model
+
+	notices   *link.Messenger[notice]
+	uploads   chan struct{}
+	fetchLock sync.Mutex
+	fetches   map[fetchKey]bool
+
+	planLock  sync.Mutex
+	plan      plan         // the last one made,
+	planCopy  *weightsCopy // for this copy,
+	planSwarm swarm        // from these members
 
 	mu     sync.Mutex
 	copies map[string][]*weightsCopy // by model, the newest last
 }
 
-// beside is how chunks are read that lie beside the engine of a stager; its
+// engineStagingArea is how chunks are read that lie beside the engine of a stager; its
 // functions are nil at a cache.
-type beside struct {
-	address string
-	holds   func(version uint64) bool
-	serves  func() bool // anything at all
-	read    func(ctx context.Context, model string, number int) ([]byte, error)
+type engineStagingArea struct {
+	address   string
+	isServed  func(version uint64) bool
+	isServing func() bool // anything at all
+	readChunk func(ctx context.Context, model string, number int) ([]byte, error)
 }
 
 // newMember returns a member that is not running yet. seeds are the link
@@ -71,22 +71,22 @@
 // others at one time.
 func newMember(process *daemon.Process, protocol Protocol, hello feed.Hello, seeds func() []string, uploads int) *Member {
 	m := &Member{
-		process: process, protocol: protocol, registry: registry.NewTable(nil), failing: newFailingPeers(),
-		metrics: newMetrics(process.Registry), wake: make(chan struct{}, 1), running: context.Background(),
-		drawnManifests: map[string]Manifest{}, notices: link.NewMessenger[notice](process.Endpoint, link.KindChunkNotice),
-		uploads: make(chan struct{}, uploads), underWay: map[fetchKey]bool{}, versions: feed.NewVersionTable(), copies: map[string][]*weightsCopy{},
+		process: process, protocol: protocol, registry: registry.NewTable(nil), peerFailures: newPeerFailures(),
+		metrics: newMetrics(process.Registry), wake: make(chan struct{}, 1), runContext: context.Background(),
+		originManifests: map[string]Manifest{}, notices: link.NewMessenger[notice](process.Endpoint, link.KindChunkNotice),
+		uploads: make(chan struct{}, uploads), fetches: map[fetchKey]bool{}, versions: feed.NewVersionTable(), copies: map[string][]*weightsCopy{},
 	}
 	m.follower = &feed.Follower{
-		Endpoint: process.Endpoint, Hello: hello, Seeds: seeds, DocumentNumber: m.index.Number, OnUpdate: m.takeUpdate,
+		Endpoint: process.Endpoint, Hello: hello, Seeds: seeds, DocumentNumber: m.index.Number, OnUpdate: m.applyUpdate,
 		Versions: func() []feed.NamedVersion { return m.versions.Current(time.Now()) }, Logger: process.Logger,
 	}
-	process.Endpoint.Handle(link.KindChunkOf, m.serveQuestion)
+	process.Endpoint.Handle(link.KindChunkOf, m.serveQuery)
 	process.Endpoint.Handle(link.KindChunkNotice, m.serveNotices)
 	return m
 }
 
-// takeUpdate takes what a control node tells.
-func (m *Member) takeUpdate(address string, u feed.Update) {
+// applyUpdate takes what a control node tells.
+func (m *Member) applyUpdate(address string, u feed.Update) {
 	for _, r := range u.Registrations() {
 		m.registry.Receive(r)
 	}
@@ -97,11 +97,11 @@
 		changed = true
 	}
 	if changed {
-		m.awake()
+		m.wakeLoop()
 	}
 }
 
-func (m *Member) awake() {
+func (m *Member) wakeLoop() {
 	daemon.Wake(m.wake)
 }
 
@@ -121,23 +121,23 @@
 // over too, or ends with its own, it is the last of these: requests may use none
 // before.
 func (m *Member) nextDue(model string, served uint64) feed.VersionInfo {
-	if m.within > 0 {
-		if due := m.versions.Due(model, m.within, time.Now()); due > served {
+	if m.rolloutLimit > 0 {
+		if due := m.versions.Due(model, m.rolloutLimit, time.Now()); due > served {
 			served = due - 1
 		}
 	}
 	next := m.versions.Next(model, served)
 	first := next.Since()
-	for n := next; n.Version() > 0 && n.Since().Sub(first) < together; n = m.versions.Next(model, n.Version()) {
+	for n := next; n.Version() > 0 && n.Since().Sub(first) < simultaneousSpan; n = m.versions.Next(model, n.Version()) {
 		next = n
 	}
 	return orFirst(next)
 }
 
-// together is how far apart the namings of two versions are at the most for their
+// simultaneousSpan is how far apart the namings of two versions are at the most for their
 // times to end together: as those that a control node reads from its log are when
 // nobody is left who knew when they were named. It is far less than a copy takes.
-const together = 100 * time.Millisecond
+const simultaneousSpan = 100 * time.Millisecond
 
 // orFirst returns a named version, or the first one where none was named.
 func orFirst(n feed.VersionInfo) feed.VersionInfo {
@@ -160,7 +160,7 @@
 		if err != nil {
 			return nil, err
 		}
-		if c = m.keep(manifest); c == nil {
+		if c = m.addEmptyCopy(manifest); c == nil {
 			return nil, nil
 		}
 	}
@@ -169,9 +169,9 @@
 	}
 	gathering, cancel := context.WithCancel(ctx)
 	defer cancel()
-	go m.cancelWhenRetargeted(gathering, cancel, model, want.Version(), held)
+	go m.cancelOnNewTarget(gathering, cancel, model, want.Version(), held)
 	started := time.Now()
-	m.gather(gathering, c)
+	m.download(gathering, c)
 	if !c.isComplete() {
 		return nil, nil
 	}
@@ -179,20 +179,20 @@
 	return c, nil
 }
 
-// keptCopies of a model are kept: the newest named version, and the one before
+// maxCopies of a model are kept: the newest named version, and the one before
 // while that one can't be had.
-const keptCopies = 2
+const maxCopies = 2
 
-// keep makes room for a copy; the oldest is given up. It returns the copy that
+// addEmptyCopy makes room for a copy; the oldest is given up. It returns the copy that
 // is there already, and nil when enough later ones are.
-func (m *Member) keep(manifest Manifest) *weightsCopy {
+func (m *Member) addEmptyCopy(manifest Manifest) *weightsCopy {
 	if held := m.copyOf(manifest.model, manifest.version); held != nil {
 		return held
 	}
-	return m.keepCopy(newCopy(manifest))
+	return m.addCopy(newCopy(manifest))
 }
 
-func (m *Member) keepCopy(c *weightsCopy) *weightsCopy {
+func (m *Member) addCopy(c *weightsCopy) *weightsCopy {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	copies := m.copies[c.manifest.model]
@@ -201,7 +201,7 @@
 		return copies[at]
 	}
 	copies = slices.Insert(slices.Clone(copies), at, c)
-	spare := max(len(copies)-keptCopies, 0)
+	spare := max(len(copies)-maxCopies, 0)
 	m.copies[c.manifest.model] = copies[spare:]
 	if at < spare {
 		return nil
@@ -267,7 +267,7 @@
 	}
 	own := m.process.Identity
 	domains[own.Address()] = own.Domain()
-	if m.beside.holds == nil {
+	if m.stagingArea.isServed == nil {
 		caches[own.Address()] = true
 	}
 	return domains, caches
@@ -283,7 +283,7 @@
 	}
 	holders := map[string]bool{}
 	for address, p := range m.follower.Peers() {
-		if address != m.process.Identity.Address() && serving[p.Engine()] && !m.failing.rests(address) {
+		if address != m.process.Identity.Address() && serving[p.Engine()] && !m.peerFailures.isUnavailable(address) {
 			holders[address] = true
 		}
 	}
--- a/pkg/staging/notices.go
+++ b/pkg/staging/notices.go
@@ -26,22 +26,22 @@
 	// model and version say of what.
 	model   string
 	version uint64
-	// held are the chunks that the sender has, one bit each.
-	held []byte
+	// heldBits are the chunks that the sender has, one bit each.
+	heldBits []byte
 }
 
 // notify tells those who get a chunk from here that it is here, the first
 // engine to take the version first.
 func (m *Member) notify(c *weightsCopy, number int) {
-	if c.beside.Load() {
+	if c.readableFromEngine.Load() {
 		return
 	}
 	targets := m.planFor(c).targets(number)
-	order := m.turnOrder(c.manifest.model)
+	order := m.rolloutOrder(c.manifest.model)
 	slices.SortFunc(targets, func(a, b string) int { return slices.Index(order, a) - slices.Index(order, b) })
-	n := notice{c.manifest.model, c.manifest.version, c.held()}
+	n := notice{c.manifest.model, c.manifest.version, c.heldBits()}
 	for _, t := range targets {
-		if !c.knownBy(t, number) {
+		if !c.isHeldBy(t, number) {
 			m.notices.Send(t, t, n)
 		}
 	}
@@ -56,7 +56,7 @@
 			return nil
 		}
 		if c := m.copyOf(n.model, n.version); c != nil {
-			c.learn(from, n.held)
+			c.addHoldings(from, n.heldBits)
 		}
 	}
 }
--- a/pkg/staging/outage_test.go
+++ b/pkg/staging/outage_test.go
@@ -10,7 +10,7 @@
 // 2.6 s. However often a chunk is missed, its owner draws it, and a single other
 // member now and then.
 func TestMissesDoNotSendAllMembersToTheOrigin(t *testing.T) {
-	const domains, stagers, chunks, questions = 5, 24, 96, 4 * drawEvery
+	const domains, stagers, chunks, questions = 5, 24, 96, 4 * backupFetchEvery
 	domain, caches := map[string]string{}, map[string]bool{}
 	for d := range domains {
 		cache := fmt.Sprintf("10.%d.1.0:7", d)
@@ -22,11 +22,11 @@
 	draws := map[int]map[string]int{} // by chunk, by member that is not its owner
 	for own := range domain {
 		p := newPlan(swarm{own: own, domains: domain, caches: caches}, "menu", 2, chunks)
-		g := newGatherer(nil, func() plan { return p }, asksAtOnce)
+		g := newFetchScheduler(nil, func() plan { return p }, maxRequests)
 		g.plan = p
 		for number := range chunks {
 			for range questions {
-				if g.planned(number) == own && p.owners[number] != own {
+				if g.plannedSource(number) == own && p.owners[number] != own {
 					if draws[number] == nil {
 						draws[number] = map[string]int{}
 					}
@@ -41,7 +41,7 @@
 			t.Fatalf("chunk %d is drawn by %d members besides its owner", number, len(draws[number]))
 		}
 		for member, n := range draws[number] {
-			if n > questions/drawEvery || !caches[member] {
+			if n > questions/backupFetchEvery || !caches[member] {
 				t.Fatalf("%s draws chunk %d %d times in %d questions", member, number, n, questions)
 			}
 		}
@@ -50,21 +50,21 @@
 
 // A stager asks the cache of its own failure domain for a missing chunk, and only
 // now and then its owner in another one.
-func TestMissesStayInTheFailureDomain(t *testing.T) {
+func TestMissingChunksAreRequestedInTheFailureDomain(t *testing.T) {
 	domain := map[string]string{"cache-a": "a", "cache-b": "b", "stager": "a"}
 	p := newPlan(swarm{own: "stager", domains: domain, caches: map[string]bool{"cache-a": true, "cache-b": true}}, "menu", 2, 96)
-	g := newGatherer(nil, func() plan { return p }, asksAtOnce)
+	g := newFetchScheduler(nil, func() plan { return p }, maxRequests)
 	g.plan = p
 	far := 0
 	for number := range 96 {
-		for range askOwnerEvery {
-			if g.planned(number) == "cache-b" {
+		for range ownerRequestEvery {
+			if g.plannedSource(number) == "cache-b" {
 				far++
 			}
 			g.misses[number]++
 		}
 	}
 	if far > 96 {
-		t.Fatalf("%d of %d questions cross to the other failure domain", far, 96*askOwnerEvery)
+		t.Fatalf("%d of %d questions cross to the other failure domain", far, 96*ownerRequestEvery)
 	}
 }
--- a/pkg/staging/owners.go
+++ b/pkg/staging/owners.go
@@ -32,42 +32,42 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// restAfterFailure is how long a stager that did not answer is not asked.
-const restAfterFailure = 1500 * time.Millisecond
+// failureBackoff is how long a stager that did not answer is not asked.
+const failureBackoff = 1500 * time.Millisecond
 
-// failingPeers remembers which stagers did not answer.
-type failingPeers struct {
+// peerFailures remembers which stagers did not answer.
+type peerFailures struct {
 	mu    sync.Mutex
 	until map[string]time.Time
 }
 
-func newFailingPeers() *failingPeers { return &failingPeers{until: map[string]time.Time{}} }
+func newPeerFailures() *peerFailures { return &peerFailures{until: map[string]time.Time{}} }
 
-func (f *failingPeers) failed(address string) {
+func (f *peerFailures) record(address string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.until[address] = time.Now().Add(restAfterFailure)
+	f.until[address] = time.Now().Add(failureBackoff)
 }
 
-func (f *failingPeers) rests(address string) bool {
+func (f *peerFailures) isUnavailable(address string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return time.Now().Before(f.until[address])
 }
 
-// resting returns those of some members that rest now.
-func (f *failingPeers) resting(members map[string]string) map[string]bool {
+// unavailable returns those of some members that rest now.
+func (f *peerFailures) unavailable(members map[string]string) map[string]bool {
 	resting := map[string]bool{}
 	for address := range members {
-		if f.rests(address) {
+		if f.isUnavailable(address) {
 			resting[address] = true
 		}
 	}
 	return resting
 }
 
-// ranked returns addresses in the order of their claim to a chunk.
-func ranked(addresses []string, model string, version uint64, number int) []string {
+// rankAddresses returns addresses in the order of their claim to a chunk.
+func rankAddresses(addresses []string, model string, version uint64, number int) []string {
 	type claim struct {
 		address string
 		hash    uint64
@@ -87,9 +87,9 @@
 	return order
 }
 
-// shareOut assigns chunks to addresses so that each gets about as many as the
+// assignEvenly assigns chunks to addresses so that each gets about as many as the
 // others: in the order of their claims, but none more than its share.
-func shareOut(addresses []string, model string, version uint64, chunks int) []string {
+func assignEvenly(addresses []string, model string, version uint64, chunks int) []string {
 	if len(addresses) == 0 {
 		return make([]string, chunks)
 	}
@@ -97,7 +97,7 @@
 	given := map[string]int{}
 	assigned := make([]string, chunks)
 	for number := range chunks {
-		for _, a := range ranked(addresses, model, version, number) {
+		for _, a := range rankAddresses(addresses, model, version, number) {
 			if given[a] < share {
 				given[a]++
 				assigned[number] = a
@@ -111,42 +111,42 @@
 // plan is the ways of one version's chunks, as one member sees them. It is
 // shared and never changed.
 type plan struct {
-	own       string
-	domain    map[string]string   // of each member that is not avoided
-	holders   map[string]bool     // others that serve the version already
-	importers map[string][]string // by failure domain, by chunk
-	owners    []string            // by chunk
-	standIns  []string            // by chunk: who draws it where the owner can't
-	near      []string            // holders of the own failure domain, or all holders
+	own              string
+	domainOf         map[string]string   // of each member that is not avoided
+	holders          map[string]bool     // others that serve the version already
+	importers        map[string][]string // by failure domain, by chunk
+	owners           []string            // by chunk
+	backupOwners     []string            // by chunk: who draws it where the owner can't
+	preferredHolders []string            // holders of the own failure domain, or all holders
 }
 
 // swarm is who exchanges the chunks of a model, as one member sees it.
 type swarm struct {
-	own     string
-	domains map[string]string // failure domain by link address
-	caches  map[string]bool   // those members that are caches
-	holders map[string]bool   // others whose engine serves the version already
-	resting map[string]bool   // those members that did not answer of late
+	own         string
+	domains     map[string]string // failure domain by link address
+	caches      map[string]bool   // those members that are caches
+	holders     map[string]bool   // others whose engine serves the version already
+	unavailable map[string]bool   // those members that did not answer of late
 }
 
 // equal tells whether both lead to the same plan.
 func (s swarm) equal(o swarm) bool {
 	return s.own == o.own && maps.Equal(s.domains, o.domains) && maps.Equal(s.caches, o.caches) &&
-		maps.Equal(s.holders, o.holders) && maps.Equal(s.resting, o.resting)
+		maps.Equal(s.holders, o.holders) && maps.Equal(s.unavailable, o.unavailable)
 }
 
 // newPlan makes the plan of the member s.own. Members that rest are left out.
 func newPlan(s swarm, model string, version uint64, chunks int) plan {
-	p := plan{own: s.own, domain: map[string]string{}, holders: s.holders, importers: map[string][]string{}}
+	p := plan{own: s.own, domainOf: map[string]string{}, holders: s.holders, importers: map[string][]string{}}
 	members := map[string][]string{}
 	caches := map[string][]string{}
 	var all, allCaches []string
 	for _, a := range slices.Sorted(maps.Keys(s.domains)) {
-		if a != s.own && s.resting[a] {
+		if a != s.own && s.unavailable[a] {
 			continue
 		}
 		d := s.domains[a]
-		p.domain[a] = d
+		p.domainOf[a] = d
 		all = append(all, a)
 		members[d] = append(members[d], a)
 		if s.caches[a] {
@@ -154,10 +154,10 @@
 			caches[d] = append(caches[d], a)
 		}
 	}
-	p.owners = shareOut(firstFilled(allCaches, all), model, version, chunks)
-	p.standIns = standIns(firstFilled(allCaches, all), p.owners, model, version)
+	p.owners = assignEvenly(firstNonEmpty(allCaches, all), model, version, chunks)
+	p.backupOwners = assignBackupOwners(firstNonEmpty(allCaches, all), p.owners, model, version)
 	for d, near := range members {
-		p.importers[d] = shareOut(firstFilled(caches[d], near), model, version, chunks)
+		p.importers[d] = assignEvenly(firstNonEmpty(caches[d], near), model, version, chunks)
 		for number, owner := range p.owners {
 			if s.domains[owner] == d {
 				// An owner of the failure domain needs no importer.
@@ -166,17 +166,17 @@
 		}
 	}
 	if s.caches[s.own] || len(caches[s.domains[s.own]]) == 0 {
-		p.near = p.nearHolders()
+		p.preferredHolders = p.selectHolders()
 	}
 	return p
 }
 
-// standIns returns for each chunk the first of some addresses in the order of their
+// assignBackupOwners returns for each chunk the first of some addresses in the order of their
 // claims that is not its owner; empty where there is no other one.
-func standIns(addresses, owners []string, model string, version uint64) []string {
+func assignBackupOwners(addresses, owners []string, model string, version uint64) []string {
 	assigned := make([]string, len(owners))
 	for number, owner := range owners {
-		for _, a := range ranked(addresses, model, version, number) {
+		for _, a := range rankAddresses(addresses, model, version, number) {
 			if a != owner {
 				assigned[number] = a
 				break
@@ -186,22 +186,22 @@
 	return assigned
 }
 
-// firstFilled returns a, or b where a is empty.
-func firstFilled(a, b []string) []string {
+// firstNonEmpty returns a, or b where a is empty.
+func firstNonEmpty(a, b []string) []string {
 	if len(a) > 0 {
 		return a
 	}
 	return b
 }
 
-// nearHolders returns the holders of the own failure domain, or all where it
+// selectHolders returns the holders of the own failure domain, or all where it
 // has none.
-func (p plan) nearHolders() []string {
+func (p plan) selectHolders() []string {
 	var near, far []string
 	for _, a := range slices.Sorted(maps.Keys(p.holders)) {
-		if p.domain[a] == p.domain[p.own] {
+		if p.domainOf[a] == p.domainOf[p.own] {
 			near = append(near, a)
-		} else if p.domain[a] != "" {
+		} else if p.domainOf[a] != "" {
 			far = append(far, a)
 		}
 	}
@@ -214,7 +214,7 @@
 // source returns whom to ask for a chunk; the stager's own address means the
 // origin.
 func (p plan) source(number int) string {
-	if importer := p.importers[p.domain[p.own]][number]; importer != p.own {
+	if importer := p.importers[p.domainOf[p.own]][number]; importer != p.own {
 		return importer
 	}
 	return p.owners[number]
@@ -225,14 +225,14 @@
 	var targets []string
 	if p.owners[number] == p.own {
 		for _, d := range slices.Sorted(maps.Keys(p.importers)) {
-			if d != p.domain[p.own] {
+			if d != p.domainOf[p.own] {
 				targets = append(targets, p.importers[d][number])
 			}
 		}
 	}
-	if p.importers[p.domain[p.own]][number] == p.own {
-		for _, a := range slices.Sorted(maps.Keys(p.domain)) {
-			if a != p.own && p.domain[a] == p.domain[p.own] {
+	if p.importers[p.domainOf[p.own]][number] == p.own {
+		for _, a := range slices.Sorted(maps.Keys(p.domainOf)) {
+			if a != p.own && p.domainOf[a] == p.domainOf[p.own] {
 				targets = append(targets, a)
 			}
 		}
--- a/pkg/staging/protocol.go
+++ b/pkg/staging/protocol.go
@@ -22,8 +22,8 @@
 	Busy bool
 	// Sequence is the number of orders that it has taken.
 	Sequence uint64
-	// Born is when it started, in Unix milliseconds; 0 when it does not say.
-	Born uint64
+	// Started is when it started, in Unix milliseconds; 0 when it does not say.
+	Started uint64
 	// Running and Queued count its requests.
 	Running, Queued int
 	// Pace is its time for a step over the usual one; 0 when not known.
@@ -52,8 +52,8 @@
 	// Fence is the order's fencing token: where engines look at it, they refuse one
 	// that is lower than another that they have seen, with StaleOrder.
 	Fence uint64
-	// Cuts says that the engine cuts what runs; else it ends that first.
-	Cuts bool
+	// Interrupts says that the engine cuts what runs; else it ends that first.
+	Interrupts bool
 }
 
 // Protocol is what the engine and the origin speak. All addresses are IP:PORT.
@@ -66,12 +66,12 @@
 	Put func(ctx context.Context, engine, model string, number int, data []byte) error
 	// Get reads a chunk back; it fails with UnknownObject when none lies there.
 	Get func(ctx context.Context, engine, model string, number int) ([]byte, error)
-	// Start gives the order. The engine may go on with other work first.
-	Start func(ctx context.Context, engine string, o Order) error
-	// Manifest asks the origin for the digests of a version.
-	Manifest func(ctx context.Context, origin, model string, version uint64) (Manifest, error)
-	// Draw asks the origin for a chunk.
-	Draw func(ctx context.Context, origin, model string, version uint64, number int) ([]byte, error)
+	// SendOrder gives the order. The engine may go on with other work first.
+	SendOrder func(ctx context.Context, engine string, o Order) error
+	// FetchManifest asks the origin for the digests of a version.
+	FetchManifest func(ctx context.Context, origin, model string, version uint64) (Manifest, error)
+	// FetchChunk asks the origin for a chunk.
+	FetchChunk func(ctx context.Context, origin, model string, version uint64, number int) ([]byte, error)
 }
 
 // Called returns the protocol's name.
--- a/pkg/staging/redirect_test.go
+++ b/pkg/staging/redirect_test.go
@@ -20,7 +20,7 @@
 )
 
 // Forty stagers wait for one cache; most chunks are at some of them already.
-func TestAskersAreSentToHoldersOfTheirFailureDomain(t *testing.T) {
+func TestRedirectNamesHoldersInTheFailureDomain(t *testing.T) {
 	asker := vm.NewIdentity("s", 1, "", "a", "10.0.0.0:7")
 	known, domains := map[string]bool{asker.Address(): true}, map[string]string{asker.Address(): "a"}
 	for i := 1; i <= 20; i++ {
@@ -31,7 +31,7 @@
 	seen := map[string]bool{}
 	for range 200 {
 		holders := holdersNear(asker, known, domains)
-		if len(holders) != mostHolders {
+		if len(holders) != maxHolders {
 			t.Fatalf("%d holders", len(holders))
 		}
 		for _, h := range holders {
@@ -47,24 +47,24 @@
 }
 
 // As long as an upload is free nobody is sent elsewhere.
-func TestOnlyABusyMemberRedirects(t *testing.T) {
+func TestRedirectOnlyWithoutFreeUpload(t *testing.T) {
 	m := &Member{uploads: make(chan struct{}, 1), copies: map[string][]*weightsCopy{}}
 	c := newCopy(Manifest{model: "menu", version: 2, digests: make([]string, 4)})
-	c.learn("10.0.0.1:7", []byte{0b1111})
+	c.addHoldings("10.0.0.1:7", []byte{0b1111})
 	m.copies["menu"] = []*weightsCopy{c}
-	q := question{model: "menu", version: 2, number: 1}
-	if holders := m.redirect(q, vm.Identity{}); holders != nil || m.isBusy() {
+	q := chunkQuery{model: "menu", version: 2, number: 1}
+	if holders := m.redirectTargets(q, vm.Identity{}); holders != nil || m.areUploadsFull() {
 		t.Fatalf("redirected to %v with an upload free", slices.Sorted(slices.Values(holders)))
 	}
 	m.uploads <- struct{}{}
-	if !m.isBusy() {
+	if !m.areUploadsFull() {
 		t.Fatal("no upload is free")
 	}
 }
 
-// endpointOf returns an endpoint that answers questions, and its address. Without
+// startEndpoint returns an endpoint that answers questions, and its address. Without
 // an answer it only asks.
-func endpointOf(t *testing.T, answer func(question) reply) (*link.Endpoint, string) {
+func startEndpoint(t *testing.T, answer func(chunkQuery) chunkReply) (*link.Endpoint, string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -75,7 +75,7 @@
 		Own: vm.NewIdentity(vm.ID(address), 1, "", "a", address), Clock: event.NewClock(time.Now), Logger: log.NewNopLogger(),
 	})
 	e.Handle(link.KindChunkOf, func(_ context.Context, s *link.Stream) error {
-		var q question
+		var q chunkQuery
 		if err := s.Receive(&q); err != nil {
 			return err
 		}
@@ -92,22 +92,22 @@
 }
 
 // A member that is sent to a holder asks it, and not for it to bring the chunk.
-func TestAskerGoesToTheHolderThatIsNamed(t *testing.T) {
+func TestFetchFollowsRedirect(t *testing.T) {
 	data := []byte("a chunk")
-	_, holder := endpointOf(t, func(q question) reply {
-		if q.draw {
-			return reply{}
+	_, holder := startEndpoint(t, func(q chunkQuery) chunkReply {
+		if q.fetchIfMissing {
+			return chunkReply{}
 		}
-		return reply{data: data}
+		return chunkReply{data: data}
 	})
-	_, busy := endpointOf(t, func(question) reply { return reply{holders: []string{holder}} })
-	own, address := endpointOf(t, func(question) reply { return reply{} })
+	_, busy := startEndpoint(t, func(chunkQuery) chunkReply { return chunkReply{holders: []string{holder}} })
+	own, address := startEndpoint(t, func(chunkQuery) chunkReply { return chunkReply{} })
 	m := &Member{
 		process: &daemon.Process{
 			Endpoint: own, Logger: log.NewNopLogger(), Identity: vm.NewIdentity("s", 1, "", "a", address),
 		},
-		follower: &feed.Follower{}, registry: registry.NewTable(nil), failing: newFailingPeers(),
-		metrics: newMetrics(prometheus.NewRegistry()), underWay: map[fetchKey]bool{},
+		follower: &feed.Follower{}, registry: registry.NewTable(nil), peerFailures: newPeerFailures(),
+		metrics: newMetrics(prometheus.NewRegistry()), fetches: map[fetchKey]bool{},
 	}
 	c := newCopy(Manifest{model: "menu", version: 2, digests: []string{digestOf(data)}})
 	if answered := m.fetch(t.Context(), c, busy, 0); !answered {
--- a/pkg/staging/reservations.go
+++ b/pkg/staging/reservations.go
@@ -19,27 +19,27 @@
 )
 
 const (
-	// reserveTimeout bounds the answer to one question for a place; a gateway has
+	// reservationTimeout bounds the answer to one question for a place; a gateway has
 	// gone elsewhere by then.
-	reserveTimeout = 200 * time.Millisecond
-	// reportLife is for how long one look at the engine answers further questions:
+	reservationTimeout = 200 * time.Millisecond
+	// reportTTL is for how long one look at the engine answers further questions:
 	// a twentieth of the pass of a full engine.
-	reportLife = 3 * time.Millisecond
+	reportTTL = 3 * time.Millisecond
 )
 
-// lookout keeps the latest look at the engine. The zero value has none.
-type lookout struct {
+// reportCache keeps the latest look at the engine. The zero value has none.
+type reportCache struct {
 	mu     sync.Mutex
 	report Report
-	at     time.Time
+	readAt time.Time
 }
 
 // recent returns a look at the engine that is no older than reportLife. Whoever
 // comes while one is under way waits for it.
-func (o *lookout) recent(ctx context.Context, look func(context.Context) (Report, error)) (Report, error) {
+func (o *reportCache) recent(ctx context.Context, look func(context.Context) (Report, error)) (Report, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if time.Since(o.at) <= reportLife {
+	if time.Since(o.readAt) <= reportTTL {
 		return o.report, nil
 	}
 	at := time.Now()
@@ -47,13 +47,13 @@
 	if err != nil {
 		return Report{}, err
 	}
-	o.report, o.at = report, at
+	o.report, o.readAt = report, at
 	return report, nil
 }
 
 // serveReservation answers a gateway that asks for a place.
 func (s *Stager) serveReservation(ctx context.Context, stream *link.Stream) error {
-	stream.SetDeadline(time.Now().Add(reserveTimeout))
+	stream.SetDeadline(time.Now().Add(reservationTimeout))
 	var ask reservation.Ask
 	if err := stream.Receive(&ask); err != nil {
 		return err
@@ -62,9 +62,9 @@
 	if !ok {
 		return failure.New(failure.NotReady, "no configuration is known here yet")
 	}
-	ctx, cancel := context.WithTimeout(ctx, reserveTimeout)
+	ctx, cancel := context.WithTimeout(ctx, reservationTimeout)
 	defer cancel()
-	report, err := s.lookout.recent(ctx, s.report)
+	report, err := s.reportCache.recent(ctx, s.report)
 	if err != nil {
 		return err
 	}
@@ -73,13 +73,13 @@
 
 // decide answers a question for a place.
 func (s *Stager) decide(ask reservation.Ask, model string, service *serviceconfig.Service, report Report) reservation.Answer {
-	version := wholeVersion(report.Holdings, model, max(service.Engine().Layers(), 1))
-	busy := report.Busy || s.withdrawn.Load()
+	version := completeVersion(report.Holdings, model, max(service.Engine().Layers(), 1))
+	busy := report.Busy || s.draining.Load()
 	work := reservation.Work{Running: report.Running, Queued: report.Queued, Pace: report.Pace}
 	var granted bool
 	var begins time.Duration
 	if version > 0 && !busy {
-		granted, begins, work = s.book.Decide(time.Now(), service.Engine(), work, ask)
+		granted, begins, work = s.reservations.Decide(time.Now(), service.Engine(), work, ask)
 	}
 	load := feed.NewLoad(service.Name(), s.settings.Engine(), model, version, work.Running, work.Queued, work.Pace, busy, s.isExchanging())
 	return reservation.NewAnswer(granted, begins, load)
--- a/pkg/staging/reservations_test.go
+++ b/pkg/staging/reservations_test.go
@@ -11,20 +11,20 @@
 	"github.com/tidepost/tidepost/pkg/serviceconfig"
 )
 
-// askStager asks a stager whose engine has 16 places for one of them.
-func askStager(s *Stager, r Report) reservation.Answer {
+// requestReservation asks a stager whose engine has 16 places for one of them.
+func requestReservation(s *Stager, r Report) reservation.Answer {
 	engine := serviceconfig.NewEngine(16, []string{"menu"}, 1, 1, 8, 5*time.Millisecond, 0, 40000, 1000, 100, 0, 5)
 	service := serviceconfig.NewService("menu", "", 0, "", engine, true)
 	return s.decide(reservation.NewAsk(1000, 400*time.Millisecond, 0), "menu", &service, r)
 }
 
-func TestPlacesAreGrantedWhileTheEngineServes(t *testing.T) {
+func TestReservationsAreGrantedWhileTheEngineServes(t *testing.T) {
 	serving := []registry.Holding{registry.NewHolding("menu", 3, 0, 1)}
 	tests := []struct {
-		name      string
-		report    Report
-		withdrawn bool
-		granted   bool
+		name     string
+		report   Report
+		draining bool
+		granted  bool
 	}{
 		{"it serves", Report{Holdings: serving, Running: 3}, false, true},
 		{"it serves nothing", Report{Running: 3}, false, false},
@@ -33,10 +33,10 @@
 		{"it is full and others wait", Report{Holdings: serving, Running: 16, Queued: 9}, false, false},
 	}
 	for _, test := range tests {
-		s := stagerBeside(test.report)
-		s.withdrawn.Store(test.withdrawn)
-		answer := askStager(s, test.report)
-		if answer.Granted() != test.granted || answer.Load().Busy() != (test.withdrawn || test.report.Busy) {
+		s := testStager(test.report)
+		s.draining.Store(test.draining)
+		answer := requestReservation(s, test.report)
+		if answer.Granted() != test.granted || answer.Load().Busy() != (test.draining || test.report.Busy) {
 			t.Errorf("%s: granted %t, busy %t", test.name, answer.Granted(), answer.Load().Busy())
 		}
 	}
@@ -44,8 +44,8 @@
 
 // One look at the engine answers whoever asks at the same moment, and a look that
 // failed answers nobody.
-func TestOneLookAnswersSeveralQuestions(t *testing.T) {
-	var o lookout
+func TestReportCacheServesConcurrentReservations(t *testing.T) {
+	var o reportCache
 	looks := 0
 	look := func(context.Context) (Report, error) {
 		looks++
@@ -55,12 +55,12 @@
 		return Report{Running: looks}, nil
 	}
 	r, err := o.recent(t.Context(), look)
-	o.at = o.at.Add(time.Hour)
+	o.readAt = o.readAt.Add(time.Hour)
 	again, errAgain := o.recent(t.Context(), look)
 	if err != nil || errAgain != nil || r.Running != 1 || again.Running != 1 || looks != 1 {
 		t.Fatalf("%d looks: %+v, %v and %+v, %v", looks, r, err, again, errAgain)
 	}
-	o.at = time.Time{}
+	o.readAt = time.Time{}
 	if _, err := o.recent(t.Context(), look); err == nil {
 		t.Fatal("a look that failed was answered from an old one")
 	}
--- a/pkg/staging/serve.go
+++ b/pkg/staging/serve.go
@@ -23,128 +23,128 @@
 )
 
 const (
-	// firstTurn and lastTurn are the shares of the agreed time within which
+	// firstOrderShare and lastTurn are the shares of the agreed time within which
 	// the orders are given.
-	firstTurn = 0.38
-	lastTurn  = 0.88
-	// obeyWithin is how long an order is waited for before it is given again.
-	obeyWithin = 6 * time.Second
+	firstOrderShare = 0.38
+	lastOrderShare  = 0.88
+	// orderTimeout is how long an order is waited for before it is given again.
+	orderTimeout = 6 * time.Second
 )
 
-// serve has the engine serve a complete copy when it is its turn, and returns
+// activate has the engine serve a complete copy when it is its turn, and returns
 // when to look again. due is the version whose time ends first; the copy is of
 // that or of a later one.
-func (s *Stager) serve(ctx context.Context, c *weightsCopy, report Report, due feed.VersionInfo, service *serviceconfig.Service) time.Duration {
-	if s.laid != c {
-		if err := s.layDown(ctx, c); err != nil {
+func (s *Stager) activate(ctx context.Context, c *weightsCopy, report Report, due feed.VersionInfo, service *serviceconfig.Service) time.Duration {
+	if s.staged != c {
+		if err := s.stageChunks(ctx, c); err != nil {
 			_ = level.Warn(s.process.Logger).Log("msg", "chunks not laid down", "err", err)
-			return busyLook
+			return busyInterval
 		}
-		s.laid = c
+		s.staged = c
 	}
-	if wait := time.Until(s.turn(c, report, due)); wait > 0 {
-		return min(wait, idleLook)
+	if wait := time.Until(s.orderTime(c, report, due)); wait > 0 {
+		return min(wait, idleInterval)
 	}
 	if report.Running > 0 && service.Interruptible() {
-		running, end := s.withdraw(ctx, service.Engine().Slots())
+		running, end := s.drain(ctx, service.Engine().Slots())
 		defer end()
 		report.Running = running
 	}
-	if err := s.checkLaidDown(ctx, c); err != nil {
+	if err := s.verifyStagedChunks(ctx, c); err != nil {
 		_ = level.Warn(s.process.Logger).Log("msg", "chunks not checked", "err", err)
-		return busyLook
+		return busyInterval
 	}
-	s.order(ctx, c, report, due, service.Interruptible())
-	return busyLook
+	s.sendOrder(ctx, c, report, due, service.Interruptible())
+	return busyInterval
 }
 
-// order gives the order and waits until it is obeyed. Its fencing token is the
+// sendOrder gives the order and waits until it is obeyed. Its fencing token is the
 // version: the control nodes agree on versions and they only rise, so whoever
 // orders an older one, for instance a stager that was cut off, is refused. cuts has
 // the engine cut what still runs, which must be able to go on elsewhere.
-func (s *Stager) order(ctx context.Context, c *weightsCopy, report Report, due feed.VersionInfo, cuts bool) {
+func (s *Stager) sendOrder(ctx context.Context, c *weightsCopy, report Report, due feed.VersionInfo, cuts bool) {
 	version := c.manifest.version
-	order := Order{Model: c.manifest.model, Version: version, Sequence: report.Sequence, Fence: version, Cuts: cuts}
-	err := s.protocol.Start(ctx, s.settings.Engine(), order)
+	order := Order{Model: c.manifest.model, Version: version, Sequence: report.Sequence, Fence: version, Interrupts: cuts}
+	err := s.protocol.SendOrder(ctx, s.settings.Engine(), order)
 	_ = level.Info(s.process.Logger).Log("msg", "order given", "model", order.Model, "version", version, "due", due.Version(),
 		"sequence", order.Sequence, "running", report.Running, "since_named_ms", sinceNamed(due), "err", err)
 	switch {
 	case err == nil:
-		s.awaitObeyed(ctx, order)
+		s.awaitOrder(ctx, order)
 	case failure.Is(err, failure.StaleOrder):
-		s.outranked = outranking{order.Fence, report.Sequence, report.Born}
+		s.refusedFence = refusedFence{order.Fence, report.Sequence, report.Started}
 	}
 }
 
-// outranking is a fencing token that was refused for a higher one, how many orders the
+// refusedFence is a fencing token that was refused for a higher one, how many orders the
 // engine had taken by then, and when it had started. The zero value is none.
-type outranking struct {
+type refusedFence struct {
 	fence    uint64
 	sequence uint64
-	born     uint64
+	started  uint64
 }
 
-// forbids tells whether an order with a token is not to be given again. An
+// blocks tells whether an order with a token is not to be given again. An
 // engine that started anew has forgotten its tokens and counts orders anew.
-func (o outranking) forbids(fence uint64, report Report) bool {
-	return fence <= o.fence && report.Sequence >= o.sequence && report.Born == o.born
+func (o refusedFence) blocks(fence uint64, report Report) bool {
+	return fence <= o.fence && report.Sequence >= o.sequence && report.Started == o.started
 }
 
-// layDown lays every chunk down beside the engine.
-func (s *Stager) layDown(ctx context.Context, c *weightsCopy) error {
+// stageChunks lays every chunk down beside the engine.
+func (s *Stager) stageChunks(ctx context.Context, c *weightsCopy) error {
 	for number := range c.manifest.digests {
-		if err := s.put(ctx, c, number); err != nil {
+		if err := s.stageChunk(ctx, c, number); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (s *Stager) put(ctx context.Context, c *weightsCopy, number int) error {
+func (s *Stager) stageChunk(ctx context.Context, c *weightsCopy, number int) error {
 	ctx, cancel := context.WithTimeout(ctx, engineTimeout)
 	defer cancel()
 	return s.protocol.Put(ctx, s.settings.Engine(), c.manifest.model, number, c.get(number))
 }
 
-// checkLaidDown reads every chunk back and lays those down again that have
+// verifyStagedChunks reads every chunk back and lays those down again that have
 // turned bad.
-func (s *Stager) checkLaidDown(ctx context.Context, c *weightsCopy) error {
+func (s *Stager) verifyStagedChunks(ctx context.Context, c *weightsCopy) error {
 	for number, digest := range c.manifest.digests {
-		data, err := s.readBack(ctx, c.manifest.model, number)
+		data, err := s.readStagedChunk(ctx, c.manifest.model, number)
 		if err == nil && digestOf(data) == digest {
 			continue
 		}
 		_ = level.Warn(s.process.Logger).Log("msg", "chunk turned bad beside the engine", "chunk", number, "err", err)
-		s.metrics.chunks.WithLabelValues(string(sourceSpoilt)).Inc()
-		if err := s.put(ctx, c, number); err != nil {
+		s.metrics.chunks.WithLabelValues(string(sourceCorrupt)).Inc()
+		if err := s.stageChunk(ctx, c, number); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (s *Stager) readBack(ctx context.Context, model string, number int) ([]byte, error) {
+func (s *Stager) readStagedChunk(ctx context.Context, model string, number int) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, engineTimeout)
 	defer cancel()
 	return s.protocol.Get(ctx, s.settings.Engine(), model, number)
 }
 
-// turn returns when it is this engine's turn: spread over what is left, from
+// orderTime returns when it is this engine's turn: spread over what is left, from
 // when the copy came, of the time within which the orders are given. An engine
 // that serves nothing has no work to stop, so its turn is at once.
-func (s *Stager) turn(c *weightsCopy, report Report, due feed.VersionInfo) time.Time {
+func (s *Stager) orderTime(c *weightsCopy, report Report, due feed.VersionInfo) time.Time {
 	if len(report.Holdings) == 0 || due.Since().IsZero() {
 		return time.Time{}
 	}
-	order := s.turnOrder(c.manifest.model)
+	order := s.rolloutOrder(c.manifest.model)
 	position := slices.Index(order, s.process.Identity.Address())
-	return turnAt(position, len(order), due.Since(), s.settings.Within(), c.completedAt())
+	return orderTimeAt(position, len(order), due.Since(), s.settings.Within(), c.completedAt())
 }
 
-// turnAt returns the turn of one of several engines.
-func turnAt(position, engines int, named time.Time, within time.Duration, complete time.Time) time.Time {
-	first := named.Add(time.Duration(firstTurn * float64(within)))
-	last := named.Add(time.Duration(lastTurn * float64(within)))
+// orderTimeAt returns the turn of one of several engines.
+func orderTimeAt(position, engines int, named time.Time, within time.Duration, complete time.Time) time.Time {
+	first := named.Add(time.Duration(firstOrderShare * float64(within)))
+	last := named.Add(time.Duration(lastOrderShare * float64(within)))
 	if complete.After(first) {
 		first = complete
 	}
@@ -154,9 +154,9 @@
 	return first.Add(last.Sub(first) * time.Duration(position) / time.Duration(engines-1))
 }
 
-// turnOrder returns the stagers of a model in an order that goes over the
+// rolloutOrder returns the stagers of a model in an order that goes over the
 // failure domains in turn.
-func (m *Member) turnOrder(model string) []string {
+func (m *Member) rolloutOrder(model string) []string {
 	domains, caches := m.members(model)
 	for address := range caches {
 		delete(domains, address)
@@ -172,12 +172,12 @@
 	return order
 }
 
-// awaitObeyed waits until the engine serves what was ordered.
-func (s *Stager) awaitObeyed(ctx context.Context, o Order) {
-	until := time.Now().Add(obeyWithin)
+// awaitOrder waits until the engine serves what was ordered.
+func (s *Stager) awaitOrder(ctx context.Context, o Order) {
+	until := time.Now().Add(orderTimeout)
 	for ctx.Err() == nil && time.Now().Before(until) {
 		report, err := s.report(ctx)
-		if err != nil || wholeVersion(report.Holdings, o.Model, 0) == o.Version && !report.Busy {
+		if err != nil || completeVersion(report.Holdings, o.Model, 0) == o.Version && !report.Busy {
 			return
 		}
 		if !report.Busy && report.Sequence == o.Sequence {
@@ -185,7 +185,7 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(busyLook):
+		case <-time.After(busyInterval):
 		}
 	}
 }
--- a/pkg/staging/silence_test.go
+++ b/pkg/staging/silence_test.go
@@ -22,9 +22,9 @@
 // a member that does not answer was taken for dead, though only the link was. What
 // proved it: where no ping finds the link out, the chunk comes only if the question is
 // put again over another one.
-func TestChunkIsAskedForAgainOverAnotherLink(t *testing.T) {
+func TestFetchRetriesOverReplacementLink(t *testing.T) {
 	data := []byte("a chunk")
-	_, holder := endpointOf(t, func(question) reply { return reply{data: data} })
+	_, holder := startEndpoint(t, func(chunkQuery) chunkReply { return chunkReply{data: data} })
 	var links silenced.Conns
 	own := link.NewEndpoint(link.Config{
 		Own: vm.NewIdentity("s", 1, "", "a", "s:1"), Clock: event.NewClock(time.Now), Logger: log.NewNopLogger(),
@@ -36,8 +36,8 @@
 		process: &daemon.Process{
 			Endpoint: own, Logger: log.NewNopLogger(), Identity: vm.NewIdentity("s", 1, "", "a", "s:1"),
 		},
-		follower: &feed.Follower{}, registry: registry.NewTable(nil), failing: newFailingPeers(),
-		metrics: newMetrics(prometheus.NewRegistry()), underWay: map[fetchKey]bool{},
+		follower: &feed.Follower{}, registry: registry.NewTable(nil), peerFailures: newPeerFailures(),
+		metrics: newMetrics(prometheus.NewRegistry()), fetches: map[fetchKey]bool{},
 	}
 	c := newCopy(Manifest{model: "menu", version: 2, digests: []string{digestOf(data), digestOf(data)}})
 	if answered := m.fetch(t.Context(), c, holder, 0); !answered || c.get(0) == nil {
@@ -47,7 +47,7 @@
 	if answered := m.fetch(t.Context(), c, holder, 1); !answered || c.get(1) == nil {
 		t.Error("the chunk did not come over another link")
 	}
-	if m.failing.rests(holder) {
+	if m.peerFailures.isUnavailable(holder) {
 		t.Error("a member that is well is left alone")
 	}
 }
--- a/pkg/staging/stager.go
+++ b/pkg/staging/stager.go
@@ -27,15 +27,15 @@
 )
 
 const (
-	// idleLook is the time between looks at an engine that serves what is
+	// idleInterval is the time between looks at an engine that serves what is
 	// named, and busyLook at one that does not.
-	idleLook = time.Second
-	busyLook = 100 * time.Millisecond
+	idleInterval = time.Second
+	busyInterval = 100 * time.Millisecond
 	// engineTimeout bounds a call of the engine.
 	engineTimeout = 2 * time.Second
-	// stagerUploads bounds the chunks on their way to others at one time: the
+	// maxStagerUploads bounds the chunks on their way to others at one time: the
 	// link is the engine's too.
-	stagerUploads = 2
+	maxStagerUploads = 2
 	// goMemoryShare of the process's memory is the collector's limit.
 	goMemoryShare = 0.6
 )
@@ -43,23 +43,23 @@
 // Stager is one stager process: a member with an engine beside it.
 type Stager struct {
 	*Member
-	settings settings.Staging
-	seeds    *daemon.Reloaded[[]string]
-	served   atomic.Uint64 // the version that the engine served last
+	settings      settings.Staging
+	seeds         *daemon.Reloaded[[]string]
+	servedVersion atomic.Uint64 // the version that the engine served last
 	// ready is the newest complete copy, gathering the version that is being
 	// gathered, and laid the copy whose chunks lie beside the engine.
-	ready     atomic.Pointer[weightsCopy]
-	gathering atomic.Uint64
-	laid      *weightsCopy
-	outranked outranking // the last order that was refused for its token
-	// withdrawn says that the engine takes nothing new although it has no order
+	ready        atomic.Pointer[weightsCopy]
+	downloading  atomic.Uint64
+	staged       *weightsCopy
+	refusedFence refusedFence // the last order that was refused for its token
+	// draining says that the engine takes nothing new although it has no order
 	// yet, and tell has its load told at once.
-	withdrawn  atomic.Bool
-	tell       chan struct{}
-	suspension *suspension.Watch
-	// lookout and book answer gateways that ask for places.
-	lookout lookout
-	book    reservation.Book
+	draining    atomic.Bool
+	loadChanged chan struct{}
+	suspension  *suspension.Watch
+	// reportCache and book answer gateways that ask for places.
+	reportCache  reportCache
+	reservations reservation.Book
 }
 
 // New returns a stager that is not running yet. path is its settings file,
@@ -70,20 +70,20 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Stager{settings: c, tell: make(chan struct{}, 1), suspension: suspension.New()}
+	s := &Stager{settings: c, loadChanged: make(chan struct{}, 1), suspension: suspension.New()}
 	s.seeds = daemon.NewSeeds(path, c, settings.LoadStaging, process.Logger)
 	hello := feed.NewHello(feed.RoleStager, process.Identity, c.Service(), c.Engine(), nil, false)
 	seeds := func() []string { return link.WithPortOf(s.seeds.Get(), process.Identity.Address()) }
-	s.Member = newMember(process, protocol, hello, seeds, stagerUploads)
-	s.within = c.Within()
+	s.Member = newMember(process, protocol, hello, seeds, maxStagerUploads)
+	s.rolloutLimit = c.Within()
 	s.suspension.OnResume(s.versions.AddSuspension)
 	s.suspension.OnResume(process.LogSuspension)
 	process.Endpoint.Handle(link.KindReserve, s.serveReservation)
-	s.beside = beside{
-		address: c.Engine(),
-		holds:   func(version uint64) bool { return s.served.Load() == version },
-		serves:  func() bool { return s.served.Load() > 0 },
-		read:    s.readBack,
+	s.stagingArea = engineStagingArea{
+		address:   c.Engine(),
+		isServed:  func(version uint64) bool { return s.servedVersion.Load() == version },
+		isServing: func() bool { return s.servedVersion.Load() > 0 },
+		readChunk: s.readStagedChunk,
 	}
 	return s, nil
 }
@@ -94,7 +94,7 @@
 	defer cancel()
 	defer s.process.Endpoint.Close()
 	defer s.notices.Close()
-	s.running = ctx
+	s.runContext = ctx
 	s.process.LogStart()
 	var group run.Group
 	add := func(f func(context.Context) error) {
@@ -107,93 +107,93 @@
 	add(s.follower.Run)
 	add(s.seeds.Run)
 	add(s.suspension.Run)
-	add(s.loop)
-	add(s.tellLoads)
+	add(s.reconcileLoop)
+	add(s.reportLoads)
 	add(func(ctx context.Context) error { return daemon.WaitSignal(ctx, signals) })
 	err := group.Run()
 	s.process.LogStop(err)
 	return err
 }
 
-// loop looks at the engine and closes the gap to what is named.
-func (s *Stager) loop(ctx context.Context) error {
+// reconcileLoop looks at the engine and closes the gap to what is named.
+func (s *Stager) reconcileLoop(ctx context.Context) error {
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
 		case <-s.wake:
-		case <-time.After(s.look(ctx)):
+		case <-time.After(s.reconcile(ctx)):
 		}
 	}
 	return nil
 }
 
-// look does one step and returns when to look again.
-func (s *Stager) look(ctx context.Context) time.Duration {
+// reconcile does one step and returns when to look again.
+func (s *Stager) reconcile(ctx context.Context) time.Duration {
 	model, service, ok := s.model()
 	if !ok {
-		return busyLook
+		return busyInterval
 	}
 	report, err := s.report(ctx)
 	if err != nil {
 		// The engine is down; it will hold nothing when it is back.
-		return idleLook
+		return idleInterval
 	}
 	want := s.wanted(model)
-	serves := wholeVersion(report.Holdings, model, max(service.Engine().Layers(), 1))
+	serves := completeVersion(report.Holdings, model, max(service.Engine().Layers(), 1))
 	s.metrics.version.Set(float64(serves))
-	s.served.Store(serves)
+	s.servedVersion.Store(serves)
 	if serves >= want.Version() {
-		return idleLook
+		return idleInterval
 	}
-	s.gatherSoon(ctx, model, s.target(model, serves))
+	s.startDownload(ctx, model, s.target(model, serves))
 	c := s.ready.Load()
 	if c == nil || c.manifest.model != model || c.manifest.version <= serves || report.Busy {
-		return busyLook
+		return busyInterval
 	}
-	if s.outranked.forbids(c.manifest.version, report) {
-		return idleLook
+	if s.refusedFence.blocks(c.manifest.version, report) {
+		return idleInterval
 	}
-	return s.serve(ctx, c, report, s.nextDue(model, serves), service)
+	return s.activate(ctx, c, report, s.nextDue(model, serves), service)
 }
 
-// gatherSoon gathers a version beside the work of the loop: an earlier one that
+// startDownload gathers a version beside the work of the loop: an earlier one that
 // is complete may be due before it.
-func (s *Stager) gatherSoon(ctx context.Context, model string, want feed.VersionInfo) {
+func (s *Stager) startDownload(ctx context.Context, model string, want feed.VersionInfo) {
 	if c := s.ready.Load(); c != nil && c.manifest.model == model && c.manifest.version >= want.Version() {
 		return
 	}
-	if s.gathering.Swap(want.Version()) == want.Version() {
+	if s.downloading.Swap(want.Version()) == want.Version() {
 		return
 	}
-	s.tellSoon()
+	s.reportLoadNow()
 	go func() {
-		c, err := s.obtain(ctx, model, want, s.served.Load)
+		c, err := s.obtain(ctx, model, want, s.servedVersion.Load)
 		if err != nil {
 			_ = level.Info(s.process.Logger).Log("msg", "manifest not found", "model", model, "version", want.Version(), "err", err)
 		}
 		if c != nil {
-			s.isReady(c)
+			s.setReady(c)
 		}
-		s.gathering.CompareAndSwap(want.Version(), 0)
+		s.downloading.CompareAndSwap(want.Version(), 0)
 	}()
 }
 
-// isReady notes a complete copy, unless a later one is.
-func (s *Stager) isReady(c *weightsCopy) {
+// setReady notes a complete copy, unless a later one is.
+func (s *Stager) setReady(c *weightsCopy) {
 	for {
 		before := s.ready.Load()
 		if before != nil && before.manifest.model == c.manifest.model && before.manifest.version >= c.manifest.version {
 			return
 		}
 		if s.ready.CompareAndSwap(before, c) {
-			s.awake()
+			s.wakeLoop()
 			return
 		}
 	}
 }
 
 // isExchanging tells whether chunks come or go over the VM's link.
-func (s *Stager) isExchanging() bool { return s.gathering.Load() != 0 || len(s.uploads) > 0 }
+func (s *Stager) isExchanging() bool { return s.downloading.Load() != 0 || len(s.uploads) > 0 }
 
 func (s *Stager) report(ctx context.Context) (Report, error) {
 	ctx, cancel := context.WithTimeout(ctx, engineTimeout)
@@ -201,7 +201,7 @@
 	return s.protocol.ReadReport(ctx, s.settings.Engine())
 }
 
-func wholeVersion(holdings []registry.Holding, model string, layers int) uint64 {
+func completeVersion(holdings []registry.Holding, model string, layers int) uint64 {
 	return registry.NewRegistration("", "", "", "", "", 0, registry.Ready, 0, holdings, 0, 0).Version(model, layers)
 }
 
--- a/pkg/staging/target.go
+++ b/pkg/staging/target.go
@@ -22,12 +22,12 @@
 	"github.com/tidepost/tidepost/pkg/feed"
 )
 
-// stallAfter is how long no chunk of the newest version came when it counts as
+// stallTimeout is how long no chunk of the newest version came when it counts as
 // not to be had. Chunks come 26 ms apart over the origin's link.
-const stallAfter = 700 * time.Millisecond
+const stallTimeout = 700 * time.Millisecond
 
-// nearlyPart is the part of its chunks that a copy may lack to be finished first.
-const nearlyPart = 10
+// missingDivisor is the part of its chunks that a copy may lack to be finished first.
+const missingDivisor = 10
 
 // target returns the version to gather where a version is held or served.
 func (m *Member) target(model string, held uint64) feed.VersionInfo {
@@ -38,60 +38,60 @@
 	now := time.Now()
 	c := m.copyOf(model, due.Version())
 	switch {
-	case c == nil && m.stalls(model, newest, now):
+	case c == nil && m.isStalled(model, newest, now):
 		return due
 	case c == nil || c.isComplete():
 		return newest
-	case c.isNearlyComplete() && !c.stalls(now):
+	case c.isNearlyComplete() && !c.isStalled(now):
 		return due
-	case !m.stalls(model, newest, now):
+	case !m.isStalled(model, newest, now):
 		return newest
-	case !c.stalls(now):
+	case !c.isStalled(now):
 		return due
-	case c.isNearlyComplete() && isDuesTurn(now):
+	case c.isNearlyComplete() && isDueVersionPreferred(now):
 		return due
 	}
 	return newest
 }
 
-// isDuesTurn tells which of two versions is tried while neither comes: the one
+// isDueVersionPreferred tells which of two versions is tried while neither comes: the one
 // that is nearly complete three times of four, and the newest, since the origin
 // may hand out no other.
-func isDuesTurn(now time.Time) bool { return now.UnixNano()/int64(stallAfter)%4 != 0 }
+func isDueVersionPreferred(now time.Time) bool { return now.UnixNano()/int64(stallTimeout)%4 != 0 }
 
 // isNearlyComplete tells whether so little is missing that it is worth having
 // before the next version: it keeps that one away for a quarter of a second.
-func (c *weightsCopy) isNearlyComplete() bool { return nearlyPart*len(c.absent()) <= len(c.chunks) }
+func (c *weightsCopy) isNearlyComplete() bool { return missingDivisor*len(c.absent()) <= len(c.chunks) }
 
-// stalls tells whether the rest of a version is nowhere to be had just now. One of
+// isStalled tells whether the rest of a version is nowhere to be had just now. One of
 // which nothing is here has been tried since it was heard of, and not since it was
 // named: a member that has just started would take any for one that stalls.
-func (m *Member) stalls(model string, n feed.VersionInfo, now time.Time) bool {
+func (m *Member) isStalled(model string, n feed.VersionInfo, now time.Time) bool {
 	c := m.copyOf(model, n.Version())
 	if c == nil {
-		return now.Sub(n.FirstSeen()) > stallAfter
+		return now.Sub(n.FirstSeen()) > stallTimeout
 	}
-	return c.stalls(now)
+	return c.isStalled(now)
 }
 
-// stalls tells whether no chunk came lately and nobody is known to have one of
+// isStalled tells whether no chunk came lately and nobody is known to have one of
 // those that are not here.
-func (c *weightsCopy) stalls(now time.Time) bool {
-	if c.isComplete() || c.restedFor(now) <= stallAfter {
+func (c *weightsCopy) isStalled(now time.Time) bool {
+	if c.isComplete() || c.timeSinceLastChunk(now) <= stallTimeout {
 		return false
 	}
 	for _, number := range c.absent() {
-		if len(c.knownAt(number)) > 0 {
+		if len(c.holdersOf(number)) > 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// cancelWhenRetargeted ends the gathering of a version, which is ctx, by cancel
+// cancelOnNewTarget ends the gathering of a version, which is ctx, by cancel
 // when another one is to be gathered.
-func (m *Member) cancelWhenRetargeted(ctx context.Context, cancel context.CancelFunc, model string, version uint64, held func() uint64) {
-	_ = daemon.Every(ctx, busyLook, func() {
+func (m *Member) cancelOnNewTarget(ctx context.Context, cancel context.CancelFunc, model string, version uint64, held func() uint64) {
+	_ = daemon.Every(ctx, busyInterval, func() {
 		if m.target(model, held()).Version() != version {
 			cancel()
 		}
--- a/pkg/staging/wire_generated.go
+++ b/pkg/staging/wire_generated.go
@@ -48,26 +48,26 @@
 	return nil
 }
 
-// newNotice returns a notice with the given fields.
-func newNotice(model string, version uint64, held []byte) notice {
-	return notice{model: model, version: version, held: held}
+// newChunkQuery returns a chunkQuery with the given fields.
+func newChunkQuery(model string, version uint64, number int, fetchIfMissing bool, heldBits []byte) chunkQuery {
+	return chunkQuery{model: model, version: version, number: number, fetchIfMissing: fetchIfMissing, heldBits: heldBits}
 }
 
 // EncodeMsgpack writes the fields in order, as one array.
-func (n notice) EncodeMsgpack(enc *msgpack.Encoder) error {
-	if err := enc.EncodeArrayLen(3); err != nil {
+func (c chunkQuery) EncodeMsgpack(enc *msgpack.Encoder) error {
+	if err := enc.EncodeArrayLen(5); err != nil {
 		return err
 	}
-	return enc.EncodeMulti(n.model, n.version, n.held)
+	return enc.EncodeMulti(c.model, c.version, c.number, c.fetchIfMissing, c.heldBits)
 }
 
 // DecodeMsgpack reads what EncodeMsgpack wrote, of this version or another.
-func (n *notice) DecodeMsgpack(dec *msgpack.Decoder) error {
+func (c *chunkQuery) DecodeMsgpack(dec *msgpack.Decoder) error {
 	count, err := dec.DecodeArrayLen()
 	if err != nil {
 		return err
 	}
-	fields := []any{&n.model, &n.version, &n.held}
+	fields := []any{&c.model, &c.version, &c.number, &c.fetchIfMissing, &c.heldBits}
 	for i := 0; i < count; i++ {
 		if i >= len(fields) {
 			err = dec.Skip()
@@ -81,26 +81,26 @@
 	return nil
 }
 
-// newQuestion returns a question with the given fields.
-func newQuestion(model string, version uint64, number int, draw bool, held []byte) question {
-	return question{model: model, version: version, number: number, draw: draw, held: held}
+// newChunkReply returns a chunkReply with the given fields.
+func newChunkReply(manifest *Manifest, data []byte, heldBits []byte, holders []string) chunkReply {
+	return chunkReply{manifest: manifest, data: data, heldBits: heldBits, holders: holders}
 }
 
 // EncodeMsgpack writes the fields in order, as one array.
-func (q question) EncodeMsgpack(enc *msgpack.Encoder) error {
-	if err := enc.EncodeArrayLen(5); err != nil {
+func (c chunkReply) EncodeMsgpack(enc *msgpack.Encoder) error {
+	if err := enc.EncodeArrayLen(4); err != nil {
 		return err
 	}
-	return enc.EncodeMulti(q.model, q.version, q.number, q.draw, q.held)
+	return enc.EncodeMulti(c.manifest, c.data, c.heldBits, c.holders)
 }
 
 // DecodeMsgpack reads what EncodeMsgpack wrote, of this version or another.
-func (q *question) DecodeMsgpack(dec *msgpack.Decoder) error {
+func (c *chunkReply) DecodeMsgpack(dec *msgpack.Decoder) error {
 	count, err := dec.DecodeArrayLen()
 	if err != nil {
 		return err
 	}
-	fields := []any{&q.model, &q.version, &q.number, &q.draw, &q.held}
+	fields := []any{&c.manifest, &c.data, &c.heldBits, &c.holders}
 	for i := 0; i < count; i++ {
 		if i >= len(fields) {
 			err = dec.Skip()
@@ -114,26 +114,26 @@
 	return nil
 }
 
-// newReply returns a reply with the given fields.
-func newReply(manifest *Manifest, data []byte, held []byte, holders []string) reply {
-	return reply{manifest: manifest, data: data, held: held, holders: holders}
+// newNotice returns a notice with the given fields.
+func newNotice(model string, version uint64, heldBits []byte) notice {
+	return notice{model: model, version: version, heldBits: heldBits}
 }
 
 // EncodeMsgpack writes the fields in order, as one array.
-func (r reply) EncodeMsgpack(enc *msgpack.Encoder) error {
-	if err := enc.EncodeArrayLen(4); err != nil {
+func (n notice) EncodeMsgpack(enc *msgpack.Encoder) error {
+	if err := enc.EncodeArrayLen(3); err != nil {
 		return err
 	}
-	return enc.EncodeMulti(r.manifest, r.data, r.held, r.holders)
+	return enc.EncodeMulti(n.model, n.version, n.heldBits)
 }
 
 // DecodeMsgpack reads what EncodeMsgpack wrote, of this version or another.
-func (r *reply) DecodeMsgpack(dec *msgpack.Decoder) error {
+func (n *notice) DecodeMsgpack(dec *msgpack.Decoder) error {
 	count, err := dec.DecodeArrayLen()
 	if err != nil {
 		return err
 	}
-	fields := []any{&r.manifest, &r.data, &r.held, &r.holders}
+	fields := []any{&n.model, &n.version, &n.heldBits}
 	for i := 0; i < count; i++ {
 		if i >= len(fields) {
 			err = dec.Skip()
--- a/pkg/staging/withdraw.go
+++ b/pkg/staging/withdraw.go
@@ -29,23 +29,23 @@
 )
 
 const (
-	// withdrawWithin is the longest that an engine takes nothing new before its order:
+	// drainTimeout is the longest that an engine takes nothing new before its order:
 	// most of what runs on a full engine ends within it, also where answers are long.
-	withdrawWithin = 3 * time.Second
-	// cutShare of the engine's places may be taken when the order cuts what runs.
-	cutShare = 0.2
-	// withdrawLook is the time between looks at what still runs.
-	withdrawLook = 40 * time.Millisecond
+	drainTimeout = 3 * time.Second
+	// maxInterruptedShare of the engine's places may be taken when the order cuts what runs.
+	maxInterruptedShare = 0.2
+	// drainPollInterval is the time between looks at what still runs.
+	drainPollInterval = 40 * time.Millisecond
 )
 
-// withdraw has the gateways send nothing new here, and returns when few
+// drain has the gateways send nothing new here, and returns when few
 // requests run or the time is over. The returned function ends it.
-func (s *Stager) withdraw(ctx context.Context, slots int) (running int, end func()) {
-	s.withdrawn.Store(true)
-	s.tellSoon()
+func (s *Stager) drain(ctx context.Context, slots int) (running int, end func()) {
+	s.draining.Store(true)
+	s.reportLoadNow()
 	end = func() {
-		s.withdrawn.Store(false)
-		s.tellSoon()
+		s.draining.Store(false)
+		s.reportLoadNow()
 	}
 	began := time.Now()
 	for {
@@ -55,23 +55,23 @@
 			return 0, end
 		}
 		running = report.Running + report.Queued
-		if mayOrder(running, slots, time.Since(began)) {
+		if isDrained(running, slots, time.Since(began)) {
 			return running, end
 		}
 		select {
 		case <-ctx.Done():
 			return running, end
-		case <-time.After(withdrawLook):
+		case <-time.After(drainPollInterval):
 		}
 	}
 }
 
-// mayOrder tells whether an engine that has taken nothing new for so long gets its order.
-func mayOrder(running, slots int, waited time.Duration) bool {
-	return running <= int(cutShare*float64(slots)) || waited > withdrawWithin
+// isDrained tells whether an engine that has taken nothing new for so long gets its order.
+func isDrained(running, slots int, waited time.Duration) bool {
+	return running <= int(maxInterruptedShare*float64(slots)) || waited > drainTimeout
 }
 
-// tellSoon has the load told at once.
-func (s *Stager) tellSoon() {
-	daemon.Wake(s.tell)
+// reportLoadNow has the load told at once.
+func (s *Stager) reportLoadNow() {
+	daemon.Wake(s.loadChanged)
 }
--- a/pkg/weights/copy.go
+++ b/pkg/weights/copy.go
@@ -18,12 +18,12 @@
 	return filepath.Join(c.folder, c.digest.String()+suffix)
 }
 
-func (c *Copy) matches(i int, data []byte) bool {
+func (c *Copy) matchesDigest(i int, data []byte) bool {
 	return contract.DigestOf(data) == c.manifest.Chunks()[i]
 }
 
 // Path returns where the whole copy lies.
-func (c *Copy) Path() string { return c.path(wholeSuffix) }
+func (c *Copy) Path() string { return c.path(completeSuffix) }
 
 // Manifest returns the manifest of the copy.
 func (c *Copy) Manifest() contract.Manifest { return c.manifest }
@@ -33,15 +33,15 @@
 
 // open reads what the disk holds, whole or partial.
 func (c *Copy) open() error {
-	if f, err := os.OpenFile(c.path(wholeSuffix), os.O_RDWR, fileMode); err == nil {
+	if f, err := os.OpenFile(c.path(completeSuffix), os.O_RDWR, fileMode); err == nil {
 		c.file = f
 		c.verifyAll()
-		c.whole = c.held.Full()
-		if c.whole {
+		c.complete = c.held.Full()
+		if c.complete {
 			return nil
 		}
 		// The disk damaged what was whole: what still verifies is kept.
-		if err := os.Rename(c.path(wholeSuffix), c.path(partialSuffix)); err != nil {
+		if err := os.Rename(c.path(completeSuffix), c.path(partialSuffix)); err != nil {
 			return failure.New(failure.DiskFailed, "rename damaged copy: %v", err)
 		}
 		return nil
@@ -128,11 +128,11 @@
 	return data, nil
 }
 
-// Whole tells whether the copy is complete and renamed into place.
-func (c *Copy) Whole() bool {
+// IsComplete tells whether the copy is complete and renamed into place.
+func (c *Copy) IsComplete() bool {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
-	return c.whole
+	return c.complete
 }
 
 // Complete syncs a full copy and renames it into place. Every chunk is read
@@ -140,7 +140,7 @@
 func (c *Copy) Complete() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.whole {
+	if c.complete {
 		return nil
 	}
 	if !c.held.Full() {
@@ -152,13 +152,13 @@
 	if err := c.dropDamaged(); err != nil {
 		return err
 	}
-	if err := os.Rename(c.path(partialSuffix), c.path(wholeSuffix)); err != nil {
+	if err := os.Rename(c.path(partialSuffix), c.path(completeSuffix)); err != nil {
 		return failure.New(failure.DiskFailed, "rename %s: %v", c.digest.Short(), err)
 	}
 	if err := syncFolder(c.folder); err != nil {
 		return err
 	}
-	c.whole = true
+	c.complete = true
 	return nil
 }
 
@@ -184,9 +184,9 @@
 	if c.file != nil {
 		_ = c.file.Close()
 	}
-	c.whole = false
+	c.complete = false
 	c.held = spread.NewBitmap(c.held.Total())
-	for _, suffix := range []string{partialSuffix, wholeSuffix} {
+	for _, suffix := range []string{partialSuffix, completeSuffix} {
 		if err := os.Remove(c.path(suffix)); err != nil && !os.IsNotExist(err) {
 			return failure.New(failure.DiskFailed, "remove %s: %v", c.digest.Short(), err)
 		}
--- a/pkg/weights/store.go
+++ b/pkg/weights/store.go
@@ -24,10 +24,10 @@
 )
 
 const (
-	partialSuffix = ".partial"
-	wholeSuffix   = ".weights"
-	folderMode    = 0o750
-	fileMode      = 0o640
+	partialSuffix  = ".partial"
+	completeSuffix = ".weights"
+	folderMode     = 0o750
+	fileMode       = 0o640
 )
 
 // Store holds the copies of one VM.
@@ -49,10 +49,10 @@
 	// verify checks bytes against the digest of a chunk.
 	verify func(i int, data []byte) bool
 
-	mu    sync.RWMutex
-	file  *os.File
-	held  spread.Bitmap
-	whole bool
+	mu       sync.RWMutex
+	file     *os.File
+	held     spread.Bitmap
+	complete bool
 }
 
 // NewStore opens the folder of copies.
@@ -73,14 +73,14 @@
 		return c, nil
 	}
 	c := &Copy{manifest: m, digest: digest, folder: s.folder, held: spread.NewBitmap(len(m.Chunks()))}
-	c.verify = c.matches
+	c.verify = c.matchesDigest
 	if s.SkipVerify {
 		c.verify = func(int, []byte) bool { return true }
 	}
 	if err := c.open(); err != nil {
 		return nil, err
 	}
-	s.takeFromOthers(c)
+	s.copySharedChunks(c)
 	s.copies[digest] = c
 	return c, nil
 }
@@ -114,7 +114,7 @@
 	}
 	var digests []contract.Digest
 	for _, e := range entries {
-		name := strings.TrimSuffix(strings.TrimSuffix(e.Name(), partialSuffix), wholeSuffix)
+		name := strings.TrimSuffix(strings.TrimSuffix(e.Name(), partialSuffix), completeSuffix)
 		if d, err := contract.ParseDigest(name); err == nil && s.copies[d] == nil {
 			digests = append(digests, d)
 		}
@@ -128,10 +128,10 @@
 	return c.remove()
 }
 
-// takeFromOthers copies chunks that another open copy holds: a new version
+// copySharedChunks copies chunks that another open copy holds: a new version
 // that shares chunks with the old one, or an adapter beside its base.
-func (s *Store) takeFromOthers(c *Copy) {
-	if c.whole {
+func (s *Store) copySharedChunks(c *Copy) {
+	if c.complete {
 		return
 	}
 	wanted := map[contract.Digest][]int{}
--- a/pkg/weights/store_test.go
+++ b/pkg/weights/store_test.go
@@ -9,13 +9,13 @@
 	"github.com/tidepost/tidepost/pkg/failure"
 )
 
-const testChunk = 64
+const testChunkSize = 64
 
 // testData returns bytes in which each chunk differs.
 func testData(chunks int, salt byte) []byte {
-	data := make([]byte, chunks*testChunk-5)
+	data := make([]byte, chunks*testChunkSize-5)
 	for i := range data {
-		data[i] = byte(i/testChunk)*7 + byte(i%testChunk) + salt
+		data[i] = byte(i/testChunkSize)*7 + byte(i%testChunkSize) + salt
 	}
 	return data
 }
@@ -38,10 +38,10 @@
 	return s, c
 }
 
-func TestCopyResumesWithWhatVerifies(t *testing.T) {
+func TestCopyResumesWithVerifiedChunks(t *testing.T) {
 	folder := t.TempDir()
 	data := testData(6, 0)
-	m := contract.ManifestOf(data, testChunk)
+	m := contract.ManifestOf(data, testChunkSize)
 	_, c := openCopy(t, folder, m)
 	for _, i := range []int{0, 2, 5} {
 		if err := c.Write(i, chunkOf(m, data, i)); err != nil {
@@ -59,7 +59,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	raw[2*testChunk] ^= 1
+	raw[2*testChunkSize] ^= 1
 	if err := os.WriteFile(c.path(partialSuffix), raw, 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -70,10 +70,10 @@
 	}
 }
 
-func TestWholeCopyIsWhatTheManifestSays(t *testing.T) {
+func TestCompleteCopyMatchesTheManifest(t *testing.T) {
 	folder := t.TempDir()
 	data := testData(4, 0)
-	m := contract.ManifestOf(data, testChunk)
+	m := contract.ManifestOf(data, testChunkSize)
 	_, c := openCopy(t, folder, m)
 	for i := range m.Chunks() {
 		if err := c.Write(i, chunkOf(m, data, i)); err != nil {
@@ -93,17 +93,17 @@
 		t.Fatal(err)
 	}
 	_, again := openCopy(t, folder, m)
-	if again.Whole() || again.Held().Count() != 3 {
-		t.Errorf("a damaged copy is whole: %t, with %d chunks", again.Whole(), again.Held().Count())
+	if again.IsComplete() || again.Held().Count() != 3 {
+		t.Errorf("a damaged copy is whole: %t, with %d chunks", again.IsComplete(), again.Held().Count())
 	}
 }
 
-func TestNewVersionTakesSharedChunks(t *testing.T) {
+func TestNewVersionReusesSharedChunks(t *testing.T) {
 	folder := t.TempDir()
 	old := testData(4, 0)
 	changed := append([]byte(nil), old...)
-	changed[testChunk] ^= 1
-	m1, m2 := contract.ManifestOf(old, testChunk), contract.ManifestOf(changed, testChunk)
+	changed[testChunkSize] ^= 1
+	m1, m2 := contract.ManifestOf(old, testChunkSize), contract.ManifestOf(changed, testChunkSize)
 	s, c1 := openCopy(t, folder, m1)
 	for i := range m1.Chunks() {
 		if err := c1.Write(i, chunkOf(m1, old, i)); err != nil {
--- a/prove/backends_test.go
+++ b/prove/backends_test.go
@@ -100,7 +100,7 @@
 }
 
 func (m *modelEngine) engine() *engine.Engine {
-	return &engine.Engine{Give: m.give, Report: m.report, Send: m.send}
+	return &engine.Engine{SendOrder: m.give, ReadState: m.report, SendRequest: m.send}
 }
 
 // hold makes every answer wait for release, so that a VM that drains stays.
@@ -292,7 +292,7 @@
 }
 
 func (p *plainService) engine() *engine.Engine {
-	return &engine.Engine{Send: func(_ context.Context, r contract.Request) (*http.Response, error) {
+	return &engine.Engine{SendRequest: func(_ context.Context, r contract.Request) (*http.Response, error) {
 		p.mu.Lock()
 		mode := p.mode
 		p.mu.Unlock()
