--- a/bench/capacity_test.go
+++ b/bench/capacity_test.go
@@ -202,7 +202,7 @@
 		heap = append(heap, point{float64(n), float64(heapOf(func() any {
 			table := claim.NewTable()
 			for i := range n {
-				table.Take(contract.NewClaim("larder", fmt.Sprint("order-", i), fmt.Sprint("entry-1/", i), digest, 1<<62-1e18), 1)
+				table.Acquire(contract.NewClaim("larder", fmt.Sprint("order-", i), fmt.Sprint("entry-1/", i), digest, 1<<62-1e18), 1)
 			}
 			return table
 		})) / 1024})
--- a/bench/control_test.go
+++ b/bench/control_test.go
@@ -50,10 +50,10 @@
 	c := &logCluster{runners: map[controllog.MemberID]*controllog.Runner{}, cancel: cancel}
 	var first *controllog.Runner
 	for i := range voters {
-		self := controllog.NewVoter(vm.ID(fmt.Sprint("entry-", i)), uint64(i+1), fmt.Sprint(i), false, "")
+		self := controllog.NewMember(vm.ID(fmt.Sprint("entry-", i)), uint64(i+1), fmt.Sprint(i), false, "")
 		r := newRunner(t, filepath.Join(t.TempDir(), fmt.Sprint(i)), self, c.send, every)
 		c.mu.Lock()
-		c.runners[self.Member()] = r
+		c.runners[self.MemberID()] = r
 		c.mu.Unlock()
 		go func() { _ = r.Run(ctx) }()
 		if i == 0 {
@@ -63,12 +63,12 @@
 			}
 			continue
 		}
-		for first.AddVoter(ctx, self) != nil {
+		for first.AddMember(ctx, self) != nil {
 			time.Sleep(20 * time.Millisecond)
 		}
 		for promoted := false; !promoted; time.Sleep(20 * time.Millisecond) {
-			for _, v := range first.State().Voters {
-				promoted = promoted || v.Member() == self.Member() && !v.Learner()
+			for _, v := range first.State().Members {
+				promoted = promoted || v.MemberID() == self.MemberID() && !v.Learner()
 			}
 		}
 	}
@@ -81,7 +81,7 @@
 	return c, first
 }
 
-func newRunner(t *testing.T, path string, self controllog.Voter, send func(controllog.MemberID, string, controllog.Message), every uint64) *controllog.Runner {
+func newRunner(t *testing.T, path string, self controllog.Member, send func(controllog.MemberID, string, controllog.Message), every uint64) *controllog.Runner {
 	folder, err := disk.NewFolder(path)
 	if err != nil {
 		t.Fatal(err)
@@ -164,7 +164,7 @@
 	for _, changes := range []int{1000, 10000} {
 		for _, every := range []uint64{controllog.DefaultSnapshotEvery, 1 << 40} {
 			path := filepath.Join(t.TempDir(), "voter")
-			self := controllog.NewVoter("entry-0", 1, "0", false, "")
+			self := controllog.NewMember("entry-0", 1, "0", false, "")
 			fill(t, path, self, changes, every)
 			began := time.Now()
 			ctx, cancel := context.WithCancel(context.Background())
@@ -188,7 +188,7 @@
 	}
 }
 
-func fill(t *testing.T, path string, self controllog.Voter, changes int, every uint64) {
+func fill(t *testing.T, path string, self controllog.Member, changes int, every uint64) {
 	ctx, cancel := context.WithCancel(context.Background())
 	folder, err := disk.NewFolder(path)
 	if err != nil {
--- a/pkg/agent/agent.go
+++ b/pkg/agent/agent.go
@@ -109,7 +109,7 @@
 	}
 	_, err = folder.Read(fenceFile)
 	fresh := os.IsNotExist(err)
-	incarnation, err := controllog.Identity(folder)
+	incarnation, err := controllog.LoadOrCreateIncarnation(folder)
 	if err != nil {
 		return nil, err
 	}
--- a/pkg/agreed/machine.go
+++ b/pkg/agreed/machine.go
@@ -51,10 +51,10 @@
 	return msgpack.Marshal(NewCommand(kind, time, raw))
 }
 
-// image is the machine's state in a snapshot.
+// machineSnapshot is the machine's state in a snapshot.
 //
 //wire:generate
-type image struct {
+type machineSnapshot struct {
 	// time is the log's time.
 	time int64
 	// applied is the last index applied.
@@ -130,7 +130,7 @@
 	if err := msgpack.Unmarshal(body, &c); err != nil {
 		return nil, failure.New(failure.BadRequest, "a claim cannot be read: %v", err)
 	}
-	return m.claims.Take(c, m.time), nil
+	return m.claims.Acquire(c, m.time), nil
 }
 
 func (m *Machine) applySettle(body []byte) (any, error) {
@@ -151,12 +151,12 @@
 	if err != nil {
 		return nil, err
 	}
-	return msgpack.Marshal(image{time: m.time, applied: m.applied, config: config, claims: claims})
+	return msgpack.Marshal(machineSnapshot{time: m.time, applied: m.applied, config: config, claims: claims})
 }
 
 // Restore replaces the whole state.
 func (m *Machine) Restore(state []byte) error {
-	var i image
+	var i machineSnapshot
 	if err := msgpack.Unmarshal(state, &i); err != nil {
 		return failure.New(failure.CorruptLog, "a snapshot cannot be read: %v", err)
 	}
--- a/pkg/agreed/wire_generated.go
+++ b/pkg/agreed/wire_generated.go
@@ -48,26 +48,26 @@
 	return nil
 }
 
-// newImage returns a image with the given fields.
-func newImage(time int64, applied uint64, config []byte, claims []byte) image {
-	return image{time: time, applied: applied, config: config, claims: claims}
+// newMachineSnapshot returns a machineSnapshot with the given fields.
+func newMachineSnapshot(time int64, applied uint64, config []byte, claims []byte) machineSnapshot {
+	return machineSnapshot{time: time, applied: applied, config: config, claims: claims}
 }
 
 // EncodeMsgpack writes the fields in order, as one array.
-func (i image) EncodeMsgpack(enc *msgpack.Encoder) error {
+func (m machineSnapshot) EncodeMsgpack(enc *msgpack.Encoder) error {
 	if err := enc.EncodeArrayLen(4); err != nil {
 		return err
 	}
-	return enc.EncodeMulti(i.time, i.applied, i.config, i.claims)
+	return enc.EncodeMulti(m.time, m.applied, m.config, m.claims)
 }
 
 // DecodeMsgpack reads what EncodeMsgpack wrote, of this version or another.
-func (i *image) DecodeMsgpack(dec *msgpack.Decoder) error {
+func (m *machineSnapshot) DecodeMsgpack(dec *msgpack.Decoder) error {
 	count, err := dec.DecodeArrayLen()
 	if err != nil {
 		return err
 	}
-	fields := []any{&i.time, &i.applied, &i.config, &i.claims}
+	fields := []any{&m.time, &m.applied, &m.config, &m.claims}
 	for i := 0; i < count; i++ {
 		if i >= len(fields) {
 			err = dec.Skip()
--- a/pkg/claim/table.go
+++ b/pkg/claim/table.go
@@ -53,14 +53,14 @@
 	outcome contract.Outcome
 }
 
-// identity is what a claim is found by.
-type identity struct{ organisation, key string }
+// claimKey is what a claim is found by.
+type claimKey struct{ organisation, key string }
 
 // shard is a part of the table under its own lock.
 type shard struct {
-	mu      sync.RWMutex
-	records map[identity]*record
-	order   []identity
+	mu             sync.RWMutex
+	records        map[claimKey]*record
+	insertionOrder []claimKey
 }
 
 // Table holds the claims, in shards by hash of organisation and key.
@@ -72,19 +72,19 @@
 func NewTable() *Table {
 	t := &Table{}
 	for i := range t.shards {
-		t.shards[i] = &shard{records: map[identity]*record{}}
+		t.shards[i] = &shard{records: map[claimKey]*record{}}
 	}
 	return t
 }
 
-func (t *Table) shard(id identity) *shard {
+func (t *Table) shard(id claimKey) *shard {
 	return t.shards[xxhash.Sum64String(id.organisation+"\x00"+id.key)%shardCount]
 }
 
-// Take claims a request at log time now. The first claim of a key wins; a
+// Acquire claims a request at log time now. The first claim of a key wins; a
 // resend of the winning attempt is granted again.
-func (t *Table) Take(c contract.Claim, now int64) contract.ClaimResult {
-	id := identity{c.Organisation(), c.Key()}
+func (t *Table) Acquire(c contract.Claim, now int64) contract.ClaimResult {
+	id := claimKey{c.Organisation(), c.Key()}
 	s := t.shard(id)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -98,14 +98,14 @@
 		s.records[id] = &record{
 			organisation: id.organisation, key: id.key, attempt: c.Attempt(), body: c.Body(), deadline: c.Deadline(),
 		}
-		s.order = append(s.order, id)
+		s.insertionOrder = append(s.insertionOrder, id)
 		return contract.NewClaimResult(contract.ClaimGranted, contract.Outcome{}, nil)
 	}
-	return r.again(c, now)
+	return r.resultFor(c, now)
 }
 
-// again answers a claim for a key that is known.
-func (r *record) again(c contract.Claim, now int64) contract.ClaimResult {
+// resultFor answers a claim for a key that is known.
+func (r *record) resultFor(c contract.Claim, now int64) contract.ClaimResult {
 	switch {
 	case r.body != c.Body():
 		return contract.NewClaimResult(0, contract.Outcome{},
@@ -124,7 +124,7 @@
 // Settle ends the claim of an attempt. It returns false when the attempt does
 // not hold it.
 func (t *Table) Settle(s contract.Settle, now int64) bool {
-	id := identity{s.Organisation(), s.Key()}
+	id := claimKey{s.Organisation(), s.Key()}
 	sh := t.shard(id)
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
@@ -144,15 +144,15 @@
 // expire forgets claims past their retention. Records come almost in the
 // order of their deadlines, so looking at the head is enough.
 func (s *shard) expire(now int64) {
-	for len(s.order) > 0 {
-		r := s.records[s.order[0]]
+	for len(s.insertionOrder) > 0 {
+		r := s.records[s.insertionOrder[0]]
 		if r != nil && r.deadline+Retention > now {
 			return
 		}
 		if r != nil {
-			delete(s.records, s.order[0])
+			delete(s.records, s.insertionOrder[0])
 		}
-		s.order = s.order[1:]
+		s.insertionOrder = s.insertionOrder[1:]
 	}
 }
 
@@ -195,15 +195,15 @@
 	}
 	for _, s := range t.shards {
 		s.mu.Lock()
-		s.records, s.order = map[identity]*record{}, nil
+		s.records, s.insertionOrder = map[claimKey]*record{}, nil
 		s.mu.Unlock()
 	}
 	for i := range records {
-		id := identity{records[i].organisation, records[i].key}
+		id := claimKey{records[i].organisation, records[i].key}
 		s := t.shard(id)
 		s.mu.Lock()
 		s.records[id] = &records[i]
-		s.order = append(s.order, id)
+		s.insertionOrder = append(s.insertionOrder, id)
 		s.mu.Unlock()
 	}
 	return nil
--- a/pkg/claim/table_test.go
+++ b/pkg/claim/table_test.go
@@ -9,13 +9,13 @@
 
 const deadline = int64(1e12)
 
-func claimOf(attempt, body string) contract.Claim {
+func newTestClaim(attempt, body string) contract.Claim {
 	return contract.NewClaim("larder", "order-1", attempt, contract.DigestOf([]byte(body)), deadline)
 }
 
-func state(t *testing.T, table *Table, attempt string, at int64) contract.ClaimState {
+func acquireState(t *testing.T, table *Table, attempt string, at int64) contract.ClaimState {
 	t.Helper()
-	r := table.Take(claimOf(attempt, "flour"), at)
+	r := table.Acquire(newTestClaim(attempt, "flour"), at)
 	if r.Refusal() != nil {
 		t.Fatalf("attempt %s: %v", attempt, r.Refusal())
 	}
@@ -24,32 +24,32 @@
 
 func TestFirstClaimWins(t *testing.T) {
 	table := NewTable()
-	if s := state(t, table, "a", 1); s != contract.ClaimGranted {
+	if s := acquireState(t, table, "a", 1); s != contract.ClaimGranted {
 		t.Fatalf("first: %d", s)
 	}
-	if s := state(t, table, "a", 2); s != contract.ClaimGranted {
+	if s := acquireState(t, table, "a", 2); s != contract.ClaimGranted {
 		t.Errorf("the same attempt again: %d", s)
 	}
-	if s := state(t, table, "b", 3); s != contract.ClaimRunning {
+	if s := acquireState(t, table, "b", 3); s != contract.ClaimRunning {
 		t.Errorf("another attempt: %d", s)
 	}
-	if r := table.Take(claimOf("c", "sugar"), 4); r.Refusal() == nil || r.Refusal().Kind() != failure.KeyReused {
+	if r := table.Acquire(newTestClaim("c", "sugar"), 4); r.Refusal() == nil || r.Refusal().Kind() != failure.KeyReused {
 		t.Errorf("another body: %+v", r)
 	}
 }
 
-func TestLostHolderNeverFreesItsClaim(t *testing.T) {
+func TestClaimOfLostHolderIsNotReleased(t *testing.T) {
 	table := NewTable()
-	state(t, table, "a", 1)
-	r := table.Take(claimOf("b", "flour"), deadline+1)
+	acquireState(t, table, "a", 1)
+	r := table.Acquire(newTestClaim("b", "flour"), deadline+1)
 	if r.State() != contract.ClaimDone || r.Outcome().Known() {
 		t.Errorf("after the deadline of a lost holder: %+v", r)
 	}
 }
 
-func TestSettledClaimKeepsItsAnswerOverARestart(t *testing.T) {
+func TestSettledClaimKeepsItsOutcomeAfterRestore(t *testing.T) {
 	table := NewTable()
-	state(t, table, "a", 1)
+	acquireState(t, table, "a", 1)
 	outcome := contract.NewOutcome(200, "text/plain", []byte("done"), false, true)
 	if table.Settle(contract.NewSettle("larder", "order-1", "b", true, outcome), 2) {
 		t.Error("an attempt settled a claim that it does not hold")
@@ -65,29 +65,29 @@
 	if err := restored.Restore(raw); err != nil {
 		t.Fatal(err)
 	}
-	r := restored.Take(claimOf("c", "flour"), 3)
+	r := restored.Acquire(newTestClaim("c", "flour"), 3)
 	if r.State() != contract.ClaimDone || string(r.Outcome().Body()) != "done" {
 		t.Errorf("after the restart: %+v", r)
 	}
 }
 
-func TestClaimGivenBackUnrunMayBeTakenAgain(t *testing.T) {
+func TestClaimSettledAsNotRunIsReleased(t *testing.T) {
 	table := NewTable()
-	state(t, table, "a", 1)
+	acquireState(t, table, "a", 1)
 	table.Settle(contract.NewSettle("larder", "order-1", "a", false, contract.Outcome{}), 2)
-	if s := state(t, table, "b", 3); s != contract.ClaimGranted {
+	if s := acquireState(t, table, "b", 3); s != contract.ClaimGranted {
 		t.Errorf("after the claim was given back: %d", s)
 	}
 }
 
-func TestClaimsAreForgottenAfterTheirRetention(t *testing.T) {
+func TestClaimsExpireAfterRetention(t *testing.T) {
 	table := NewTable()
-	state(t, table, "a", 1)
-	table.Take(contract.NewClaim("larder", "order-1", "b", contract.DigestOf([]byte("flour")), 1<<62), deadline+Retention)
+	acquireState(t, table, "a", 1)
+	table.Acquire(contract.NewClaim("larder", "order-1", "b", contract.DigestOf([]byte("flour")), 1<<62), deadline+Retention)
 	if table.Len() != 1 {
 		t.Errorf("%d claims", table.Len())
 	}
-	if s := state(t, table, "b", deadline+Retention); s != contract.ClaimGranted {
+	if s := acquireState(t, table, "b", deadline+Retention); s != contract.ClaimGranted {
 		t.Errorf("after the retention: %d", s)
 	}
 }
--- a/pkg/control/cluster_test.go
+++ b/pkg/control/cluster_test.go
@@ -161,10 +161,10 @@
 			if self == nil {
 				return fmt.Errorf("%s has no disk yet", n.name)
 			}
-			wanted[self.Member()] = true
+			wanted[self.MemberID()] = true
 		}
 		for _, n := range nodes {
-			if s := n.node.member.state(); s.Role == controllog.Leader && s.Commits && sameVoters(s.Voters, wanted) {
+			if s := n.node.member.state(); s.Role == controllog.Leader && s.CanChangeMembers && sameVoters(s.Members, wanted) {
 				return nil
 			}
 		}
@@ -172,9 +172,9 @@
 	})
 }
 
-func sameVoters(voters []controllog.Voter, wanted map[controllog.MemberID]bool) bool {
+func sameVoters(voters []controllog.Member, wanted map[controllog.MemberID]bool) bool {
 	for _, v := range voters {
-		if v.Learner() || !wanted[v.Member()] {
+		if v.Learner() || !wanted[v.MemberID()] {
 			return false
 		}
 	}
--- a/pkg/control/links.go
+++ b/pkg/control/links.go
@@ -40,12 +40,12 @@
 		return
 	}
 	quiet := now.Sub(m.started)-time.Duration(m.leaderSpoke.Load()) > quietLeader
-	for _, v := range state.Voters {
+	for _, v := range state.Members {
 		if v.ID() == self.ID() {
 			continue
 		}
 		if state.Role == controllog.Leader {
-			quiet = state.Unheard[v.Member()] >= quietTicks
+			quiet = state.TicksSinceResponse[v.MemberID()] >= quietTicks
 		}
 		if quiet {
 			m.config.endpoint.Doubt(v.Address(), now)
--- a/pkg/control/member.go
+++ b/pkg/control/member.go
@@ -51,7 +51,7 @@
 //wire:generate
 type join struct {
 	// voter is who asks.
-	voter controllog.Voter
+	voter controllog.Member
 }
 
 // joined is the answer: whether the cluster is formed at the node asked.
@@ -86,7 +86,7 @@
 	peers  *link.Messenger[controllog.Message]
 
 	runner      atomic.Pointer[controllog.Runner]
-	self        atomic.Pointer[controllog.Voter]
+	self        atomic.Pointer[controllog.Member]
 	heardLeader atomic.Int64 // nanoseconds since started
 	leaderSpoke atomic.Int64 // the same, of a message that a leader sent here
 	leaderHint  atomic.Pointer[string]
@@ -131,12 +131,12 @@
 	defer func() { _ = folder.Close() }()
 	m.config.opened(folder)
 	defer m.config.closing()
-	incarnation, err := controllog.Identity(folder)
+	incarnation, err := controllog.LoadOrCreateIncarnation(folder)
 	if err != nil {
 		return err
 	}
 	identity := m.config.identity(incarnation)
-	self := controllog.NewVoter(identity.ID(), identity.Incarnation(), identity.Address(), false, "")
+	self := controllog.NewMember(identity.ID(), identity.Incarnation(), identity.Address(), false, "")
 	runner, err := controllog.NewRunner(controllog.RunnerConfig{
 		Self: self, Folder: folder, Machine: m.config.machine, Send: m.send, Record: m.config.record,
 		Logger: m.config.logger, Seed: incarnation, ElectionTicks: electionTicks,
@@ -146,7 +146,7 @@
 	}
 	m.self.Store(&self)
 	m.runner.Store(runner)
-	_ = level.Info(m.config.logger).Log("msg", "disk open", "member", string(self.Member()))
+	_ = level.Info(m.config.logger).Log("msg", "disk open", "member", string(self.MemberID()))
 	return runner.Run(ctx)
 }
 
@@ -211,7 +211,7 @@
 // nodes returns the link addresses of all members.
 func (m *member) nodes() []string {
 	var addresses []string
-	for _, v := range m.state().Voters {
+	for _, v := range m.state().Members {
 		addresses = append(addresses, v.Address())
 	}
 	sort.Strings(addresses)
@@ -238,7 +238,7 @@
 		if state.Role == controllog.Leader {
 			m.removeDead(ctx, *self, state)
 		}
-	case len(state.Voters) == 0 && m.mayForm(ctx, *self):
+	case len(state.Members) == 0 && m.mayForm(ctx, *self):
 		if err := m.runner.Load().Bootstrap(ctx); err != nil {
 			_ = level.Warn(m.config.logger).Log("msg", "forming failed", "err", err)
 		}
@@ -254,9 +254,9 @@
 }
 
 // isVoter tells whether this life of the node stands among the members.
-func isVoter(s controllog.State, self controllog.Voter) bool {
-	for _, v := range s.Voters {
-		if v.Member() == self.Member() {
+func isVoter(s controllog.State, self controllog.Member) bool {
+	for _, v := range s.Members {
+		if v.MemberID() == self.MemberID() {
 			return true
 		}
 	}
@@ -265,7 +265,7 @@
 
 // mayForm tells whether this node is the one that forms the cluster: the first
 // start is allowed, it is the first seed, and no other seed is in a cluster.
-func (m *member) mayForm(ctx context.Context, self controllog.Voter) bool {
+func (m *member) mayForm(ctx context.Context, self controllog.Member) bool {
 	seeds := append([]string(nil), m.config.seeds()...)
 	sort.Strings(seeds)
 	if !m.config.bootstrap || len(seeds) == 0 || seeds[0] != self.Address() {
@@ -280,7 +280,7 @@
 }
 
 // askIn asks one node after the other to be taken in.
-func (m *member) askIn(ctx context.Context, self controllog.Voter) {
+func (m *member) askIn(ctx context.Context, self controllog.Member) {
 	tried := map[string]bool{self.Address(): true}
 	queue := append(m.nodes(), m.config.seeds()...)
 	queue = append(queue, m.heardOf()...)
@@ -330,16 +330,16 @@
 	m.known[s.Peer().Address()] = true
 	m.mu.Unlock()
 	state := m.state()
-	answer := joined{formed: len(state.Voters) > 0, leader: state.Leader.Address()}
+	answer := joined{formed: len(state.Members) > 0, leader: state.Leader.Address()}
 	if state.Role == controllog.Leader && j.voter.ID() != "" {
 		if err := m.takeIn(ctx, state, j.voter); err != nil {
-			_ = level.Info(m.config.logger).Log("msg", "join put off", "member", string(j.voter.Member()), "err", err)
+			_ = level.Info(m.config.logger).Log("msg", "join put off", "member", string(j.voter.MemberID()), "err", err)
 		}
 	}
 	return s.Send(answer)
 }
 
-func (m *member) takeIn(ctx context.Context, state controllog.State, v controllog.Voter) error {
+func (m *member) takeIn(ctx context.Context, state controllog.State, v controllog.Member) error {
 	if isVoter(state, v) {
 		return nil
 	}
@@ -347,21 +347,21 @@
 	if runner == nil {
 		return failure.New(failure.NotLeader, "this node keeps no log now")
 	}
-	return runner.AddVoter(ctx, controllog.NewVoter(v.ID(), v.Incarnation(), v.Address(), true, ""))
+	return runner.AddMember(ctx, controllog.NewMember(v.ID(), v.Incarnation(), v.Address(), true, ""))
 }
 
 // removeDead takes one voter out that is silent and not needed: with it gone,
 // a later loss leaves a quorum that counting it would not. One that comes back
 // asks to be taken in again.
-func (m *member) removeDead(ctx context.Context, self controllog.Voter, state controllog.State) {
-	if !state.Commits {
+func (m *member) removeDead(ctx context.Context, self controllog.Member, state controllog.State) {
+	if !state.CanChangeMembers {
 		return
 	}
 	needed := 2*m.config.tolerate + 1
 	voters, alive := 0, 0
-	var dead controllog.Voter
-	for _, v := range state.Voters {
-		silent := state.Unheard[v.Member()] > deadTicks && v.Member() != self.Member()
+	var dead controllog.Member
+	for _, v := range state.Members {
+		silent := state.TicksSinceResponse[v.MemberID()] > deadTicks && v.MemberID() != self.MemberID()
 		if silent && dead.ID() == "" {
 			dead = v
 		}
@@ -376,8 +376,8 @@
 	if dead.ID() == "" || (!dead.Learner() && (voters <= needed || alive < needed)) {
 		return
 	}
-	_ = level.Info(m.config.logger).Log("msg", "voter removed", "member", string(dead.Member()), "voters", voters, "alive", alive)
-	if err := m.runner.Load().RemoveVoter(ctx, dead.Member()); err != nil {
+	_ = level.Info(m.config.logger).Log("msg", "voter removed", "member", string(dead.MemberID()), "voters", voters, "alive", alive)
+	if err := m.runner.Load().RemoveMember(ctx, dead.MemberID()); err != nil {
 		_ = level.Info(m.config.logger).Log("msg", "removal put off", "err", err)
 	}
 }
--- a/pkg/control/wire_generated.go
+++ b/pkg/control/wire_generated.go
@@ -156,7 +156,7 @@
 }
 
 // newJoin returns a join with the given fields.
-func newJoin(voter controllog.Voter) join {
+func newJoin(voter controllog.Member) join {
 	return join{voter: voter}
 }
 
--- a/pkg/controllog/agreement_test.go
+++ b/pkg/controllog/agreement_test.go
@@ -31,42 +31,42 @@
 // faultCount counts the faults of a run, for the report.
 type faultCount int
 
-// chaos makes random steps: mostly time and messages, now and then a fault.
-func (c *simulatedCluster) chaos(steps int) faultCount {
+// runRandomSteps makes random steps: mostly time and messages, now and then a fault.
+func (c *simulatedCluster) runRandomSteps(steps int) faultCount {
 	faults := faultCount(0)
 	if err := c.members[0].runner.replica.Bootstrap(c.members[0].self); err != nil {
 		c.fail("bootstrap: %v", err)
 	}
-	c.carryOut(c.members[0])
+	c.processAllReady(c.members[0])
 	for range steps {
 		c.step++
 		m := c.members[c.random.IntN(len(c.members))]
-		asked := c.client(m)
+		asked := c.chooseTarget(m)
 		switch p := c.random.IntN(1000); {
 		case p < 250:
 			c.tick(m)
-		case p < 700 && len(c.wire) > 0:
-			c.deliver(c.random.IntN(min(len(c.wire), 6)), c.random.IntN(20) == 0)
+		case p < 700 && len(c.inFlight) > 0:
+			c.deliver(c.random.IntN(min(len(c.inFlight), 6)), c.random.IntN(20) == 0)
 		case p < 800 && c.running(asked):
-			c.write(asked, c.key(), fmt.Sprintf("v%d", c.step))
+			c.write(asked, c.randomKey(), fmt.Sprintf("v%d", c.step))
 		case p < 880 && c.running(asked):
-			c.read(asked, c.key())
+			c.read(asked, c.randomKey())
 		case p < 920:
-			c.changeVoters()
+			c.changeMembers()
 		default:
-			faults += c.fault(m, p)
+			faults += c.injectFault(m, p)
 		}
-		c.collect()
-		if c.broken != "" {
+		c.collectResults()
+		if c.violation != "" {
 			break
 		}
 	}
 	return faults
 }
 
-// client returns whom a client asks: mostly some leader, at times anybody, as
+// chooseTarget returns whom a client asks: mostly some leader, at times anybody, as
 // one does that has not heard of a change of the lead.
-func (c *simulatedCluster) client(m *simulated) *simulated {
+func (c *simulatedCluster) chooseTarget(m *simulatedMember) *simulatedMember {
 	if c.random.IntN(4) == 0 {
 		return m
 	}
@@ -78,30 +78,30 @@
 	return m
 }
 
-func (c *simulatedCluster) key() string { return fmt.Sprintf("k%d", c.random.IntN(3)) }
+func (c *simulatedCluster) randomKey() string { return fmt.Sprintf("k%d", c.random.IntN(3)) }
 
-// changeVoters has the leader add a VM that is no member, or now and then
+// changeMembers has the leader add a VM that is no member, or now and then
 // remove one.
-func (c *simulatedCluster) changeVoters() {
+func (c *simulatedCluster) changeMembers() {
 	leader := c.leader()
 	if leader == nil {
 		return
 	}
 	for _, m := range c.members {
-		if _, ok := leader.runner.replica.voter(m.self.Member()); !ok {
-			_ = leader.runner.replica.AddVoter(m.self)
-			c.carryOut(leader)
+		if _, ok := leader.runner.replica.member(m.self.MemberID()); !ok {
+			_ = leader.runner.replica.AddMember(m.self)
+			c.processAllReady(leader)
 			return
 		}
 	}
 	if c.random.IntN(10) == 0 {
 		victim := c.members[c.random.IntN(len(c.members))]
-		_ = leader.runner.replica.RemoveVoter(victim.self.Member())
-		c.carryOut(leader)
+		_ = leader.runner.replica.RemoveMember(victim.self.MemberID())
+		c.processAllReady(leader)
 	}
 }
 
-func (c *simulatedCluster) fault(m *simulated, p int) faultCount {
+func (c *simulatedCluster) injectFault(m *simulatedMember, p int) faultCount {
 	switch {
 	case p < 935:
 		c.crash(m)
@@ -115,58 +115,58 @@
 	case p < 985:
 		other := c.members[c.random.IntN(len(c.members))]
 		pair := [2]vm.ID{m.self.ID(), other.self.ID()}
-		c.cut[pair] = !c.cut[pair]
-	case p < 992 && len(c.wire) > 0:
-		i := c.random.IntN(len(c.wire))
-		c.wire = append(c.wire[:i:i], c.wire[i+1:]...)
-	case p < 994 && c.mayWipe(m):
-		c.wipe(m)
-	case p < 997 && c.kills && m.runner != nil:
+		c.blocked[pair] = !c.blocked[pair]
+	case p < 992 && len(c.inFlight) > 0:
+		i := c.random.IntN(len(c.inFlight))
+		c.inFlight = append(c.inFlight[:i:i], c.inFlight[i+1:]...)
+	case p < 994 && c.canReplaceDisk(m):
+		c.replaceDisk(m)
+	case p < 997 && c.killBeforeSyncs && m.runner != nil:
 		// Its process dies at its next write, before the sync.
 		m.disk.FailSync = func(string) error { return errKilled }
 	default:
-		c.cut = map[[2]vm.ID]bool{}
+		c.blocked = map[[2]vm.ID]bool{}
 		return 0
 	}
 	return 1
 }
 
-// mayWipe allows the loss of one disk at a time: the log promises no more.
-func (c *simulatedCluster) mayWipe(m *simulated) bool {
+// canReplaceDisk allows the loss of one disk at a time: the log promises no more.
+func (c *simulatedCluster) canReplaceDisk(m *simulatedMember) bool {
 	leader := c.leader()
 	if leader == nil || leader == m {
 		return false
 	}
-	voters := leader.runner.replica.Voters()
+	voters := leader.runner.replica.Members()
 	for _, v := range voters {
-		member := c.find(v.ID())
-		if member == nil || member.self.Member() != v.Member() || v.learner {
+		member := c.currentMember(v.ID())
+		if member == nil || member.self.MemberID() != v.MemberID() || v.learner {
 			return false
 		}
 	}
-	return len(voters) >= 3 && leader.runner.replica.mayChangeVoters() == nil
+	return len(voters) >= 3 && leader.runner.replica.checkMemberChange() == nil
 }
 
-// runOnce runs one random history and returns what is wrong with it.
-func runOnce(seed uint64, faults Faults, skipSync bool) (string, faultCount, *simulatedCluster) {
+// runRandomHistory runs one random history and returns what is wrong with it.
+func runRandomHistory(seed uint64, faults Faults, skipSync bool) (string, faultCount, *simulatedCluster) {
 	c := newSimulatedCluster(rand.New(rand.NewPCG(seed, 1)), 3+int(seed%3), faults, skipSync)
 	// A seeded fault shows in few histories, and members that die more often leave fewer.
-	c.kills = faults == Faults{} && !skipSync
-	n := c.chaos(stepsPerRun)
-	if c.broken == "" {
-		c.settle()
+	c.killBeforeSyncs = faults == Faults{} && !skipSync
+	n := c.runRandomSteps(stepsPerRun)
+	if c.violation == "" {
+		c.recoverAll()
 	}
-	if c.broken == "" && !c.linearizable() {
-		c.broken = "the history is not linearizable"
+	if c.violation == "" && !c.linearizable() {
+		c.violation = "the history is not linearizable"
 	}
-	return c.broken, n, c
+	return c.violation, n, c
 }
 
 func TestAgreementHoldsUnderRandomFaults(t *testing.T) {
 	total, writes := faultCount(0), 0
 	rapid.Check(t, func(rt *rapid.T) {
 		seed := rapid.Uint64().Draw(rt, "seed")
-		broken, n, c := runOnce(seed, Faults{}, false)
+		broken, n, c := runRandomHistory(seed, Faults{}, false)
 		if broken != "" {
 			rt.Fatalf("seed %d: %s", seed, broken)
 		}
@@ -194,20 +194,20 @@
 	{"answer_before_sync", Faults{}, true},
 }
 
-// mostSeeds bounds the search for a history that shows a seeded fault.
-const mostSeeds = 3000
+// maxSeeds bounds the search for a history that shows a seeded fault.
+const maxSeeds = 3000
 
 func TestSeededFaultsAreCaught(t *testing.T) {
 	for _, f := range seededFaults {
 		t.Run(f.name, func(t *testing.T) {
 			t.Parallel()
-			for seed := range uint64(mostSeeds) {
-				if broken, _, _ := runOnce(seed, f.faults, f.skipSync); broken != "" {
+			for seed := range uint64(maxSeeds) {
+				if broken, _, _ := runRandomHistory(seed, f.faults, f.skipSync); broken != "" {
 					t.Logf("caught by seed %d: %s", seed, broken)
 					return
 				}
 			}
-			t.Fatalf("%d runs did not notice the fault", mostSeeds)
+			t.Fatalf("%d runs did not notice the fault", maxSeeds)
 		})
 	}
 }
--- a/pkg/controllog/cluster_test.go
+++ b/pkg/controllog/cluster_test.go
@@ -21,9 +21,9 @@
 	"github.com/tidepost/tidepost/pkg/vm"
 )
 
-// simulated is one member.
-type simulated struct {
-	self   Voter
+// simulatedMember is one member.
+type simulatedMember struct {
+	self   Member
 	disk   *disk.Memory
 	runner *Runner // nil while it is down
 	frozen bool
@@ -32,19 +32,19 @@
 
 // simulatedCluster is the cluster and what is checked of it.
 type simulatedCluster struct {
-	random   *rand.Rand
-	faults   Faults
-	skipSync bool
-	kills    bool // members die between write and sync
-	members  []*simulated
-	wire     []Message
-	cut      map[[2]vm.ID]bool
-	applied  map[uint64]string
-	leaders  map[uint64]MemberID
-	broken   string
-	step     int64
-	history  []*operation
-	next     int
+	random          *rand.Rand
+	faults          Faults
+	skipSync        bool
+	killBeforeSyncs bool // members die between write and sync
+	members         []*simulatedMember
+	inFlight        []Message
+	blocked         map[[2]vm.ID]bool
+	applied         map[uint64]string
+	leaders         map[uint64]MemberID
+	violation       string
+	step            int64
+	history         []*operation
+	lastIncarnation int
 }
 
 // operation is a write or a read of a client.
@@ -55,14 +55,14 @@
 	call   int64
 	end    int64 // 0 while it is open
 	failed bool  // it certainly did not happen
-	answer chan result
-	member *simulated
+	reply  chan result
+	member *simulatedMember
 }
 
 func newSimulatedCluster(random *rand.Rand, size int, faults Faults, skipSync bool) *simulatedCluster {
 	c := &simulatedCluster{
 		random: random, faults: faults, skipSync: skipSync,
-		cut: map[[2]vm.ID]bool{}, applied: map[uint64]string{}, leaders: map[uint64]MemberID{},
+		blocked: map[[2]vm.ID]bool{}, applied: map[uint64]string{}, leaders: map[uint64]MemberID{},
 	}
 	for i := range size {
 		c.newMember(vm.ID(fmt.Sprintf("entry-%d", i+1)))
@@ -71,22 +71,22 @@
 }
 
 // newMember formats a disk for a VM and starts a member on it.
-func (c *simulatedCluster) newMember(id vm.ID) *simulated {
-	c.next++
-	m := &simulated{self: NewVoter(id, uint64(c.next), string(id), false, ""), disk: disk.NewMemory()}
+func (c *simulatedCluster) newMember(id vm.ID) *simulatedMember {
+	c.lastIncarnation++
+	m := &simulatedMember{self: NewMember(id, uint64(c.lastIncarnation), string(id), false, ""), disk: disk.NewMemory()}
 	c.members = append(c.members, m)
 	c.start(m)
 	return m
 }
 
-func (c *simulatedCluster) start(m *simulated) {
+func (c *simulatedCluster) start(m *simulatedMember) {
 	m.disk.FailSync = nil
 	m.values = map[string]string{}
 	runner, err := NewRunner(RunnerConfig{
 		Self:          m.self,
 		Folder:        c.folder(m),
 		Machine:       c.machine(m),
-		Send:          func(_ MemberID, _ string, msg Message) { c.wire = append(c.wire, msg) },
+		Send:          func(_ MemberID, _ string, msg Message) { c.inFlight = append(c.inFlight, msg) },
 		Record:        func(event.Kind, string, string) {},
 		Logger:        log.NewNopLogger(),
 		SnapshotEvery: 20,
@@ -94,14 +94,14 @@
 		Faults:        c.faults,
 	})
 	if err != nil {
-		c.fail("start of %s: %v", m.self.Member(), err)
+		c.fail("start of %s: %v", m.self.MemberID(), err)
 		return
 	}
 	m.runner = runner
 }
 
 // folder returns the member's disk, whose syncs do nothing under skipSync.
-func (c *simulatedCluster) folder(m *simulated) *disk.Folder {
+func (c *simulatedCluster) folder(m *simulatedMember) *disk.Folder {
 	f := m.disk.Folder()
 	if !c.skipSync {
 		return f
@@ -117,11 +117,11 @@
 	return f
 }
 
-func (c *simulatedCluster) machine(m *simulated) StateMachine {
+func (c *simulatedCluster) machine(m *simulatedMember) StateMachine {
 	return StateMachine{
 		Apply: func(index uint64, data []byte) any {
 			if old, ok := c.applied[index]; ok && old != string(data) {
-				c.fail("entry %d is %q at %s and %q elsewhere", index, data, m.self.Member(), old)
+				c.fail("entry %d is %q at %s and %q elsewhere", index, data, m.self.MemberID(), old)
 			}
 			c.applied[index] = string(data)
 			key, value, _ := strings.Cut(string(data), "=")
@@ -155,18 +155,18 @@
 }
 
 func (c *simulatedCluster) fail(format string, arguments ...any) {
-	if c.broken == "" {
-		c.broken = fmt.Sprintf(format, arguments...)
+	if c.violation == "" {
+		c.violation = fmt.Sprintf(format, arguments...)
 	}
 }
 
 // ----------------------------------------------------------------
 // Events
 
-// carryOut has a member do what it wants done. A member whose disk fails is
+// processAllReady has a member do what it wants done. A member whose disk fails is
 // down from then on.
-func (c *simulatedCluster) carryOut(m *simulated) {
-	if err := m.runner.carryOut(); err != nil {
+func (c *simulatedCluster) processAllReady(m *simulatedMember) {
+	if err := m.runner.processAllReady(); err != nil {
 		m.runner = nil
 		return
 	}
@@ -174,45 +174,45 @@
 }
 
 // checkLeader asserts that a term has one leader at most.
-func (c *simulatedCluster) checkLeader(m *simulated) {
+func (c *simulatedCluster) checkLeader(m *simulatedMember) {
 	r := m.runner.replica
 	if r.Role() != Leader {
 		return
 	}
-	if other, ok := c.leaders[r.Term()]; ok && other != m.self.Member() {
-		c.fail("term %d has the leaders %s and %s", r.Term(), other, m.self.Member())
+	if other, ok := c.leaders[r.Term()]; ok && other != m.self.MemberID() {
+		c.fail("term %d has the leaders %s and %s", r.Term(), other, m.self.MemberID())
 	}
-	c.leaders[r.Term()] = m.self.Member()
+	c.leaders[r.Term()] = m.self.MemberID()
 }
 
-func (c *simulatedCluster) running(m *simulated) bool { return m.runner != nil && !m.frozen }
+func (c *simulatedCluster) running(m *simulatedMember) bool { return m.runner != nil && !m.frozen }
 
-func (c *simulatedCluster) tick(m *simulated) {
+func (c *simulatedCluster) tick(m *simulatedMember) {
 	if c.running(m) {
 		m.runner.replica.Tick()
-		c.carryOut(m)
+		c.processAllReady(m)
 	}
 }
 
 // deliver hands the i-th waiting message over; keep leaves a double behind.
 func (c *simulatedCluster) deliver(i int, keep bool) {
-	m := c.wire[i]
+	m := c.inFlight[i]
 	if !keep {
-		c.wire = append(c.wire[:i:i], c.wire[i+1:]...)
+		c.inFlight = append(c.inFlight[:i:i], c.inFlight[i+1:]...)
 	}
-	to := c.find(m.to.VM())
-	if to == nil || !c.running(to) || c.cut[[2]vm.ID{m.from.VM(), m.to.VM()}] {
+	to := c.currentMember(m.to.VM())
+	if to == nil || !c.running(to) || c.blocked[[2]vm.ID{m.from.VM(), m.to.VM()}] {
 		return
 	}
 	if err := to.runner.replica.Step(m); err != nil {
-		c.fail("%s: %v", to.self.Member(), err)
+		c.fail("%s: %v", to.self.MemberID(), err)
 		return
 	}
-	c.carryOut(to)
+	c.processAllReady(to)
 }
 
-// find returns the present life of a VM.
-func (c *simulatedCluster) find(id vm.ID) *simulated {
+// currentMember returns the present life of a VM.
+func (c *simulatedCluster) currentMember(id vm.ID) *simulatedMember {
 	for i := len(c.members) - 1; i >= 0; i-- {
 		if c.members[i].self.ID() == id {
 			return c.members[i]
@@ -221,7 +221,7 @@
 	return nil
 }
 
-func (c *simulatedCluster) crash(m *simulated) {
+func (c *simulatedCluster) crash(m *simulatedMember) {
 	if m.runner == nil {
 		return
 	}
@@ -229,8 +229,8 @@
 	m.disk.Crash(c.random.IntN(40))
 }
 
-// wipe replaces a VM's disk: the old life is gone for good.
-func (c *simulatedCluster) wipe(m *simulated) *simulated {
+// replaceDisk replaces a VM's disk: the old life is gone for good.
+func (c *simulatedCluster) replaceDisk(m *simulatedMember) *simulatedMember {
 	c.crash(m)
 	for i, other := range c.members {
 		if other == m {
@@ -241,8 +241,8 @@
 	return c.newMember(m.self.ID())
 }
 
-func (c *simulatedCluster) leader() *simulated {
-	var best *simulated
+func (c *simulatedCluster) leader() *simulatedMember {
+	var best *simulatedMember
 	for _, m := range c.members {
 		if c.running(m) && m.runner.replica.Role() == Leader {
 			if best == nil || m.runner.replica.Term() > best.runner.replica.Term() {
@@ -254,36 +254,36 @@
 }
 
 // write proposes at a member, whatever it is.
-func (c *simulatedCluster) write(m *simulated, key, value string) {
-	o := &operation{key: key, value: value, call: c.step, answer: make(chan result, 1), member: m}
+func (c *simulatedCluster) write(m *simulatedMember, key, value string) {
+	o := &operation{key: key, value: value, call: c.step, reply: make(chan result, 1), member: m}
 	c.history = append(c.history, o)
-	m.runner.take(request{data: []byte(key + "=" + value), answer: o.answer})
-	c.carryOut(m)
+	m.runner.handleRequest(request{data: []byte(key + "=" + value), reply: o.reply})
+	c.processAllReady(m)
 }
 
 // read asks a member for a confirmed read.
-func (c *simulatedCluster) read(m *simulated, key string) {
-	o := &operation{read: true, key: key, call: c.step, answer: make(chan result, 1), member: m}
+func (c *simulatedCluster) read(m *simulatedMember, key string) {
+	o := &operation{read: true, key: key, call: c.step, reply: make(chan result, 1), member: m}
 	c.history = append(c.history, o)
-	m.runner.take(request{read: true, answer: o.answer})
-	c.carryOut(m)
+	m.runner.handleRequest(request{read: true, reply: o.reply})
+	c.processAllReady(m)
 }
 
-// collect notes the answers that have come.
-func (c *simulatedCluster) collect() {
+// collectResults notes the answers that have come.
+func (c *simulatedCluster) collectResults() {
 	for _, o := range c.history {
 		if o.end != 0 {
 			continue
 		}
 		select {
-		case r := <-o.answer:
-			c.close(o, r)
+		case r := <-o.reply:
+			c.finish(o, r)
 		default:
 		}
 	}
 }
 
-func (c *simulatedCluster) close(o *operation, r result) {
+func (c *simulatedCluster) finish(o *operation, r result) {
 	o.end = c.step
 	switch {
 	case r.err == nil && o.read:
@@ -293,13 +293,13 @@
 		o.failed = true
 	default:
 		o.end = 0 // it may still happen
-		o.answer = nil
+		o.reply = nil
 	}
 }
 
-// settle ends all faults and lets the cluster come to rest.
-func (c *simulatedCluster) settle() {
-	c.cut = map[[2]vm.ID]bool{}
+// recoverAll ends all faults and lets the cluster come to rest.
+func (c *simulatedCluster) recoverAll() {
+	c.blocked = map[[2]vm.ID]bool{}
 	for _, m := range c.members {
 		m.frozen = false
 		if m.runner == nil {
@@ -311,28 +311,28 @@
 		for _, m := range c.members {
 			c.tick(m)
 		}
-		for n := len(c.wire); n > 0 && len(c.wire) > 0; n-- {
+		for n := len(c.inFlight); n > 0 && len(c.inFlight) > 0; n-- {
 			c.deliver(0, false)
 		}
-		c.collect()
+		c.collectResults()
 	}
 }
 
 // ----------------------------------------------------------------
 // Checks
 
-// input is an operation as porcupine takes it.
-type input struct {
+// operationInput is an operation as porcupine takes it.
+type operationInput struct {
 	read  bool
 	key   string
 	value string
 }
 
-var registers = porcupine.Model{
+var registerModel = porcupine.Model{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		byKey := map[string][]porcupine.Operation{}
 		for _, o := range history {
-			byKey[o.Input.(input).key] = append(byKey[o.Input.(input).key], o)
+			byKey[o.Input.(operationInput).key] = append(byKey[o.Input.(operationInput).key], o)
 		}
 		var parts [][]porcupine.Operation
 		for _, part := range byKey {
@@ -342,7 +342,7 @@
 	},
 	Init: func() any { return "" },
 	Step: func(state, in, out any) (bool, any) {
-		i := in.(input)
+		i := in.(operationInput)
 		if i.read {
 			return out.(string) == state.(string), state
 		}
@@ -362,10 +362,10 @@
 			end = math.MaxInt64
 		}
 		history = append(history, porcupine.Operation{
-			ClientId: client, Input: input{o.read, o.key, o.value}, Call: 2 * o.call, Output: o.value, Return: max(end, 2*o.end+1),
+			ClientId: client, Input: operationInput{o.read, o.key, o.value}, Call: 2 * o.call, Output: o.value, Return: max(end, 2*o.end+1),
 		})
 	}
-	return porcupine.CheckOperations(registers, history)
+	return porcupine.CheckOperations(registerModel, history)
 }
 
 var errDisk = errors.New("the disk is full")
--- a/pkg/controllog/election.go
+++ b/pkg/controllog/election.go
@@ -7,33 +7,33 @@
 package controllog
 
 func (r *Replica) canCampaign() bool {
-	v, ok := r.voter(r.config.Self)
+	v, ok := r.member(r.config.Self)
 	return ok && !v.learner
 }
 
 func (r *Replica) preCampaign() {
 	r.role, r.leader = PreCandidate, ""
 	r.resetTimeout()
-	r.startVote(MessagePreVote, r.hard.term+1)
+	r.requestVotes(MessagePreVote, r.hardState.term+1)
 	r.countVotes()
 }
 
 func (r *Replica) campaign() {
 	r.role, r.leader = Candidate, ""
-	r.hard.term++
-	r.hard.vote = r.config.Self
+	r.hardState.term++
+	r.hardState.vote = r.config.Self
 	r.resetTimeout()
-	r.startVote(MessageVote, r.hard.term)
+	r.requestVotes(MessageVote, r.hardState.term)
 	r.countVotes()
 }
 
-func (r *Replica) startVote(kind MessageKind, term uint64) {
+func (r *Replica) requestVotes(kind MessageKind, term uint64) {
 	r.votes = map[MemberID]bool{r.config.Self: true}
-	for _, v := range r.Voters() {
-		if v.learner || v.Member() == r.config.Self {
+	for _, v := range r.Members() {
+		if v.learner || v.MemberID() == r.config.Self {
 			continue
 		}
-		r.send(Message{kind: kind, to: v.Member(), term: term, index: r.log.last(), logTerm: r.log.lastTerm()})
+		r.send(Message{kind: kind, to: v.MemberID(), term: term, index: r.log.last(), logTerm: r.log.lastTerm()})
 	}
 }
 
@@ -46,18 +46,18 @@
 	case won && r.role == Candidate:
 		r.becomeLeader()
 	case lost:
-		r.becomeFollower(r.hard.term, "")
+		r.becomeFollower(r.hardState.term, "")
 	}
 }
 
 func (r *Replica) becomeLeader() {
 	r.role, r.leader = Leader, r.config.Self
-	r.ticks, r.quorumTicks = 0, 0
-	r.reads, r.readRound = nil, 0
+	r.ticksSinceReset, r.ticksSinceQuorumCheck = 0, 0
+	r.pendingReads, r.readRound = nil, 0
 	r.progress = map[MemberID]*progress{}
 	r.syncProgress()
-	r.appendOwn(EntryNothing, nil)
-	r.firstOfTerm = r.log.last()
+	r.appendEntry(EntryNoOp, nil)
+	r.firstIndexOfTerm = r.log.last()
 	r.broadcastAppend()
 	r.advanceCommit()
 }
@@ -67,13 +67,13 @@
 
 // stepVote answers a vote or a pre-vote.
 func (r *Replica) stepVote(m Message) {
-	answer := MessageVoteAnswer
+	answer := MessageVoteResponse
 	if m.kind == MessagePreVote {
-		answer = MessagePreVoteAnswer
+		answer = MessagePreVoteResponse
 	}
-	grant := r.grants(m)
+	grant := r.grantsVote(m)
 	if grant && m.kind == MessageVote {
-		r.hard.vote = m.from
+		r.hardState.vote = m.from
 		r.resetTimeout()
 	}
 	reply := Message{kind: answer, to: m.from, reject: !grant}
@@ -84,29 +84,29 @@
 	r.send(reply)
 }
 
-func (r *Replica) grants(m Message) bool {
-	if m.term < r.hard.term || !r.log.upToDate(m.index, m.logTerm) {
+func (r *Replica) grantsVote(m Message) bool {
+	if m.term < r.hardState.term || !r.log.upToDate(m.index, m.logTerm) {
 		return false
 	}
 	if m.kind == MessagePreVote {
-		return m.term > r.hard.term && !r.hearsLeader()
+		return m.term > r.hardState.term && !r.hasActiveLeader()
 	}
-	free := r.hard.vote == "" || r.hard.vote == m.from || r.config.Faults.VoteTwice
+	free := r.hardState.vote == "" || r.hardState.vote == m.from || r.config.Faults.VoteTwice
 	return free && r.leader == ""
 }
 
-// hearsLeader tells whether a leader was heard from so lately that another
+// hasActiveLeader tells whether a leader was heard from so lately that another
 // campaign is not called for.
-func (r *Replica) hearsLeader() bool {
+func (r *Replica) hasActiveLeader() bool {
 	if r.role == Leader {
 		return true
 	}
-	return r.leader != "" && r.ticks < r.config.ElectionTicks
+	return r.leader != "" && r.ticksSinceReset < r.config.ElectionTicks
 }
 
-// stepVoteAnswer counts an answer to the vote that is going on.
-func (r *Replica) stepVoteAnswer(m Message) {
-	expected := map[MessageKind]Role{MessagePreVoteAnswer: PreCandidate, MessageVoteAnswer: Candidate}
+// stepVoteResponse counts an answer to the vote that is going on.
+func (r *Replica) stepVoteResponse(m Message) {
+	expected := map[MessageKind]Role{MessagePreVoteResponse: PreCandidate, MessageVoteResponse: Candidate}
 	if r.role != expected[m.kind] {
 		return
 	}
--- a/pkg/controllog/entries.go
+++ b/pkg/controllog/entries.go
@@ -7,26 +7,26 @@
 
 // entryLog holds entries first..last; the one before first is known by term.
 type entryLog struct {
-	beforeIndex uint64
-	beforeTerm  uint64
-	entries     []Entry
+	baseIndex uint64
+	baseTerm  uint64
+	entries   []Entry
 }
 
-func (l *entryLog) first() uint64 { return l.beforeIndex + 1 }
+func (l *entryLog) first() uint64 { return l.baseIndex + 1 }
 
-func (l *entryLog) last() uint64 { return l.beforeIndex + uint64(len(l.entries)) }
+func (l *entryLog) last() uint64 { return l.baseIndex + uint64(len(l.entries)) }
 
 func (l *entryLog) lastTerm() uint64 {
 	if len(l.entries) == 0 {
-		return l.beforeTerm
+		return l.baseTerm
 	}
 	return l.entries[len(l.entries)-1].term
 }
 
 // term returns the term of an entry; false when it is not in memory.
 func (l *entryLog) term(index uint64) (uint64, bool) {
-	if index == l.beforeIndex {
-		return l.beforeTerm, true
+	if index == l.baseIndex {
+		return l.baseTerm, true
 	}
 	if index < l.first() || index > l.last() {
 		return 0, false
@@ -59,11 +59,11 @@
 	l.entries = l.entries[: index-l.first() : index-l.first()]
 }
 
-// trailing returns the index before which entries may be forgotten, so that at
+// compactIndex returns the index before which entries may be forgotten, so that at
 // most count entries of maxBytes of data stay before index.
-func (l *entryLog) trailing(index uint64, count, maxBytes int) uint64 {
+func (l *entryLog) compactIndex(index uint64, count, maxBytes int) uint64 {
 	size := 0
-	for kept := 0; index > l.beforeIndex && kept < count; kept++ {
+	for kept := 0; index > l.baseIndex && kept < count; kept++ {
 		e := l.entries[index-l.first()]
 		if size += len(e.data); size > maxBytes {
 			return index
@@ -76,16 +76,16 @@
 // compact forgets entries up to index, which must be in memory.
 func (l *entryLog) compact(index uint64) {
 	term, ok := l.term(index)
-	if !ok || index <= l.beforeIndex {
+	if !ok || index <= l.baseIndex {
 		return
 	}
-	l.entries = append([]Entry(nil), l.entries[index-l.beforeIndex:]...)
-	l.beforeIndex, l.beforeTerm = index, term
+	l.entries = append([]Entry(nil), l.entries[index-l.baseIndex:]...)
+	l.baseIndex, l.baseTerm = index, term
 }
 
 // reset starts the log after a snapshot.
 func (l *entryLog) reset(index, term uint64) {
-	*l = entryLog{beforeIndex: index, beforeTerm: term}
+	*l = entryLog{baseIndex: index, baseTerm: term}
 }
 
 // upToDate tells whether a log that ends with (index, term) is at least as
--- a/pkg/controllog/joining_test.go
+++ b/pkg/controllog/joining_test.go
@@ -15,8 +15,8 @@
 	"testing"
 )
 
-// bytesTo counts the data that goes to a member while messages pass.
-func bytesTo(c *simulatedCluster, to MemberID, count *int) func(Message) bool {
+// countBytesTo counts the data that goes to a member while messages pass.
+func countBytesTo(c *simulatedCluster, to MemberID, count *int) func(Message) bool {
 	return func(m Message) bool {
 		if m.to == to {
 			*count += len(m.snapshot.data)
@@ -28,23 +28,23 @@
 	}
 }
 
-func TestNewMemberGetsTheStateAndNotTheHistory(t *testing.T) {
+func TestNewMemberReceivesSnapshotInsteadOfLog(t *testing.T) {
 	const writes, size = 12, 200 << 10
-	c := scripted(t, 3, Faults{})
+	c := newVotingCluster(t, 3, Faults{})
 	leader := c.members[0]
 	for i := range writes {
 		c.write(leader, "k", fmt.Sprint(i)+strings.Repeat("x", size))
-		c.pump(everybody)
-		c.beats(leader, everybody)
+		c.deliverAllowed(allMessages)
+		c.runHeartbeats(leader, allMessages)
 	}
 	fresh := c.newMember("entry-4")
 	sent := 0
-	allow := bytesTo(c, fresh.self.Member(), &sent)
-	leader.runner.take(request{do: func(r *Runner) error { return r.addVoter(fresh.self) }, answer: make(chan result, 1)})
-	c.carryOut(leader)
-	c.beats(leader, allow)
-	c.beats(leader, allow)
-	if v, ok := leader.runner.replica.voter(fresh.self.Member()); !ok || v.Learner() {
+	allow := countBytesTo(c, fresh.self.MemberID(), &sent)
+	leader.runner.handleRequest(request{step: func(r *Runner) error { return r.addMember(fresh.self) }, reply: make(chan result, 1)})
+	c.processAllReady(leader)
+	c.runHeartbeats(leader, allow)
+	c.runHeartbeats(leader, allow)
+	if v, ok := leader.runner.replica.member(fresh.self.MemberID()); !ok || v.Learner() {
 		t.Fatal("the new member does not vote")
 	}
 	if got := fresh.values["k"]; !strings.HasPrefix(got, fmt.Sprint(writes-1)+"x") {
@@ -56,28 +56,28 @@
 }
 
 // Answers that come slowly ask for no part twice.
-func TestSnapshotPartsGoOutOnce(t *testing.T) {
+func TestSnapshotPartsAreSentOnce(t *testing.T) {
 	const size = 3 * snapshotPartSize
 	r := rand.New(rand.NewPCG(1, 1))
 	value := make([]byte, size)
 	for i := range value {
 		value[i] = byte('a' + r.IntN(26))
 	}
-	c := scripted(t, 1, Faults{})
+	c := newVotingCluster(t, 1, Faults{})
 	leader := c.members[0]
 	c.write(leader, "k", string(value))
 	c.write(leader, "k", string(value))
 	c.write(leader, "k", string(value))
 	fresh := c.newMember("entry-2")
-	leader.runner.take(request{do: func(r *Runner) error { return r.addVoter(fresh.self) }, answer: make(chan result, 1)})
-	c.carryOut(leader)
+	leader.runner.handleRequest(request{step: func(r *Runner) error { return r.addMember(fresh.self) }, reply: make(chan result, 1)})
+	c.processAllReady(leader)
 	parts := map[int64]int{}
 	for range 40 {
 		c.tick(leader)
 		// One message a tick in each direction: heartbeats overtake nothing, and many
 		// are answered while a part is on its way.
-		for n := min(len(c.wire), 2); n > 0; n-- {
-			if m := c.wire[0]; m.kind == MessageSnapshot {
+		for n := min(len(c.inFlight), 2); n > 0; n-- {
+			if m := c.inFlight[0]; m.kind == MessageSnapshot {
 				parts[m.snapshot.offset]++
 			}
 			c.deliver(0, false)
--- a/pkg/controllog/kept_entries_test.go
+++ b/pkg/controllog/kept_entries_test.go
@@ -15,30 +15,30 @@
 )
 
 func TestSnapshotLeavesEntriesBehindIt(t *testing.T) {
-	c := scripted(t, 3, Faults{})
+	c := newVotingCluster(t, 3, Faults{})
 	s1, s2 := c.members[0], c.members[1]
 	c.write(s1, "k", "old")
-	c.beats(s1, everybody)
+	c.runHeartbeats(s1, allMessages)
 	snapshot := s1.runner.replica.MakeSnapshot(s1.runner.replica.Applied(), []byte("k=old"))
 	c.write(s1, "k", "new")
-	c.beats(s1, everybody)
+	c.runHeartbeats(s1, allMessages)
 
 	// As after a start with what the disk says of commits.
 	member := s2.runner.replica
 	last := member.LastIndex()
-	member.hard.commit = snapshot.index - 1
+	member.hardState.commit = snapshot.index - 1
 	encoded, err := msgpack.Marshal(snapshot)
 	if err != nil {
 		t.Fatal(err)
 	}
 	err = member.Step(Message{
-		kind: MessageSnapshot, from: s1.self.Member(), to: s2.self.Member(), term: member.Term(),
+		kind: MessageSnapshot, from: s1.self.MemberID(), to: s2.self.MemberID(), term: member.Term(),
 		snapshot: SnapshotPart{index: snapshot.index, term: snapshot.term, data: encoded, last: true},
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.carryOut(s2)
+	c.processAllReady(s2)
 	if member.LastIndex() != last {
 		t.Errorf("the log ended with entry %d and ends with %d", last, member.LastIndex())
 	}
--- a/pkg/controllog/message.go
+++ b/pkg/controllog/message.go
@@ -29,10 +29,10 @@
 	return MemberID(fmt.Sprintf("%s/%x", id, incarnation))
 }
 
-// Voter is a member of the log: a voter, or a learner that does not vote yet.
+// Member is a member of the log: a voter, or a learner that does not vote yet.
 //
 //wire:generate
-type Voter struct {
+type Member struct {
 	// id is the VM of the voter.
 	id vm.ID
 	// incarnation is that of its data folder.
@@ -45,20 +45,20 @@
 	replaces MemberID
 }
 
-// Member returns the voter's member id.
-func (v Voter) Member() MemberID { return NewMemberID(v.id, v.incarnation) }
+// MemberID returns the voter's member id.
+func (v Member) MemberID() MemberID { return NewMemberID(v.id, v.incarnation) }
 
 // EntryKind says what a log entry carries.
 type EntryKind uint8
 
 // The kinds of entries.
 const (
-	// EntryNothing is what a new leader commits first.
-	EntryNothing EntryKind = iota
+	// EntryNoOp is what a new leader commits first.
+	EntryNoOp EntryKind = iota
 	// EntryCommand carries a command for the state machine.
 	EntryCommand
-	// EntryVoters carries a set of voters, in force from when it is appended.
-	EntryVoters
+	// EntryMembers carries a set of voters, in force from when it is appended.
+	EntryMembers
 )
 
 // Entry is one entry of the log.
@@ -95,8 +95,8 @@
 	index uint64
 	// term is that entry's term.
 	term uint64
-	// voters are those in force at the index.
-	voters []Voter
+	// members are those in force at the index.
+	members []Member
 	// state is the state machine's.
 	state []byte
 }
@@ -107,15 +107,15 @@
 // The kinds of messages.
 const (
 	MessagePreVote MessageKind = iota + 1
-	MessagePreVoteAnswer
+	MessagePreVoteResponse
 	MessageVote
-	MessageVoteAnswer
+	MessageVoteResponse
 	MessageAppend
-	MessageAppendAnswer
+	MessageAppendResponse
 	MessageHeartbeat
-	MessageHeartbeatAnswer
+	MessageHeartbeatResponse
 	MessageSnapshot
-	MessageSnapshotAnswer
+	MessageSnapshotResponse
 )
 
 // Message is one message between two members.
@@ -140,8 +140,8 @@
 	commit uint64
 	// reject says no.
 	reject bool
-	// read is the round of confirmed reads that a heartbeat serves.
-	read uint64
+	// round is the round of confirmed reads that a heartbeat serves.
+	round uint64
 	// snapshot is one part of a snapshot.
 	snapshot SnapshotPart
 }
@@ -161,10 +161,10 @@
 	last bool
 }
 
-func describeVoters(voters []Voter) string {
+func describeMembers(voters []Member) string {
 	var words []string
 	for _, v := range voters {
-		word := string(v.Member())
+		word := string(v.MemberID())
 		if v.learner {
 			word += " (learner)"
 		}
--- a/pkg/controllog/reads.go
+++ b/pkg/controllog/reads.go
@@ -12,30 +12,30 @@
 		return r.notLeader()
 	}
 	if r.config.Faults.UnconfirmedReads {
-		r.released = append(r.released, Read{id, r.hard.commit})
+		r.confirmedReads = append(r.confirmedReads, Read{id, r.hardState.commit})
 		return nil
 	}
 	r.readRound++
 	// Until an entry of this term is committed, the commit index may be behind
 	// what a former leader has acknowledged; firstOfTerm is never behind it.
-	index := max(r.hard.commit, r.firstOfTerm)
-	r.reads = append(r.reads, pendingRead{id: id, index: index, round: r.readRound})
+	index := max(r.hardState.commit, r.firstIndexOfTerm)
+	r.pendingReads = append(r.pendingReads, pendingRead{id: id, index: index, round: r.readRound})
 	r.broadcastHeartbeat()
-	r.releaseReads()
+	r.confirmReads()
 	return nil
 }
 
-// releaseReads lets go of the reads whose round a quorum has answered.
-func (r *Replica) releaseReads() {
-	for len(r.reads) > 0 {
-		first := r.reads[0]
+// confirmReads lets go of the reads whose round a quorum has answered.
+func (r *Replica) confirmReads() {
+	for len(r.pendingReads) > 0 {
+		first := r.pendingReads[0]
 		confirmed := r.quorum(func(m MemberID) bool {
 			return m == r.config.Self || r.progress[m] != nil && r.progress[m].readRound >= first.round
 		})
 		if !confirmed {
 			return
 		}
-		r.released = append(r.released, Read{first.id, first.index})
-		r.reads = r.reads[1:]
+		r.confirmedReads = append(r.confirmedReads, Read{first.id, first.index})
+		r.pendingReads = r.pendingReads[1:]
 	}
 }
--- a/pkg/controllog/record.go
+++ b/pkg/controllog/record.go
@@ -34,17 +34,17 @@
 )
 
 const (
-	recordHeader = 2 + 1 + 4 + 8
-	lengthAt     = 3
-	checksumAt   = 7
+	recordHeaderSize = 2 + 1 + 4 + 8
+	lengthOffset     = 3
+	checksumOffset   = 7
 )
 
 var recordMagic = []byte{0xd5, 0x1e}
 
-// base is the first record of a file: the entry before those that follow.
+// logBase is the first record of a file: the entry before those that follow.
 //
 //wire:generate
-type base struct {
+type logBase struct {
 	// index and term are those of the entry before the first.
 	index uint64
 	term  uint64
@@ -59,11 +59,11 @@
 	buffer = append(buffer, recordMagic...)
 	buffer = append(buffer, byte(kind))
 	buffer = binary.BigEndian.AppendUint32(buffer, uint32(len(raw)))
-	buffer = binary.BigEndian.AppendUint64(buffer, recordSum(buffer[start+2:start+checksumAt], raw))
+	buffer = binary.BigEndian.AppendUint64(buffer, recordChecksum(buffer[start+2:start+checksumOffset], raw))
 	return append(buffer, raw...), nil
 }
 
-func recordSum(kindAndLength, body []byte) uint64 {
+func recordChecksum(kindAndLength, body []byte) uint64 {
 	d := xxhash.New()
 	_, _ = d.Write(kindAndLength)
 	_, _ = d.Write(body)
@@ -73,22 +73,22 @@
 // parseRecord reads the record at the start of data; ok is false when it is
 // not whole.
 func parseRecord(data []byte) (kind recordKind, body []byte, size int, ok bool) {
-	if len(data) < recordHeader || !bytes.HasPrefix(data, recordMagic) {
+	if len(data) < recordHeaderSize || !bytes.HasPrefix(data, recordMagic) {
 		return 0, nil, 0, false
 	}
-	length := int(binary.BigEndian.Uint32(data[lengthAt:]))
-	if length > len(data)-recordHeader {
+	length := int(binary.BigEndian.Uint32(data[lengthOffset:]))
+	if length > len(data)-recordHeaderSize {
 		return 0, nil, 0, false
 	}
-	body = data[recordHeader : recordHeader+length]
-	if binary.BigEndian.Uint64(data[checksumAt:]) != recordSum(data[2:checksumAt], body) {
+	body = data[recordHeaderSize : recordHeaderSize+length]
+	if binary.BigEndian.Uint64(data[checksumOffset:]) != recordChecksum(data[2:checksumOffset], body) {
 		return 0, nil, 0, false
 	}
-	return recordKind(data[2]), body, recordHeader + length, true
+	return recordKind(data[2]), body, recordHeaderSize + length, true
 }
 
-// hasRecord tells whether a whole record starts anywhere in data.
-func hasRecord(data []byte) bool {
+// containsRecord tells whether a whole record starts anywhere in data.
+func containsRecord(data []byte) bool {
 	for {
 		i := bytes.Index(data, recordMagic)
 		if i < 0 {
@@ -107,7 +107,7 @@
 	for good < len(data) {
 		kind, body, size, ok := parseRecord(data[good:])
 		if !ok {
-			if hasRecord(data[good+1:]) {
+			if containsRecord(data[good+1:]) {
 				return good, failure.New(failure.CorruptLog, "%s is damaged at byte %d of %d", name, good, len(data))
 			}
 			return good, nil
--- a/pkg/controllog/replica.go
+++ b/pkg/controllog/replica.go
@@ -42,8 +42,8 @@
 	maxUncommitted = 4096
 	// maxAppendBytes bounds the data of one append message.
 	maxAppendBytes = 1 << 20
-	// maxInTransit bounds the entries sent to a member and not acknowledged.
-	maxInTransit = 1024
+	// maxInFlight bounds the entries sent to a member and not acknowledged.
+	maxInFlight = 1024
 )
 
 // ReplicaConfig are the constants of a replica.
@@ -73,55 +73,55 @@
 	AnyIncarnation bool
 }
 
-// votersAt is a set of voters and the index that put it in force.
-type votersAt struct {
-	index  uint64
-	voters []Voter
+// indexedMembers is a set of voters and the index that put it in force.
+type indexedMembers struct {
+	index   uint64
+	members []Member
 }
 
 // progress is what a leader knows of a member.
 type progress struct {
-	match      uint64
-	next       uint64
-	acked      uint64 // match at the last heartbeat answer
-	active     bool   // heard from since the last quorum check
-	heardAt    uint64 // the replica's clock when it last answered
-	readRound  uint64
-	sending    *Snapshot
-	encoded    []byte
-	sentOffset int64
-	beatOffset int64 // sentOffset at the last heartbeat answer
+	match            uint64
+	next             uint64
+	lastMatch        uint64 // match at the last heartbeat answer
+	active           bool   // heard from since the last quorum check
+	respondedAt      uint64 // the replica's clock when it last answered
+	readRound        uint64
+	outgoingSnapshot *Snapshot
+	encodedSnapshot  []byte
+	sentOffset       int64
+	lastOffset       int64 // sentOffset at the last heartbeat answer
 }
 
 // Replica is one member's part in the agreement.
 type Replica struct {
 	config ReplicaConfig
 
-	hard     HardState
-	saved    HardState
-	log      entryLog
-	stable   uint64
-	applied  uint64
-	snapshot Snapshot
-	history  []votersAt
-
-	role            Role
-	leader          MemberID
-	clock           uint64 // ticks since the start
-	ticks           int
-	timeout         int
-	quorumTicks     int
-	votes           map[MemberID]bool
-	progress        map[MemberID]*progress
-	firstOfTerm     uint64
-	reads           []pendingRead
-	readRound       uint64
-	incoming        []byte
-	incomingIndex   uint64
-	installSnapshot *Snapshot
-
-	messages []Message
-	released []Read
+	hardState      HardState
+	savedHardState HardState
+	log            entryLog
+	stableIndex    uint64
+	appliedIndex   uint64
+	snapshot       Snapshot
+	memberHistory  []indexedMembers
+
+	role                  Role
+	leader                MemberID
+	clock                 uint64 // ticks since the start
+	ticksSinceReset       int
+	electionTimeout       int
+	ticksSinceQuorumCheck int
+	votes                 map[MemberID]bool
+	progress              map[MemberID]*progress
+	firstIndexOfTerm      uint64
+	pendingReads          []pendingRead
+	readRound             uint64
+	incomingSnapshot      []byte
+	incomingSnapshotIndex uint64
+	snapshotToInstall     *Snapshot
+
+	messages       []Message
+	confirmedReads []Read
 }
 
 // pendingRead waits for a quorum to confirm that this is still the leader.
@@ -137,8 +137,8 @@
 	Index uint64
 }
 
-// Stored is what a member's disk holds.
-type Stored struct {
+// StoredState is what a member's disk holds.
+type StoredState struct {
 	HardState HardState
 	Snapshot  Snapshot
 	// BaseIndex and BaseTerm are those of the entry before Entries.
@@ -148,21 +148,21 @@
 }
 
 // NewReplica returns a replica with what its disk holds.
-func NewReplica(c ReplicaConfig, s Stored) *Replica {
-	r := &Replica{config: c, hard: s.HardState, snapshot: s.Snapshot}
-	r.log = entryLog{beforeIndex: s.BaseIndex, beforeTerm: s.BaseTerm, entries: s.Entries}
+func NewReplica(c ReplicaConfig, s StoredState) *Replica {
+	r := &Replica{config: c, hardState: s.HardState, snapshot: s.Snapshot}
+	r.log = entryLog{baseIndex: s.BaseIndex, baseTerm: s.BaseTerm, entries: s.Entries}
 	if r.log.last() < s.Snapshot.index {
 		r.log.reset(s.Snapshot.index, s.Snapshot.term)
 	}
-	r.applied = s.Snapshot.index
-	r.hard.commit = min(max(r.hard.commit, s.Snapshot.index), r.log.last())
-	r.saved = r.hard
-	r.stable = r.log.last()
-	r.rebuildHistory()
-	r.becomeFollower(r.hard.term, "")
+	r.appliedIndex = s.Snapshot.index
+	r.hardState.commit = min(max(r.hardState.commit, s.Snapshot.index), r.log.last())
+	r.savedHardState = r.hardState
+	r.stableIndex = r.log.last()
+	r.rebuildMemberHistory()
+	r.becomeFollower(r.hardState.term, "")
 	// After a restart there is most likely no leader, or one that is heard of
 	// soon; the pre-vote keeps an early campaign from deposing it.
-	r.timeout = 2 + c.Random.IntN(c.ElectionTicks)
+	r.electionTimeout = 2 + c.Random.IntN(c.ElectionTicks)
 	return r
 }
 
@@ -176,16 +176,16 @@
 func (r *Replica) Leader() MemberID { return r.leader }
 
 // Term returns the current term.
-func (r *Replica) Term() uint64 { return r.hard.term }
+func (r *Replica) Term() uint64 { return r.hardState.term }
 
 // Commit returns the last committed index.
-func (r *Replica) Commit() uint64 { return r.hard.commit }
+func (r *Replica) Commit() uint64 { return r.hardState.commit }
 
 // LastIndex returns the last index of the log.
 func (r *Replica) LastIndex() uint64 { return r.log.last() }
 
 // Applied returns the last index that was handed out to be applied.
-func (r *Replica) Applied() uint64 { return r.applied }
+func (r *Replica) Applied() uint64 { return r.appliedIndex }
 
 // Match returns how far a member's synced log is known to agree (leader only).
 func (r *Replica) Match(m MemberID) uint64 {
@@ -195,34 +195,34 @@
 	return 0
 }
 
-// unheard returns how many ticks ago a member answered (leader only).
-func (r *Replica) unheard(m MemberID) int {
+// ticksSinceResponse returns how many ticks ago a member answered (leader only).
+func (r *Replica) ticksSinceResponse(m MemberID) int {
 	p := r.progress[m]
 	if p == nil || m == r.config.Self {
 		return 0
 	}
-	return int(r.clock - p.heardAt)
+	return int(r.clock - p.respondedAt)
 }
 
-// heard notes that a member answered.
-func (r *Replica) heard(p *progress) {
+// recordResponse notes that a member answered.
+func (r *Replica) recordResponse(p *progress) {
 	p.active = true
-	p.heardAt = r.clock
+	p.respondedAt = r.clock
 }
 
 // Formed tells whether the replica belongs to a cluster.
-func (r *Replica) Formed() bool { return len(r.Voters()) > 0 }
+func (r *Replica) Formed() bool { return len(r.Members()) > 0 }
 
 // ----------------------------------------------------------------
 // Input
 
 // Bootstrap forms a new cluster with this member as its only voter.
-func (r *Replica) Bootstrap(self Voter) error {
+func (r *Replica) Bootstrap(self Member) error {
 	if r.log.last() > 0 || r.Formed() {
 		return failure.New(failure.AlreadyFormed, "%s holds %d log entries", r.config.Self, r.log.last())
 	}
-	r.hard.term = 1
-	r.appendVoters([]Voter{self})
+	r.hardState.term = 1
+	r.appendMembers([]Member{self})
 	r.becomeFollower(1, "")
 	r.campaign()
 	return nil
@@ -234,11 +234,11 @@
 	if r.role != Leader {
 		return 0, 0, r.notLeader()
 	}
-	if r.log.last()-r.hard.commit >= maxUncommitted {
+	if r.log.last()-r.hardState.commit >= maxUncommitted {
 		return 0, 0, failure.New(failure.Overloaded, "%d entries wait for a quorum", maxUncommitted)
 	}
-	r.appendOwn(EntryCommand, data)
-	return r.log.last(), r.hard.term, nil
+	r.appendEntry(EntryCommand, data)
+	return r.log.last(), r.hardState.term, nil
 }
 
 // Flush sends what was proposed since the last Flush. It is apart from Propose
@@ -259,34 +259,34 @@
 // Tick advances the replica's time by one tick.
 func (r *Replica) Tick() {
 	r.clock++
-	r.ticks++
+	r.ticksSinceReset++
 	if r.role == Leader {
 		r.tickLeader()
 		return
 	}
-	if r.ticks >= r.timeout && r.canCampaign() {
+	if r.ticksSinceReset >= r.electionTimeout && r.canCampaign() {
 		r.preCampaign()
 	}
 }
 
 func (r *Replica) tickLeader() {
-	if r.ticks%r.config.HeartbeatTicks == 0 {
+	if r.ticksSinceReset%r.config.HeartbeatTicks == 0 {
 		r.broadcastHeartbeat()
-		r.adjustVoters()
+		r.adjustMembers()
 	}
-	r.quorumTicks++
-	if r.quorumTicks < r.config.ElectionTicks {
+	r.ticksSinceQuorumCheck++
+	if r.ticksSinceQuorumCheck < r.config.ElectionTicks {
 		return
 	}
-	r.quorumTicks = 0
-	if !r.heardFromQuorum() {
-		r.becomeFollower(r.hard.term, "")
+	r.ticksSinceQuorumCheck = 0
+	if !r.quorumResponded() {
+		r.becomeFollower(r.hardState.term, "")
 	}
 }
 
-// heardFromQuorum tells whether a quorum was heard from since the last check.
+// quorumResponded tells whether a quorum was heard from since the last check.
 // A leader that is cut off finds out by it and stops leading.
-func (r *Replica) heardFromQuorum() bool {
+func (r *Replica) quorumResponded() bool {
 	heard := r.quorum(func(m MemberID) bool { return m == r.config.Self || r.progress[m].active })
 	for _, p := range r.progress {
 		p.active = false
@@ -300,42 +300,42 @@
 func (r *Replica) send(m Message) {
 	m.from = r.config.Self
 	if m.term == 0 {
-		m.term = r.hard.term
+		m.term = r.hardState.term
 	}
 	r.messages = append(r.messages, m)
 }
 
-func (r *Replica) appendOwn(kind EntryKind, data []byte) {
-	r.log.append(Entry{term: r.hard.term, index: r.log.last() + 1, kind: kind, data: data})
+func (r *Replica) appendEntry(kind EntryKind, data []byte) {
+	r.log.append(Entry{term: r.hardState.term, index: r.log.last() + 1, kind: kind, data: data})
 }
 
 func (r *Replica) becomeFollower(term uint64, leader MemberID) {
-	if term > r.hard.term {
-		r.hard.term, r.hard.vote = term, ""
+	if term > r.hardState.term {
+		r.hardState.term, r.hardState.vote = term, ""
 	}
 	r.role, r.leader = Follower, leader
-	r.reads = nil
+	r.pendingReads = nil
 	r.progress = nil
 	r.resetTimeout()
 }
 
 func (r *Replica) resetTimeout() {
-	r.ticks = 0
-	r.timeout = r.config.ElectionTicks + r.config.Random.IntN(r.config.ElectionTicks)
+	r.ticksSinceReset = 0
+	r.electionTimeout = r.config.ElectionTicks + r.config.Random.IntN(r.config.ElectionTicks)
 }
 
-// advanceTo raises the commit index.
-func (r *Replica) advanceTo(commit uint64) {
+// advanceCommitTo raises the commit index.
+func (r *Replica) advanceCommitTo(commit uint64) {
 	commit = min(commit, r.log.last())
-	if commit > r.hard.commit {
-		r.hard.commit = commit
+	if commit > r.hardState.commit {
+		r.hardState.commit = commit
 	}
 }
 
 // checkTruncation asserts that nothing committed is ever replaced.
 func (r *Replica) checkTruncation(index uint64) error {
-	return invariant.Check(index > r.hard.commit, "control_log_committed_replaced",
-		"%s would replace entry %d; committed is %d", r.config.Self, index, r.hard.commit)
+	return invariant.Check(index > r.hardState.commit, "control_log_committed_replaced",
+		"%s would replace entry %d; committed is %d", r.config.Self, index, r.hardState.commit)
 }
 
 // sortedMembers returns members in one order, so that runs repeat.
@@ -348,7 +348,7 @@
 	return members
 }
 
-func encodeVoters(voters []Voter) []byte {
+func encodeMembers(voters []Member) []byte {
 	raw, err := msgpack.Marshal(voters)
 	if err != nil {
 		// Encoding plain fields into memory cannot fail.
@@ -357,8 +357,8 @@
 	return raw
 }
 
-func decodeVoters(raw []byte) []Voter {
-	var voters []Voter
+func decodeMembers(raw []byte) []Member {
+	var voters []Member
 	if err := msgpack.Unmarshal(raw, &voters); err != nil {
 		// The entry passed its checksum, so it was written that way.
 		panic(err)
--- a/pkg/controllog/replication.go
+++ b/pkg/controllog/replication.go
@@ -26,17 +26,17 @@
 		// The commit that went before has ended the lead or the membership.
 		return
 	}
-	if to == r.config.Self || p.sending != nil || p.next > r.log.last() || p.next > p.match+maxInTransit {
+	if to == r.config.Self || p.outgoingSnapshot != nil || p.next > r.log.last() || p.next > p.match+maxInFlight {
 		return
 	}
 	before := p.next - 1
 	term, ok := r.log.term(before)
-	if !ok || r.snapshotIsShorter(p.next) {
+	if !ok || r.snapshotIsSmaller(p.next) {
 		r.startSnapshot(to)
 		return
 	}
 	entries := r.log.slice(p.next, r.log.last(), maxAppendBytes)
-	r.send(Message{kind: MessageAppend, to: to, index: before, logTerm: term, entries: entries, commit: r.hard.commit})
+	r.send(Message{kind: MessageAppend, to: to, index: before, logTerm: term, entries: entries, commit: r.hardState.commit})
 	p.next += uint64(len(entries))
 }
 
@@ -45,17 +45,17 @@
 		if m == r.config.Self {
 			continue
 		}
-		commit := min(r.hard.commit, r.progress[m].match)
-		r.send(Message{kind: MessageHeartbeat, to: m, commit: commit, read: r.readRound})
+		commit := min(r.hardState.commit, r.progress[m].match)
+		r.send(Message{kind: MessageHeartbeat, to: m, commit: commit, round: r.readRound})
 	}
 }
 
-func (r *Replica) stepAppendAnswer(m Message) {
+func (r *Replica) stepAppendResponse(m Message) {
 	p := r.progress[m.from]
 	if r.role != Leader || p == nil {
 		return
 	}
-	r.heard(p)
+	r.recordResponse(p)
 	if m.reject {
 		p.next = max(p.match+1, min(p.next-1, m.index+1))
 		r.sendAppend(m.from)
@@ -69,29 +69,29 @@
 	r.sendAppend(m.from)
 }
 
-func (r *Replica) stepHeartbeatAnswer(m Message) {
+func (r *Replica) stepHeartbeatResponse(m Message) {
 	p := r.progress[m.from]
 	if r.role != Leader || p == nil || m.reject {
 		return
 	}
-	r.heard(p)
-	p.readRound = max(p.readRound, m.read)
-	r.releaseReads()
-	if p.match == p.acked && p.match < r.log.last() {
+	r.recordResponse(p)
+	p.readRound = max(p.readRound, m.round)
+	r.confirmReads()
+	if p.match == p.lastMatch && p.match < r.log.last() {
 		p.next = p.match + 1
 		r.resendSnapshotPart(m.from)
 		r.sendAppend(m.from)
 	}
-	p.acked = p.match
+	p.lastMatch = p.match
 }
 
 // advanceCommit commits what a quorum has synced. Only an entry of the
 // leader's own term is counted; those before it are committed with it.
 func (r *Replica) advanceCommit() {
 	var matches []uint64
-	for _, v := range r.Voters() {
+	for _, v := range r.Members() {
 		if !v.learner {
-			matches = append(matches, r.matchOf(v.Member()))
+			matches = append(matches, r.matchOf(v.MemberID()))
 		}
 	}
 	if len(matches) == 0 {
@@ -100,13 +100,13 @@
 	sort.Slice(matches, func(i, j int) bool { return matches[i] > matches[j] })
 	commit := matches[len(matches)/2]
 	term, ok := r.log.term(commit)
-	if !ok || commit <= r.hard.commit {
+	if !ok || commit <= r.hardState.commit {
 		return
 	}
-	if term != r.hard.term && !r.config.Faults.CommitOldTerms {
+	if term != r.hardState.term && !r.config.Faults.CommitOldTerms {
 		return
 	}
-	r.advanceTo(commit)
+	r.advanceCommitTo(commit)
 	// Followers hear of the commit now and not with the next heartbeat: a
 	// change is in force there one message later.
 	r.broadcastHeartbeat()
@@ -115,7 +115,7 @@
 
 func (r *Replica) matchOf(m MemberID) uint64 {
 	if m == r.config.Self {
-		return r.stable
+		return r.stableIndex
 	}
 	if p := r.progress[m]; p != nil {
 		return p.match
@@ -128,30 +128,30 @@
 
 func (r *Replica) stepAppend(m Message) error {
 	r.followLeader(m)
-	if m.index < r.hard.commit {
-		r.send(Message{kind: MessageAppendAnswer, to: m.from, index: r.hard.commit})
+	if m.index < r.hardState.commit {
+		r.send(Message{kind: MessageAppendResponse, to: m.from, index: r.hardState.commit})
 		return nil
 	}
 	if term, ok := r.log.term(m.index); !ok || term != m.logTerm {
-		if ok && m.index <= r.hard.commit {
+		if ok && m.index <= r.hardState.commit {
 			// Asking for earlier entries would go on for ever.
 			return r.checkTruncation(m.index)
 		}
 		hint := min(m.index-1, r.log.last())
-		r.send(Message{kind: MessageAppendAnswer, to: m.from, reject: true, index: max(hint, r.hard.commit)})
+		r.send(Message{kind: MessageAppendResponse, to: m.from, reject: true, index: max(hint, r.hardState.commit)})
 		return nil
 	}
-	if err := r.takeEntries(m.entries); err != nil {
+	if err := r.appendReceived(m.entries); err != nil {
 		return err
 	}
 	last := m.index + uint64(len(m.entries))
-	r.advanceTo(min(m.commit, last))
-	r.send(Message{kind: MessageAppendAnswer, to: m.from, index: last})
+	r.advanceCommitTo(min(m.commit, last))
+	r.send(Message{kind: MessageAppendResponse, to: m.from, index: last})
 	return nil
 }
 
-// takeEntries appends what is new and replaces what differs.
-func (r *Replica) takeEntries(entries []Entry) error {
+// appendReceived appends what is new and replaces what differs.
+func (r *Replica) appendReceived(entries []Entry) error {
 	for i, e := range entries {
 		if term, ok := r.log.term(e.index); ok && term == e.term {
 			continue
@@ -161,13 +161,13 @@
 				return err
 			}
 			r.log.truncate(e.index)
-			r.stable = min(r.stable, e.index-1)
-			r.forgetVotersFrom(e.index)
+			r.stableIndex = min(r.stableIndex, e.index-1)
+			r.dropMembersFrom(e.index)
 		}
 		r.log.append(entries[i:]...)
 		for _, added := range entries[i:] {
-			if added.kind == EntryVoters {
-				r.history = append(r.history, votersAt{added.index, decodeVoters(added.data)})
+			if added.kind == EntryMembers {
+				r.memberHistory = append(r.memberHistory, indexedMembers{added.index, decodeMembers(added.data)})
 			}
 		}
 		return nil
@@ -177,6 +177,6 @@
 
 func (r *Replica) stepHeartbeat(m Message) {
 	r.followLeader(m)
-	r.advanceTo(m.commit)
-	r.send(Message{kind: MessageHeartbeatAnswer, to: m.from, read: m.read})
+	r.advanceCommitTo(m.commit)
+	r.send(Message{kind: MessageHeartbeatResponse, to: m.from, round: m.round})
 }
--- a/pkg/controllog/runner.go
+++ b/pkg/controllog/runner.go
@@ -32,10 +32,10 @@
 	DefaultHeartbeatTicks = 2
 	// DefaultSnapshotEvery is how many entries are applied between snapshots.
 	DefaultSnapshotEvery = 4096
-	// snapshotBytes is how much applied data calls for a snapshot earlier, and
+	// snapshotThreshold is how much applied data calls for a snapshot earlier, and
 	// joiningBytes how much does when a member is brought in.
-	snapshotBytes = 8 << 20
-	joiningBytes  = 256 << 10
+	snapshotThreshold          = 8 << 20
+	newMemberSnapshotThreshold = 256 << 10
 
 	inboxSize = 1024
 	// maxBatch bounds the proposals that share one write.
@@ -55,7 +55,7 @@
 
 // RunnerConfig says how a member runs.
 type RunnerConfig struct {
-	Self    Voter
+	Self    Member
 	Folder  *disk.Folder
 	Machine StateMachine
 	// Send hands a message to a member; it must not block. The address is
@@ -83,24 +83,24 @@
 	done     chan struct{}
 	err      error
 
-	waiting      map[uint64]waiter
-	reads        map[uint64]chan<- result
-	confirmed    []Read
-	nextRead     uint64
-	applied      uint64
-	lastSnapshot uint64
-	appliedBytes int
-	joining      bool // a member was brought in since the last look at the snapshot
-	state        atomic.Pointer[State]
-	wasLeader    bool
+	pendingProposals map[uint64]pendingProposal
+	pendingReads     map[uint64]chan<- result
+	confirmedReads   []Read
+	lastReadID       uint64
+	applied          uint64
+	lastSnapshot     uint64
+	appliedBytes     int
+	memberAdded      bool // a member was brought in since the last look at the snapshot
+	state            atomic.Pointer[State]
+	wasLeader        bool
 }
 
 // request is a call into the loop.
 type request struct {
-	do     func(r *Runner) error // a step that is answered at once
-	data   []byte                // a proposal, when do is nil
-	read   bool                  // a confirmed read
-	answer chan<- result
+	step  func(r *Runner) error // a step that is answered at once
+	data  []byte                // a proposal, when do is nil
+	read  bool                  // a confirmed read
+	reply chan<- result
 }
 
 // result is the answer of a request.
@@ -109,10 +109,10 @@
 	err   error
 }
 
-// waiter waits for the entry at an index to be applied.
-type waiter struct {
-	term   uint64
-	answer chan<- result
+// pendingProposal waits for the entry at an index to be applied.
+type pendingProposal struct {
+	term  uint64
+	reply chan<- result
 }
 
 // State is what a member tells of itself.
@@ -122,15 +122,15 @@
 	Commit  uint64
 	Applied uint64
 	// Leader is the known leader; its zero value means none.
-	Leader Voter
-	Voters []Voter
+	Leader  Member
+	Members []Member
 	// Match holds, on a leader, how far each member's synced log agrees.
 	Match map[MemberID]uint64
-	// Unheard holds, on a leader, how many ticks ago each member answered.
-	Unheard map[MemberID]int
-	// Commits says, on a leader, that an entry of its term is committed and no
+	// TicksSinceResponse holds, on a leader, how many ticks ago each member answered.
+	TicksSinceResponse map[MemberID]int
+	// CanChangeMembers says, on a leader, that an entry of its term is committed and no
 	// change of voters is under way.
-	Commits bool
+	CanChangeMembers bool
 }
 
 // NewRunner opens the folder and returns a runner that is not running yet.
@@ -149,18 +149,18 @@
 		}
 	}
 	r := &Runner{
-		config:   c,
-		store:    store,
-		inbox:    make(chan Message, inboxSize),
-		requests: make(chan request, inboxSize),
-		done:     make(chan struct{}),
-		waiting:  map[uint64]waiter{},
-		reads:    map[uint64]chan<- result{},
-		applied:  stored.Snapshot.index,
+		config:           c,
+		store:            store,
+		inbox:            make(chan Message, inboxSize),
+		requests:         make(chan request, inboxSize),
+		done:             make(chan struct{}),
+		pendingProposals: map[uint64]pendingProposal{},
+		pendingReads:     map[uint64]chan<- result{},
+		applied:          stored.Snapshot.index,
 	}
 	r.lastSnapshot = stored.Snapshot.index
 	r.replica = NewReplica(ReplicaConfig{
-		Self:           c.Self.Member(),
+		Self:           c.Self.MemberID(),
 		ElectionTicks:  electionTicks(c),
 		HeartbeatTicks: DefaultHeartbeatTicks,
 		Random:         rand.New(rand.NewPCG(c.Seed, c.Self.Incarnation())),
@@ -205,37 +205,37 @@
 
 // Bootstrap forms a new cluster with this member alone.
 func (r *Runner) Bootstrap(ctx context.Context) error {
-	return r.step(ctx, func(r *Runner) error { return r.replica.Bootstrap(r.config.Self) })
+	return r.runStep(ctx, func(r *Runner) error { return r.replica.Bootstrap(r.config.Self) })
 }
 
-// AddVoter brings a member in. What it lacks is brought down to the state first.
-func (r *Runner) AddVoter(ctx context.Context, v Voter) error {
-	return r.step(ctx, func(r *Runner) error { return r.addVoter(v) })
+// AddMember brings a member in. What it lacks is brought down to the state first.
+func (r *Runner) AddMember(ctx context.Context, v Member) error {
+	return r.runStep(ctx, func(r *Runner) error { return r.addMember(v) })
 }
 
-func (r *Runner) addVoter(v Voter) error {
-	err := r.replica.AddVoter(v)
-	r.joining = r.joining || err == nil
+func (r *Runner) addMember(v Member) error {
+	err := r.replica.AddMember(v)
+	r.memberAdded = r.memberAdded || err == nil
 	return err
 }
 
-// RemoveVoter takes a member out.
-func (r *Runner) RemoveVoter(ctx context.Context, m MemberID) error {
-	return r.step(ctx, func(r *Runner) error { return r.replica.RemoveVoter(m) })
+// RemoveMember takes a member out.
+func (r *Runner) RemoveMember(ctx context.Context, m MemberID) error {
+	return r.runStep(ctx, func(r *Runner) error { return r.replica.RemoveMember(m) })
 }
 
-func (r *Runner) step(ctx context.Context, do func(*Runner) error) error {
-	_, err := r.call(ctx, request{do: do})
+func (r *Runner) runStep(ctx context.Context, do func(*Runner) error) error {
+	_, err := r.call(ctx, request{step: do})
 	return err
 }
 
 func (r *Runner) call(ctx context.Context, q request) (any, error) {
 	answer := make(chan result, 1)
-	q.answer = answer
+	q.reply = answer
 	select {
 	case r.requests <- q:
 	case <-r.done:
-		return nil, r.stopped()
+		return nil, r.stopError()
 	case <-ctx.Done():
 		return nil, failure.New(failure.Overloaded, "the control log is busy: %v", ctx.Err())
 	}
@@ -243,13 +243,13 @@
 	case a := <-answer:
 		return a.value, a.err
 	case <-r.done:
-		return nil, failure.Of(r.stopped()).WithRan(failure.RanUnknown)
+		return nil, failure.Of(r.stopError()).WithRan(failure.RanUnknown)
 	case <-ctx.Done():
 		return nil, failure.New(failure.NoQuorum, "no answer from a quorum: %v", ctx.Err()).WithRan(failure.RanUnknown)
 	}
 }
 
-func (r *Runner) stopped() error {
+func (r *Runner) stopError() error {
 	if r.err != nil {
 		return r.err
 	}
--- a/pkg/controllog/runner_loop.go
+++ b/pkg/controllog/runner_loop.go
@@ -26,7 +26,7 @@
 	ticker := time.NewTicker(tick)
 	defer ticker.Stop()
 	for {
-		if err := r.once(ctx, ticker.C); err != nil {
+		if err := r.processInput(ctx, ticker.C); err != nil {
 			if ctx.Err() != nil {
 				return nil
 			}
@@ -37,8 +37,8 @@
 	}
 }
 
-// once waits for one input, takes what else waits, and carries it all out.
-func (r *Runner) once(ctx context.Context, tick <-chan time.Time) error {
+// processInput waits for one input, takes what else waits, and carries it all out.
+func (r *Runner) processInput(ctx context.Context, tick <-chan time.Time) error {
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
@@ -49,87 +49,87 @@
 			return err
 		}
 	case q := <-r.requests:
-		r.take(q)
-		r.takeMore()
+		r.handleRequest(q)
+		r.handleQueuedRequests()
 	}
-	return r.carryOut()
+	return r.processAllReady()
 }
 
-func (r *Runner) takeMore() {
+func (r *Runner) handleQueuedRequests() {
 	for range maxBatch {
 		select {
 		case q := <-r.requests:
-			r.take(q)
+			r.handleRequest(q)
 		default:
 			return
 		}
 	}
 }
 
-func (r *Runner) take(q request) {
+func (r *Runner) handleRequest(q request) {
 	switch {
-	case q.do != nil:
-		q.answer <- result{err: q.do(r)}
+	case q.step != nil:
+		q.reply <- result{err: q.step(r)}
 	case q.read:
-		r.nextRead++
-		r.reads[r.nextRead] = q.answer
-		if err := r.replica.Read(r.nextRead); err != nil {
-			delete(r.reads, r.nextRead)
-			q.answer <- result{err: err}
+		r.lastReadID++
+		r.pendingReads[r.lastReadID] = q.reply
+		if err := r.replica.Read(r.lastReadID); err != nil {
+			delete(r.pendingReads, r.lastReadID)
+			q.reply <- result{err: err}
 		}
 	default:
 		index, term, err := r.replica.Propose(q.data)
 		if err != nil {
-			q.answer <- result{err: err}
+			q.reply <- result{err: err}
 			return
 		}
-		r.waiting[index] = waiter{term: term, answer: q.answer}
+		r.pendingProposals[index] = pendingProposal{term: term, reply: q.reply}
 	}
 }
 
-// carryOut does what the replica wants until it wants nothing more.
-func (r *Runner) carryOut() error {
+// processAllReady does what the replica wants until it wants nothing more.
+func (r *Runner) processAllReady() error {
 	r.replica.Flush()
 	for r.replica.HasReady() {
-		if err := r.process(r.replica.Ready()); err != nil {
+		if err := r.processReady(r.replica.Ready()); err != nil {
 			return err
 		}
 	}
-	r.noteLeadership()
+	r.recordLeadershipChange()
 	r.publishState()
-	return r.maybeSnapshot()
+	return r.snapshotIfDue()
 }
 
-func (r *Runner) process(d Ready) error {
-	r.sendAll(d.AppendFirst)
-	if d.Install != nil {
-		if err := r.install(*d.Install, d.HardState); err != nil {
+func (r *Runner) processReady(d Ready) error {
+	r.sendMessages(d.MessagesBeforeSync)
+	if d.Snapshot != nil {
+		if err := r.installSnapshot(*d.Snapshot, d.HardState); err != nil {
 			return err
 		}
 	}
-	if err := r.store.Save(d.HardState, d.Changed, d.Entries); err != nil {
+	if err := r.store.Save(d.HardState, d.HardStateChanged, d.Entries); err != nil {
 		return err
 	}
 	if n := len(d.Entries); n > 0 {
 		r.replica.Persisted(d.Entries[n-1].index, d.Entries[n-1].term)
 	}
-	r.sendAll(d.Messages)
-	r.apply(d.Committed)
-	r.confirmed = append(r.confirmed, d.Reads...)
-	r.answerReads()
+	r.sendMessages(d.MessagesAfterSync)
+	r.applyEntries(d.Committed)
+	r.confirmedReads = append(r.confirmedReads, d.Reads...)
+	r.replyToReads()
 	return nil
 }
 
-func (r *Runner) sendAll(messages []Message) {
+func (r *Runner) sendMessages(messages []Message) {
 	for _, m := range messages {
 		// A learner answers a leader that it does not know of yet: the address
 		// is then empty, and Send answers where the message came from.
-		to, _ := r.replica.voter(m.to)
+		to, _ := r.replica.member(m.to)
 		r.config.Send(m.to, to.address, m)
 	}
 }
 
-func (r *Runner) install(s Snapshot, hard HardState) error {
+func (r *Runner) installSnapshot(s Snapshot, hard HardState) error {
 	if err := r.store.SaveSnapshot(s, hard, s.index, s.term, nil); err != nil {
 		return err
 	}
@@ -137,95 +137,95 @@
 		return err
 	}
 	r.applied, r.lastSnapshot = s.index, s.index
-	r.abandonWaiting()
+	r.failPending()
 	return nil
 }
 
-func (r *Runner) apply(entries []Entry) {
+func (r *Runner) applyEntries(entries []Entry) {
 	for _, e := range entries {
 		var value any
 		switch e.kind {
 		case EntryCommand:
 			value = r.config.Machine.Apply(e.index, e.data)
-		case EntryVoters:
-			r.config.Record(event.VoterChanged, string(r.config.Self.Member()), describeVoters(decodeVoters(e.data)))
+		case EntryMembers:
+			r.config.Record(event.VoterChanged, string(r.config.Self.MemberID()), describeMembers(decodeMembers(e.data)))
 		}
 		r.applied = e.index
 		r.appliedBytes += len(e.data)
-		r.answerProposal(e, value)
+		r.replyToProposal(e, value)
 	}
 }
 
-// answerProposal answers who proposed the entry, if it was proposed here.
-func (r *Runner) answerProposal(e Entry, value any) {
-	w, ok := r.waiting[e.index]
+// replyToProposal answers who proposed the entry, if it was proposed here.
+func (r *Runner) replyToProposal(e Entry, value any) {
+	w, ok := r.pendingProposals[e.index]
 	if !ok {
 		return
 	}
-	delete(r.waiting, e.index)
+	delete(r.pendingProposals, e.index)
 	if w.term != e.term {
 		// Another leader's entry took the place: ours will never commit.
-		w.answer <- result{err: failure.New(failure.NotLeader, "the lead changed before the entry was accepted")}
+		w.reply <- result{err: failure.New(failure.NotLeader, "the lead changed before the entry was accepted")}
 		return
 	}
-	w.answer <- result{value: value}
+	w.reply <- result{value: value}
 }
 
-func (r *Runner) answerReads() {
-	rest := r.confirmed[:0]
-	for _, read := range r.confirmed {
+func (r *Runner) replyToReads() {
+	rest := r.confirmedReads[:0]
+	for _, read := range r.confirmedReads {
 		if read.Index > r.applied {
 			rest = append(rest, read)
 			continue
 		}
-		if answer := r.reads[read.ID]; answer != nil {
+		if answer := r.pendingReads[read.ID]; answer != nil {
 			answer <- result{}
-			delete(r.reads, read.ID)
+			delete(r.pendingReads, read.ID)
 		}
 	}
-	r.confirmed = rest
+	r.confirmedReads = rest
 }
 
-// noteLeadership records changes of the lead, and on losing it answers all who
+// recordLeadershipChange records changes of the lead, and on losing it answers all who
 // wait: their entries may or may not be accepted by the next leader.
-func (r *Runner) noteLeadership() {
+func (r *Runner) recordLeadershipChange() {
 	leads := r.replica.Role() == Leader
 	if leads == r.wasLeader {
 		return
 	}
 	r.wasLeader = leads
-	self := string(r.config.Self.Member())
+	self := string(r.config.Self.MemberID())
 	if leads {
 		r.config.Record(event.LeaderElected, self, describeTerm(r.replica.Term()))
 		return
 	}
 	r.config.Record(event.LeaderLost, self, describeTerm(r.replica.Term()))
-	r.abandonWaiting()
+	r.failPending()
 }
 
-func (r *Runner) abandonWaiting() {
+func (r *Runner) failPending() {
 	lost := failure.New(failure.NoQuorum, "the lead was lost before a quorum answered").WithRan(failure.RanUnknown)
-	for index, w := range r.waiting {
-		w.answer <- result{err: lost}
-		delete(r.waiting, index)
+	for index, w := range r.pendingProposals {
+		w.reply <- result{err: lost}
+		delete(r.pendingProposals, index)
 	}
-	for id, answer := range r.reads {
+	for id, answer := range r.pendingReads {
 		answer <- result{err: lost.WithRan(failure.NotRun)}
-		delete(r.reads, id)
+		delete(r.pendingReads, id)
 	}
-	r.confirmed = nil
+	r.confirmedReads = nil
 }
 
-func (r *Runner) maybeSnapshot() error {
+func (r *Runner) snapshotIfDue() error {
 	every := r.config.SnapshotEvery
 	if every == 0 {
 		every = DefaultSnapshotEvery
 	}
-	most := snapshotBytes
-	if r.joining {
-		most = joiningBytes
+	most := snapshotThreshold
+	if r.memberAdded {
+		most = newMemberSnapshotThreshold
 	}
-	r.joining = false
+	r.memberAdded = false
 	if r.applied == r.lastSnapshot || (r.applied-r.lastSnapshot < every && r.appliedBytes < most) {
 		return nil
 	}
@@ -236,7 +236,7 @@
 	s := r.replica.MakeSnapshot(r.applied, state)
 	entries := r.replica.Compact(s)
 	r.lastSnapshot, r.appliedBytes = s.index, 0
-	return r.store.SaveSnapshot(s, r.replica.hard, r.replica.log.beforeIndex, r.replica.log.beforeTerm, entries)
+	return r.store.SaveSnapshot(s, r.replica.hardState, r.replica.log.baseIndex, r.replica.log.baseTerm, entries)
 }
 
 // publishState makes the state after a step readable without a wait.
@@ -246,18 +246,18 @@
 		Term:    r.replica.Term(),
 		Commit:  r.replica.Commit(),
 		Applied: r.applied,
-		Voters:  copyVoters(r.replica.Voters()),
+		Members: copyMembers(r.replica.Members()),
 	}
-	if leader, ok := r.replica.voter(r.replica.Leader()); ok {
+	if leader, ok := r.replica.member(r.replica.Leader()); ok {
 		s.Leader = leader
 	}
 	if s.Role == Leader {
-		s.Match, s.Unheard = map[MemberID]uint64{}, map[MemberID]int{}
-		for _, v := range s.Voters {
-			s.Match[v.Member()] = r.replica.matchOf(v.Member())
-			s.Unheard[v.Member()] = r.replica.unheard(v.Member())
+		s.Match, s.TicksSinceResponse = map[MemberID]uint64{}, map[MemberID]int{}
+		for _, v := range s.Members {
+			s.Match[v.MemberID()] = r.replica.matchOf(v.MemberID())
+			s.TicksSinceResponse[v.MemberID()] = r.replica.ticksSinceResponse(v.MemberID())
 		}
-		s.Commits = r.replica.mayChangeVoters() == nil
+		s.CanChangeMembers = r.replica.checkMemberChange() == nil
 	}
 	r.state.Store(&s)
 }
--- a/pkg/controllog/scripted_test.go
+++ b/pkg/controllog/scripted_test.go
@@ -13,35 +13,35 @@
 	"github.com/tidepost/tidepost/pkg/vm"
 )
 
-// scripted returns a cluster whose members all vote, with entry-1 leading.
-func scripted(t *testing.T, size int, faults Faults) *simulatedCluster {
+// newVotingCluster returns a cluster whose members all vote, with entry-1 leading.
+func newVotingCluster(t *testing.T, size int, faults Faults) *simulatedCluster {
 	t.Helper()
 	c := newSimulatedCluster(rand.New(rand.NewPCG(1, 1)), size, faults, false)
 	first := c.members[0]
 	if err := first.runner.replica.Bootstrap(first.self); err != nil {
 		t.Fatal(err)
 	}
-	c.carryOut(first)
+	c.processAllReady(first)
 	for _, m := range c.members[1:] {
-		if err := first.runner.replica.AddVoter(m.self); err != nil {
+		if err := first.runner.replica.AddMember(m.self); err != nil {
 			t.Fatal(err)
 		}
-		c.carryOut(first)
+		c.processAllReady(first)
 		for range 3 * DefaultHeartbeatTicks {
 			c.tick(first)
-			c.pump(everybody)
+			c.deliverAllowed(allMessages)
 		}
 	}
-	if n := countVoters(first.runner.replica.Voters()); n != size {
+	if n := countVoters(first.runner.replica.Members()); n != size {
 		t.Fatalf("%d of %d members vote", n, size)
 	}
 	return c
 }
 
-func everybody(Message) bool { return true }
+func allMessages(Message) bool { return true }
 
-// between allows messages among the named members only.
-func between(names ...vm.ID) func(Message) bool {
+// messagesAmong allows messages among the named members only.
+func messagesAmong(names ...vm.ID) func(Message) bool {
 	among := map[vm.ID]bool{}
 	for _, n := range names {
 		among[n] = true
@@ -49,12 +49,12 @@
 	return func(m Message) bool { return among[m.from.VM()] && among[m.to.VM()] }
 }
 
-// pump delivers what is allowed, in order, and drops the rest, until nothing
+// deliverAllowed delivers what is allowed, in order, and drops the rest, until nothing
 // waits.
-func (c *simulatedCluster) pump(allow func(Message) bool) {
-	for len(c.wire) > 0 {
-		if !allow(c.wire[0]) {
-			c.wire = c.wire[1:]
+func (c *simulatedCluster) deliverAllowed(allow func(Message) bool) {
+	for len(c.inFlight) > 0 {
+		if !allow(c.inFlight[0]) {
+			c.inFlight = c.inFlight[1:]
 			continue
 		}
 		c.deliver(0, false)
@@ -62,17 +62,17 @@
 }
 
 // campaign has a member campaign now.
-func (c *simulatedCluster) campaign(m *simulated) {
+func (c *simulatedCluster) campaign(m *simulatedMember) {
 	m.runner.replica.campaign()
-	c.carryOut(m)
+	c.processAllReady(m)
 }
 
 // ----------------------------------------------------------------
 
-// twoCandidates has two members campaign in one term before a common voter
+// runTwoCandidates has two members campaign in one term before a common voter
 // hears of either.
-func twoCandidates(t *testing.T, faults Faults) string {
-	c := scripted(t, 3, faults)
+func runTwoCandidates(t *testing.T, faults Faults) string {
+	c := newVotingCluster(t, 3, faults)
 	c.crash(c.members[0])
 	c.start(c.members[0])
 	for _, m := range c.members {
@@ -80,31 +80,31 @@
 	}
 	c.campaign(c.members[1])
 	c.campaign(c.members[2])
-	c.pump(func(m Message) bool {
-		return between("entry-1", "entry-2")(m) || between("entry-1", "entry-3")(m)
+	c.deliverAllowed(func(m Message) bool {
+		return messagesAmong("entry-1", "entry-2")(m) || messagesAmong("entry-1", "entry-3")(m)
 	})
-	return c.broken
+	return c.violation
 }
 
-func TestOneVoteATerm(t *testing.T) {
-	if broken := twoCandidates(t, Faults{}); broken != "" {
+func TestOneVotePerTerm(t *testing.T) {
+	if broken := runTwoCandidates(t, Faults{}); broken != "" {
 		t.Errorf("with the safeguard: %s", broken)
 	}
-	if broken := twoCandidates(t, Faults{VoteTwice: true}); !strings.Contains(broken, "has the leaders") {
+	if broken := runTwoCandidates(t, Faults{VoteTwice: true}); !strings.Contains(broken, "has the leaders") {
 		t.Errorf("without the safeguard: %q", broken)
 	}
 }
 
-// oldTermOnMajority is figure 8 of the Raft paper: an entry of an old term
+// runOldTermOnMajority is figure 8 of the Raft paper: an entry of an old term
 // reaches a majority under a later leader, who is lost before any entry of its
 // own term does.
-func oldTermOnMajority(t *testing.T, faults Faults) string {
-	c := scripted(t, 5, faults)
+func runOldTermOnMajority(t *testing.T, faults Faults) string {
+	c := newVotingCluster(t, 5, faults)
 	s1, s5 := c.members[0], c.members[4]
 
 	// s1 appends a large entry, so that it travels alone, and reaches s2 only.
 	c.write(s1, "k", strings.Repeat("x", maxAppendBytes+1))
-	c.pump(between("entry-1", "entry-2"))
+	c.deliverAllowed(messagesAmong("entry-1", "entry-2"))
 	c.crash(s1)
 
 	// s5 leads with the votes of s3 and s4, and appends without reaching them.
@@ -112,8 +112,8 @@
 		m.runner.replica.becomeFollower(m.runner.replica.Term(), "")
 	}
 	c.campaign(s5)
-	c.pump(func(m Message) bool {
-		return m.kind != MessageAppend && between("entry-3", "entry-4", "entry-5")(m)
+	c.deliverAllowed(func(m Message) bool {
+		return m.kind != MessageAppend && messagesAmong("entry-3", "entry-4", "entry-5")(m)
 	})
 	c.crash(s5)
 
@@ -122,20 +122,20 @@
 	for _, m := range c.members[1:4] {
 		m.runner.replica.becomeFollower(m.runner.replica.Term(), "")
 	}
-	s1.runner.replica.hard.term = c.members[2].runner.replica.Term()
+	s1.runner.replica.hardState.term = c.members[2].runner.replica.Term()
 	c.campaign(s1)
 	withoutOwn := func(m Message) bool {
 		own := false
 		for _, e := range m.entries {
 			own = own || e.term == s1.runner.replica.Term()
 		}
-		return !own && between("entry-1", "entry-2", "entry-3")(m)
+		return !own && messagesAmong("entry-1", "entry-2", "entry-3")(m)
 	}
 	for range 2 * DefaultHeartbeatTicks {
-		c.pump(withoutOwn)
+		c.deliverAllowed(withoutOwn)
 		c.tick(s1)
 	}
-	c.pump(withoutOwn)
+	c.deliverAllowed(withoutOwn)
 	c.crash(s1)
 
 	// s5 comes back, leads, and replaces that entry everywhere.
@@ -143,63 +143,63 @@
 	for _, m := range c.members[1:4] {
 		m.runner.replica.becomeFollower(m.runner.replica.Term(), "")
 	}
-	s5.runner.replica.hard.term = c.members[2].runner.replica.Term()
+	s5.runner.replica.hardState.term = c.members[2].runner.replica.Term()
 	c.campaign(s5)
 	for range 3 * DefaultHeartbeatTicks {
-		c.pump(between("entry-2", "entry-3", "entry-4", "entry-5"))
+		c.deliverAllowed(messagesAmong("entry-2", "entry-3", "entry-4", "entry-5"))
 		c.tick(s5)
 	}
-	c.settle()
-	return c.broken
+	c.recoverAll()
+	return c.violation
 }
 
-func TestOnlyOwnTermIsCounted(t *testing.T) {
-	if broken := oldTermOnMajority(t, Faults{}); broken != "" {
+func TestOnlyCurrentTermEntriesAreCounted(t *testing.T) {
+	if broken := runOldTermOnMajority(t, Faults{}); broken != "" {
 		t.Errorf("with the safeguard: %s", broken)
 	}
-	if broken := oldTermOnMajority(t, Faults{CommitOldTerms: true}); broken == "" {
+	if broken := runOldTermOnMajority(t, Faults{CommitOldTerms: true}); broken == "" {
 		t.Error("without the safeguard nothing was noticed")
 	}
 }
 
-// TestLostDiskIsAnotherVoter replaces a voter that lost its disk and then
+// TestLostDiskIsAnotherMember replaces a voter that lost its disk and then
 // loses a second VM: a quorum is left.
-func TestLostDiskIsAnotherVoter(t *testing.T) {
-	c := scripted(t, 3, Faults{})
+func TestLostDiskIsAnotherMember(t *testing.T) {
+	c := newVotingCluster(t, 3, Faults{})
 	leader := c.members[0]
 	lost := c.members[1]
-	old := lost.self.Member()
-	renewed := c.wipe(lost)
-	if renewed.self.Member() == old {
+	old := lost.self.MemberID()
+	renewed := c.replaceDisk(lost)
+	if renewed.self.MemberID() == old {
 		t.Fatal("an emptied disk kept its identity")
 	}
-	if err := leader.runner.replica.AddVoter(renewed.self); err != nil {
+	if err := leader.runner.replica.AddMember(renewed.self); err != nil {
 		t.Fatal(err)
 	}
-	c.carryOut(leader)
+	c.processAllReady(leader)
 	for range 6 * DefaultHeartbeatTicks {
 		c.tick(leader)
-		c.pump(everybody)
+		c.deliverAllowed(allMessages)
 	}
-	voters := leader.runner.replica.Voters()
-	if _, there := leader.runner.replica.voter(old); there || countVoters(voters) != 3 {
-		t.Fatalf("after the repair the voters are %s", describeVoters(voters))
+	voters := leader.runner.replica.Members()
+	if _, there := leader.runner.replica.member(old); there || countVoters(voters) != 3 {
+		t.Fatalf("after the repair the voters are %s", describeMembers(voters))
 	}
 	c.crash(leader)
 	for range 200 {
 		for _, m := range c.members {
 			c.tick(m)
 		}
-		c.pump(everybody)
+		c.deliverAllowed(allMessages)
 	}
 	if c.leader() == nil {
 		t.Fatal("no leader after a second VM was lost right after the repair")
 	}
 }
 
-// TestDamagedLogIsRefusedAndTornTailIsCut tells the two kinds of damage apart.
-func TestDamagedLogIsRefusedAndTornTailIsCut(t *testing.T) {
-	c := scripted(t, 1, Faults{})
+// TestDamagedLogIsRefusedAndTornTailIsTruncated tells the two kinds of damage apart.
+func TestDamagedLogIsRefusedAndTornTailIsTruncated(t *testing.T) {
+	c := newVotingCluster(t, 1, Faults{})
 	m := c.members[0]
 	for range 5 {
 		c.write(m, "k", "v")
@@ -225,11 +225,11 @@
 // TestFailedSyncStopsTheVoter shows that a voter whose disk fails promises
 // nothing more.
 func TestFailedSyncStopsTheVoter(t *testing.T) {
-	c := scripted(t, 1, Faults{})
+	c := newVotingCluster(t, 1, Faults{})
 	m := c.members[0]
 	m.disk.FailSync = func(string) error { return errDisk }
 	c.write(m, "k", "v")
-	c.collect()
+	c.collectResults()
 	if m.runner != nil {
 		t.Fatal("the voter goes on after a failed sync")
 	}
@@ -247,7 +247,7 @@
 		for _, m := range c.members {
 			c.tick(m)
 		}
-		c.pump(everybody)
+		c.deliverAllowed(allMessages)
 	}
 	if c.leader() != nil {
 		t.Fatal("empty folders formed a cluster")
--- a/pkg/controllog/snapshot.go
+++ b/pkg/controllog/snapshot.go
@@ -22,26 +22,26 @@
 // MakeSnapshot returns a snapshot of state as of an applied index.
 func (r *Replica) MakeSnapshot(index uint64, state []byte) Snapshot {
 	term, _ := r.log.term(index)
-	return Snapshot{index: index, term: term, voters: r.votersAtIndex(index), state: state}
+	return Snapshot{index: index, term: term, members: r.membersAt(index), state: state}
 }
 
 // Compact takes a stored snapshot in place of the entries that it covers, and
 // returns the entries that stay.
 func (r *Replica) Compact(s Snapshot) []Entry {
 	r.snapshot = s
-	r.log.compact(r.log.trailing(s.index, trailingEntries, trailingBytes))
-	r.rebuildHistory()
+	r.log.compact(r.log.compactIndex(s.index, trailingEntries, trailingBytes))
+	r.rebuildMemberHistory()
 	return r.log.entries
 }
 
 // ----------------------------------------------------------------
 // Leader
 
-// snapshotIsShorter tells whether the snapshot is less than half the bytes of the entries from an
+// snapshotIsSmaller tells whether the snapshot is less than half the bytes of the entries from an
 // index on that it stands for. Of a log of whole configurations one counts: sent entry by
 // entry to a member with an empty disk it was twenty times the state, and the voters were
 // whole again after up to 6 s.
-func (r *Replica) snapshotIsShorter(from uint64) bool {
+func (r *Replica) snapshotIsSmaller(from uint64) bool {
 	if from > r.snapshot.index {
 		return false
 	}
@@ -59,20 +59,20 @@
 		return
 	}
 	s := r.snapshot
-	p.sending, p.encoded, p.sentOffset, p.beatOffset = &s, encoded, 0, -1
+	p.outgoingSnapshot, p.encodedSnapshot, p.sentOffset, p.lastOffset = &s, encoded, 0, -1
 	r.sendSnapshotPart(to, 0)
 }
 
 func (r *Replica) sendSnapshotPart(to MemberID, offset int64) {
 	p := r.progress[to]
-	end := min(offset+snapshotPartSize, int64(len(p.encoded)))
+	end := min(offset+snapshotPartSize, int64(len(p.encodedSnapshot)))
 	if offset < 0 || offset > end {
 		return
 	}
 	p.sentOffset = offset
 	r.send(Message{kind: MessageSnapshot, to: to, snapshot: SnapshotPart{
-		index: p.sending.index, term: p.sending.term, offset: offset,
-		data: p.encoded[offset:end], last: end == int64(len(p.encoded)),
+		index: p.outgoingSnapshot.index, term: p.outgoingSnapshot.term, offset: offset,
+		data: p.encodedSnapshot[offset:end], last: end == int64(len(p.encodedSnapshot)),
 	}})
 }
 
@@ -80,22 +80,22 @@
 // heartbeat: one that has just gone out is on its way.
 func (r *Replica) resendSnapshotPart(to MemberID) {
 	p := r.progress[to]
-	if p.sending == nil {
+	if p.outgoingSnapshot == nil {
 		return
 	}
-	if p.beatOffset == p.sentOffset {
+	if p.lastOffset == p.sentOffset {
 		r.sendSnapshotPart(to, p.sentOffset)
 	}
-	p.beatOffset = p.sentOffset
+	p.lastOffset = p.sentOffset
 }
 
-func (r *Replica) stepSnapshotAnswer(m Message) {
+func (r *Replica) stepSnapshotResponse(m Message) {
 	p := r.progress[m.from]
 	if r.role != Leader || p == nil {
 		return
 	}
-	r.heard(p)
-	if p.sending == nil || p.sending.index != m.snapshot.index {
+	r.recordResponse(p)
+	if p.outgoingSnapshot == nil || p.outgoingSnapshot.index != m.snapshot.index {
 		return
 	}
 	if !m.snapshot.last {
@@ -107,7 +107,7 @@
 	}
 	p.match = max(p.match, m.index)
 	p.next = p.match + 1
-	p.sending, p.encoded = nil, nil
+	p.outgoingSnapshot, p.encodedSnapshot = nil, nil
 	r.advanceCommit()
 	r.sendAppend(m.from)
 }
@@ -118,55 +118,55 @@
 func (r *Replica) stepSnapshot(m Message) {
 	r.followLeader(m)
 	part := m.snapshot
-	if r.holds(part) {
-		r.advanceTo(part.index)
-		r.answerSnapshot(m, SnapshotPart{index: part.index, last: true})
+	if r.coversSnapshot(part) {
+		r.advanceCommitTo(part.index)
+		r.sendSnapshotResponse(m, SnapshotPart{index: part.index, last: true})
 		return
 	}
-	if part.offset == 0 || part.index != r.incomingIndex {
-		r.incoming, r.incomingIndex = nil, part.index
+	if part.offset == 0 || part.index != r.incomingSnapshotIndex {
+		r.incomingSnapshot, r.incomingSnapshotIndex = nil, part.index
 	}
-	if part.offset == int64(len(r.incoming)) {
-		r.incoming = append(r.incoming, part.data...)
+	if part.offset == int64(len(r.incomingSnapshot)) {
+		r.incomingSnapshot = append(r.incomingSnapshot, part.data...)
 	}
-	complete := part.last && part.offset+int64(len(part.data)) == int64(len(r.incoming))
+	complete := part.last && part.offset+int64(len(part.data)) == int64(len(r.incomingSnapshot))
 	if !complete {
-		r.answerSnapshot(m, SnapshotPart{index: part.index, offset: int64(len(r.incoming))})
+		r.sendSnapshotResponse(m, SnapshotPart{index: part.index, offset: int64(len(r.incomingSnapshot))})
 		return
 	}
-	if !r.install() {
+	if !r.installReceivedSnapshot() {
 		return
 	}
-	r.answerSnapshot(m, SnapshotPart{index: part.index, last: true})
+	r.sendSnapshotResponse(m, SnapshotPart{index: part.index, last: true})
 }
 
-// holds tells whether the log has all that a snapshot stands for. A member that knows of
+// coversSnapshot tells whether the log has all that a snapshot stands for. A member that knows of
 // fewer commits than there are keeps what it has then: to start its log anew from the
 // snapshot would drop entries behind it that a quorum was counted with.
-func (r *Replica) holds(part SnapshotPart) bool {
+func (r *Replica) coversSnapshot(part SnapshotPart) bool {
 	term, known := r.log.term(part.index)
-	return part.index <= r.hard.commit || known && term == part.term
+	return part.index <= r.hardState.commit || known && term == part.term
 }
 
-func (r *Replica) answerSnapshot(m Message, part SnapshotPart) {
-	r.send(Message{kind: MessageSnapshotAnswer, to: m.from, index: r.hard.commit, snapshot: part})
+func (r *Replica) sendSnapshotResponse(m Message, part SnapshotPart) {
+	r.send(Message{kind: MessageSnapshotResponse, to: m.from, index: r.hardState.commit, snapshot: part})
 }
 
-// install takes the received snapshot over; the shell stores it before the
+// installReceivedSnapshot takes the received snapshot over; the shell stores it before the
 // answer goes out.
-func (r *Replica) install() bool {
+func (r *Replica) installReceivedSnapshot() bool {
 	var s Snapshot
-	err := msgpack.Unmarshal(r.incoming, &s)
-	r.incoming, r.incomingIndex = nil, 0
-	if err != nil || s.index <= r.hard.commit {
+	err := msgpack.Unmarshal(r.incomingSnapshot, &s)
+	r.incomingSnapshot, r.incomingSnapshotIndex = nil, 0
+	if err != nil || s.index <= r.hardState.commit {
 		return false
 	}
 	r.snapshot = s
 	r.log.reset(s.index, s.term)
-	r.stable = s.index
-	r.applied = s.index
-	r.history = nil
-	r.hard.commit = s.index
-	r.installSnapshot = &s
+	r.stableIndex = s.index
+	r.appliedIndex = s.index
+	r.memberHistory = nil
+	r.hardState.commit = s.index
+	r.snapshotToInstall = &s
 	return true
 }
--- a/pkg/controllog/step.go
+++ b/pkg/controllog/step.go
@@ -4,18 +4,18 @@
 
 package controllog
 
-// steps is the table of handlers.
-var steps = map[MessageKind]func(*Replica, Message) error{
-	MessagePreVote:         func(r *Replica, m Message) error { r.stepVote(m); return nil },
-	MessageVote:            func(r *Replica, m Message) error { r.stepVote(m); return nil },
-	MessagePreVoteAnswer:   func(r *Replica, m Message) error { r.stepVoteAnswer(m); return nil },
-	MessageVoteAnswer:      func(r *Replica, m Message) error { r.stepVoteAnswer(m); return nil },
-	MessageAppend:          (*Replica).stepAppend,
-	MessageAppendAnswer:    func(r *Replica, m Message) error { r.stepAppendAnswer(m); return nil },
-	MessageHeartbeat:       func(r *Replica, m Message) error { r.stepHeartbeat(m); return nil },
-	MessageHeartbeatAnswer: func(r *Replica, m Message) error { r.stepHeartbeatAnswer(m); return nil },
-	MessageSnapshot:        func(r *Replica, m Message) error { r.stepSnapshot(m); return nil },
-	MessageSnapshotAnswer:  func(r *Replica, m Message) error { r.stepSnapshotAnswer(m); return nil },
+// messageHandlers is the table of handlers.
+var messageHandlers = map[MessageKind]func(*Replica, Message) error{
+	MessagePreVote:           func(r *Replica, m Message) error { r.stepVote(m); return nil },
+	MessageVote:              func(r *Replica, m Message) error { r.stepVote(m); return nil },
+	MessagePreVoteResponse:   func(r *Replica, m Message) error { r.stepVoteResponse(m); return nil },
+	MessageVoteResponse:      func(r *Replica, m Message) error { r.stepVoteResponse(m); return nil },
+	MessageAppend:            (*Replica).stepAppend,
+	MessageAppendResponse:    func(r *Replica, m Message) error { r.stepAppendResponse(m); return nil },
+	MessageHeartbeat:         func(r *Replica, m Message) error { r.stepHeartbeat(m); return nil },
+	MessageHeartbeatResponse: func(r *Replica, m Message) error { r.stepHeartbeatResponse(m); return nil },
+	MessageSnapshot:          func(r *Replica, m Message) error { r.stepSnapshot(m); return nil },
+	MessageSnapshotResponse:  func(r *Replica, m Message) error { r.stepSnapshotResponse(m); return nil },
 }
 
 // Step takes a message in. It returns an error only when an invariant broke;
@@ -24,32 +24,32 @@
 	if m.to != r.config.Self && !r.config.Faults.AnyIncarnation {
 		return nil
 	}
-	if m.term > r.hard.term {
-		if !r.enterTerm(m) {
+	if m.term > r.hardState.term {
+		if !r.adoptTerm(m) {
 			return nil
 		}
-	} else if m.term < r.hard.term {
-		r.answerOldTerm(m)
+	} else if m.term < r.hardState.term {
+		r.rejectOldTerm(m)
 		return nil
 	}
-	step := steps[m.kind]
+	step := messageHandlers[m.kind]
 	if step == nil {
 		return nil
 	}
 	return step(r, m)
 }
 
-// enterTerm takes a later term over, and tells whether to go on with m.
-func (r *Replica) enterTerm(m Message) bool {
+// adoptTerm takes a later term over, and tells whether to go on with m.
+func (r *Replica) adoptTerm(m Message) bool {
 	switch m.kind {
 	case MessagePreVote:
 		return true
-	case MessagePreVoteAnswer:
+	case MessagePreVoteResponse:
 		if !m.reject {
 			return true
 		}
 	case MessageVote:
-		if r.hearsLeader() {
+		if r.hasActiveLeader() {
 			return false
 		}
 	}
@@ -61,13 +61,13 @@
 	return true
 }
 
-// answerOldTerm tells a sender of an earlier term which one it is now.
-func (r *Replica) answerOldTerm(m Message) {
+// rejectOldTerm tells a sender of an earlier term which one it is now.
+func (r *Replica) rejectOldTerm(m Message) {
 	switch {
 	case fromLeader(m.kind):
-		r.send(Message{kind: MessageHeartbeatAnswer, to: m.from, reject: true})
+		r.send(Message{kind: MessageHeartbeatResponse, to: m.from, reject: true})
 	case m.kind == MessagePreVote:
-		r.send(Message{kind: MessagePreVoteAnswer, to: m.from, reject: true})
+		r.send(Message{kind: MessagePreVoteResponse, to: m.from, reject: true})
 	}
 }
 
@@ -84,5 +84,5 @@
 		r.becomeFollower(m.term, m.from)
 	}
 	r.leader = m.from
-	r.ticks = 0
+	r.ticksSinceReset = 0
 }
--- a/pkg/controllog/store.go
+++ b/pkg/controllog/store.go
@@ -33,10 +33,10 @@
 
 // Store keeps a member's log on disk. It is used by one goroutine.
 type Store struct {
-	folder   *disk.Folder
-	file     *disk.File
-	sequence uint64
-	broken   error
+	folder     *disk.Folder
+	file       *disk.File
+	sequence   uint64
+	writeError error
 }
 
 // Repair says what was cut from the end of a log when it was opened.
@@ -46,10 +46,10 @@
 	Bytes int
 }
 
-// Identity returns the incarnation of a data folder. An empty folder is
+// LoadOrCreateIncarnation returns the incarnation of a data folder. An empty folder is
 // formatted: it gets a new incarnation, since what the VM's old disk held is
 // not there any more.
-func Identity(folder *disk.Folder) (uint64, error) {
+func LoadOrCreateIncarnation(folder *disk.Folder) (uint64, error) {
 	raw, err := folder.Read(identityFile)
 	if errors.Is(err, os.ErrNotExist) {
 		incarnation := vm.FreshIncarnation()
@@ -66,14 +66,14 @@
 }
 
 // OpenStore reads what the folder holds and opens it for writing.
-func OpenStore(folder *disk.Folder) (*Store, Stored, Repair, error) {
+func OpenStore(folder *disk.Folder) (*Store, StoredState, Repair, error) {
 	s := &Store{folder: folder}
-	var stored Stored
+	var stored StoredState
 	var repair Repair
 	if err := s.readSnapshot(&stored); err != nil {
 		return nil, stored, repair, err
 	}
-	name, err := s.currentLog()
+	name, err := s.newestLog()
 	if err != nil {
 		return nil, stored, repair, err
 	}
@@ -81,7 +81,7 @@
 	return s, stored, repair, err
 }
 
-func (s *Store) readSnapshot(stored *Stored) error {
+func (s *Store) readSnapshot(stored *StoredState) error {
 	raw, err := s.folder.Read(snapshotFile)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil
@@ -96,9 +96,9 @@
 	return msgpack.Unmarshal(body, &stored.Snapshot)
 }
 
-// currentLog returns the log file with the highest number; the others are
+// newestLog returns the log file with the highest number; the others are
 // left over from a compaction that was interrupted.
-func (s *Store) currentLog() (string, error) {
+func (s *Store) newestLog() (string, error) {
 	names, err := s.folder.List()
 	if err != nil {
 		return "", err
@@ -118,12 +118,12 @@
 
 func (s *Store) logName() string { return fmt.Sprintf("%s%07d", logPrefix, s.sequence) }
 
-func (s *Store) readLog(name string, stored *Stored) (Repair, error) {
+func (s *Store) readLog(name string, stored *StoredState) (Repair, error) {
 	raw, err := s.folder.Read(name)
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
 		return Repair{}, err
 	}
-	good, err := readRecords(name, raw, stored.take)
+	good, err := readRecords(name, raw, stored.addRecord)
 	if err != nil {
 		return Repair{}, err
 	}
@@ -144,11 +144,11 @@
 	return repair, s.file.Sync()
 }
 
-// take adds a record to what is stored.
-func (s *Stored) take(kind recordKind, body []byte) error {
+// addRecord adds a record to what is stored.
+func (s *StoredState) addRecord(kind recordKind, body []byte) error {
 	switch kind {
 	case recordBase:
-		var b base
+		var b logBase
 		if err := msgpack.Unmarshal(body, &b); err != nil {
 			return err
 		}
@@ -161,15 +161,15 @@
 		if err := msgpack.Unmarshal(body, &e); err != nil {
 			return err
 		}
-		return s.takeEntry(e)
+		return s.addEntry(e)
 	default:
 		return errors.Errorf("record of unknown kind %d", kind)
 	}
 }
 
-// takeEntry appends an entry; one with an index that is there already voids
+// addEntry appends an entry; one with an index that is there already voids
 // that one and all behind it.
-func (s *Stored) takeEntry(e Entry) error {
+func (s *StoredState) addEntry(e Entry) error {
 	next := s.BaseIndex + uint64(len(s.Entries)) + 1
 	if e.index > next || e.index <= s.BaseIndex {
 		return errors.Errorf("entry %d follows entry %d", e.index, next-1)
@@ -184,47 +184,47 @@
 // Save writes a hard state (when changed, and with entries, so that the commit
 // index on disk lags by no more than one write) and entries, and syncs them.
 func (s *Store) Save(hard HardState, changed bool, entries []Entry) error {
-	if s.broken != nil {
-		return s.broken
+	if s.writeError != nil {
+		return s.writeError
 	}
 	var buffer []byte
 	var err error
 	if changed || len(entries) > 0 {
 		if buffer, err = appendRecord(buffer, recordHardState, hard); err != nil {
-			return s.stop(err)
+			return s.recordError(err)
 		}
 	}
 	for _, e := range entries {
 		if buffer, err = appendRecord(buffer, recordEntry, e); err != nil {
-			return s.stop(err)
+			return s.recordError(err)
 		}
 	}
 	if len(buffer) == 0 {
 		return nil
 	}
 	if err := s.file.Append(buffer); err != nil {
-		return s.stop(err)
+		return s.recordError(err)
 	}
-	return s.stop(s.file.Sync())
+	return s.recordError(s.file.Sync())
 }
 
 // SaveSnapshot stores a snapshot and starts a new log file with the hard state
 // and the entries that stay behind it.
 func (s *Store) SaveSnapshot(snapshot Snapshot, hard HardState, baseIndex, baseTerm uint64, entries []Entry) error {
-	if s.broken != nil {
-		return s.broken
+	if s.writeError != nil {
+		return s.writeError
 	}
 	raw, err := appendRecord(nil, recordBase, snapshot)
 	if err != nil {
-		return s.stop(err)
+		return s.recordError(err)
 	}
 	if err := s.folder.Replace(snapshotFile, raw); err != nil {
-		return s.stop(err)
+		return s.recordError(err)
 	}
-	return s.stop(s.startLog(hard, base{baseIndex, baseTerm}, entries))
+	return s.recordError(s.startLog(hard, logBase{baseIndex, baseTerm}, entries))
 }
 
-func (s *Store) startLog(hard HardState, b base, entries []Entry) error {
+func (s *Store) startLog(hard HardState, b logBase, entries []Entry) error {
 	buffer, err := appendRecord(nil, recordBase, b)
 	if err == nil {
 		buffer, err = appendRecord(buffer, recordHardState, hard)
@@ -249,10 +249,10 @@
 	return s.folder.Remove(old)
 }
 
-// stop remembers the first error; the store refuses every later write.
-func (s *Store) stop(err error) error {
-	if err != nil && s.broken == nil {
-		s.broken = err
+// recordError remembers the first error; the store refuses every later write.
+func (s *Store) recordError(err error) error {
+	if err != nil && s.writeError == nil {
+		s.writeError = err
 	}
 	return err
 }
--- a/pkg/controllog/unsynced_test.go
+++ b/pkg/controllog/unsynced_test.go
@@ -19,47 +19,47 @@
 var errKilled = errors.New("the process was killed before the sync")
 
 // killBeforeSync has a member take an append in and die after the write of it.
-func (c *simulatedCluster) killBeforeSync(t *testing.T, m *simulated, take func()) {
+func (c *simulatedCluster) killBeforeSync(t *testing.T, m *simulatedMember, take func()) {
 	t.Helper()
 	m.disk.FailSync = func(string) error { return errKilled }
 	take()
 	m.disk.FailSync = nil
 	if m.runner != nil {
-		t.Fatalf("%s has not written anything", m.self.Member())
+		t.Fatalf("%s has not written anything", m.self.MemberID())
 	}
 }
 
-// beats lets heartbeats of a leader pass between some members.
-func (c *simulatedCluster) beats(leader *simulated, allow func(Message) bool) {
+// runHeartbeats lets heartbeats of a leader pass between some members.
+func (c *simulatedCluster) runHeartbeats(leader *simulatedMember, allow func(Message) bool) {
 	for range 3 * DefaultHeartbeatTicks {
 		c.tick(leader)
-		c.pump(allow)
+		c.deliverAllowed(allow)
 	}
-	c.collect()
+	c.collectResults()
 }
 
 func TestWrittenBeforeAKillSurvivesLossOfPower(t *testing.T) {
-	c := scripted(t, 3, Faults{})
+	c := newVotingCluster(t, 3, Faults{})
 	s1, s2, s3 := c.members[0], c.members[1], c.members[2]
-	pair := between("entry-1", "entry-2")
+	pair := messagesAmong("entry-1", "entry-2")
 	c.killBeforeSync(t, s2, func() {
 		c.write(s1, "k", "v")
-		c.pump(pair)
+		c.deliverAllowed(pair)
 	})
 	c.start(s2)
 	c.step++
-	c.beats(s1, pair)
+	c.runHeartbeats(s1, pair)
 	if o := c.history[0]; o.end == 0 || o.failed {
 		t.Fatal("the write was not acknowledged: the history shows nothing")
 	}
 
 	// s1 loses its disk, and the others lose power.
-	c.wipe(s1)
-	for _, m := range []*simulated{s2, s3} {
+	c.replaceDisk(s1)
+	for _, m := range []*simulatedMember{s2, s3} {
 		m.runner = nil
 		m.disk.Crash(0)
 	}
-	c.settle()
+	c.recoverAll()
 	leader := c.leader()
 	if leader == nil {
 		t.Fatal("nobody leads")
--- a/pkg/controllog/voters.go
+++ b/pkg/controllog/voters.go
@@ -17,32 +17,32 @@
 	"github.com/tidepost/tidepost/pkg/vm"
 )
 
-// Voters returns the members in force.
-func (r *Replica) Voters() []Voter {
-	if len(r.history) == 0 {
-		return r.snapshot.voters
+// Members returns the members in force.
+func (r *Replica) Members() []Member {
+	if len(r.memberHistory) == 0 {
+		return r.snapshot.members
 	}
-	return r.history[len(r.history)-1].voters
+	return r.memberHistory[len(r.memberHistory)-1].members
 }
 
-func (r *Replica) voter(m MemberID) (Voter, bool) {
-	for _, v := range r.Voters() {
-		if v.Member() == m {
+func (r *Replica) member(m MemberID) (Member, bool) {
+	for _, v := range r.Members() {
+		if v.MemberID() == m {
 			return v, true
 		}
 	}
-	return Voter{}, false
+	return Member{}, false
 }
 
 // quorum tells whether more than half of the voters satisfy the condition.
 func (r *Replica) quorum(holds func(MemberID) bool) bool {
 	voters, yes := 0, 0
-	for _, v := range r.Voters() {
+	for _, v := range r.Members() {
 		if v.learner {
 			continue
 		}
 		voters++
-		if holds(v.Member()) {
+		if holds(v.MemberID()) {
 			yes++
 		}
 	}
@@ -52,92 +52,92 @@
 // ----------------------------------------------------------------
 // Changes
 
-// AddVoter brings a member in as a learner; it is promoted by itself.
-func (r *Replica) AddVoter(v Voter) error {
-	if err := r.mayChangeVoters(); err != nil {
+// AddMember brings a member in as a learner; it is promoted by itself.
+func (r *Replica) AddMember(v Member) error {
+	if err := r.checkMemberChange(); err != nil {
 		return err
 	}
-	if _, ok := r.voter(v.Member()); ok {
-		return failure.New(failure.BadVoterChange, "%s is already a member", v.Member())
+	if _, ok := r.member(v.MemberID()); ok {
+		return failure.New(failure.BadVoterChange, "%s is already a member", v.MemberID())
 	}
 	v.learner = true
-	v.replaces = r.olderLife(v.id)
-	r.changeVoters(append(copyVoters(r.Voters()), v))
+	v.replaces = r.previousIncarnation(v.id)
+	r.changeMembers(append(copyMembers(r.Members()), v))
 	return nil
 }
 
-// olderLife returns the member that is an earlier life of the same VM.
-func (r *Replica) olderLife(id vm.ID) MemberID {
-	for _, v := range r.Voters() {
+// previousIncarnation returns the member that is an earlier life of the same VM.
+func (r *Replica) previousIncarnation(id vm.ID) MemberID {
+	for _, v := range r.Members() {
 		if v.id == id {
-			return v.Member()
+			return v.MemberID()
 		}
 	}
 	return ""
 }
 
-// RemoveVoter takes every life of a VM out.
-func (r *Replica) RemoveVoter(m MemberID) error {
-	if err := r.mayChangeVoters(); err != nil {
+// RemoveMember takes every life of a VM out.
+func (r *Replica) RemoveMember(m MemberID) error {
+	if err := r.checkMemberChange(); err != nil {
 		return err
 	}
-	gone, ok := r.voter(m)
+	gone, ok := r.member(m)
 	if !ok {
 		return failure.New(failure.UnknownObject, "%s is not a member", m)
 	}
-	rest := without(r.Voters(), m)
+	rest := withoutMember(r.Members(), m)
 	if !gone.learner && countVoters(rest) == 0 {
 		return failure.New(failure.BadVoterChange, "%s is the last voter", m)
 	}
-	r.changeVoters(rest)
+	r.changeMembers(rest)
 	return nil
 }
 
-// mayChangeVoters holds a change back until the last one and an entry of the
+// checkMemberChange holds a change back until the last one and an entry of the
 // leader's own term are committed.
-func (r *Replica) mayChangeVoters() error {
+func (r *Replica) checkMemberChange() error {
 	if r.role != Leader {
 		return r.notLeader()
 	}
-	if r.hard.commit < r.firstOfTerm {
+	if r.hardState.commit < r.firstIndexOfTerm {
 		return failure.New(failure.BadVoterChange, "the leader's first entry is not committed yet")
 	}
-	if n := len(r.history); n > 0 && r.history[n-1].index > r.hard.commit {
-		return failure.New(failure.BadVoterChange, "the change at entry %d is not committed yet", r.history[n-1].index)
+	if n := len(r.memberHistory); n > 0 && r.memberHistory[n-1].index > r.hardState.commit {
+		return failure.New(failure.BadVoterChange, "the change at entry %d is not committed yet", r.memberHistory[n-1].index)
 	}
 	return nil
 }
 
-func (r *Replica) changeVoters(voters []Voter) {
-	r.appendVoters(voters)
+func (r *Replica) changeMembers(voters []Member) {
+	r.appendMembers(voters)
 	r.syncProgress()
 	r.broadcastAppend()
 	r.advanceCommit()
 }
 
-func (r *Replica) appendVoters(voters []Voter) {
-	r.appendOwn(EntryVoters, encodeVoters(voters))
-	r.history = append(r.history, votersAt{r.log.last(), voters})
+func (r *Replica) appendMembers(voters []Member) {
+	r.appendEntry(EntryMembers, encodeMembers(voters))
+	r.memberHistory = append(r.memberHistory, indexedMembers{r.log.last(), voters})
 }
 
-// adjustVoters promotes a learner that has caught up and removes the member
+// adjustMembers promotes a learner that has caught up and removes the member
 // that a promoted one replaces.
-func (r *Replica) adjustVoters() {
-	if r.mayChangeVoters() != nil {
+func (r *Replica) adjustMembers() {
+	if r.checkMemberChange() != nil {
 		return
 	}
-	for i, v := range r.Voters() {
-		if v.learner && r.matchOf(v.Member()) >= r.hard.commit {
-			voters := copyVoters(r.Voters())
+	for i, v := range r.Members() {
+		if v.learner && r.matchOf(v.MemberID()) >= r.hardState.commit {
+			voters := copyMembers(r.Members())
 			voters[i].learner = false
-			r.changeVoters(voters)
+			r.changeMembers(voters)
 			return
 		}
 		if v.learner || v.replaces == "" {
 			continue
 		}
-		if _, there := r.voter(v.replaces); there && v.replaces != r.config.Self {
-			r.changeVoters(without(r.Voters(), v.replaces))
+		if _, there := r.member(v.replaces); there && v.replaces != r.config.Self {
+			r.changeMembers(withoutMember(r.Members(), v.replaces))
 			return
 		}
 	}
@@ -145,40 +145,40 @@
 
 // stepDownIfRemoved ends the lead of a member that is a voter no more.
 func (r *Replica) stepDownIfRemoved() {
-	n := len(r.history)
-	if n > 0 && r.history[n-1].index > r.hard.commit {
+	n := len(r.memberHistory)
+	if n > 0 && r.memberHistory[n-1].index > r.hardState.commit {
 		return
 	}
-	if _, ok := r.voter(r.config.Self); !ok {
+	if _, ok := r.member(r.config.Self); !ok {
 		r.broadcastHeartbeat()
-		r.becomeFollower(r.hard.term, "")
+		r.becomeFollower(r.hardState.term, "")
 	}
 }
 
 // ----------------------------------------------------------------
 // History
 
-func (r *Replica) forgetVotersFrom(index uint64) {
-	for len(r.history) > 0 && r.history[len(r.history)-1].index >= index {
-		r.history = r.history[:len(r.history)-1]
+func (r *Replica) dropMembersFrom(index uint64) {
+	for len(r.memberHistory) > 0 && r.memberHistory[len(r.memberHistory)-1].index >= index {
+		r.memberHistory = r.memberHistory[:len(r.memberHistory)-1]
 	}
 }
 
-func (r *Replica) rebuildHistory() {
-	r.history = nil
+func (r *Replica) rebuildMemberHistory() {
+	r.memberHistory = nil
 	for _, e := range r.log.entries {
-		if e.kind == EntryVoters && e.index > r.snapshot.index {
-			r.history = append(r.history, votersAt{e.index, decodeVoters(e.data)})
+		if e.kind == EntryMembers && e.index > r.snapshot.index {
+			r.memberHistory = append(r.memberHistory, indexedMembers{e.index, decodeMembers(e.data)})
 		}
 	}
 }
 
-// votersAtIndex returns the set in force at an index that is not compacted.
-func (r *Replica) votersAtIndex(index uint64) []Voter {
-	voters := r.snapshot.voters
-	for _, h := range r.history {
+// membersAt returns the set in force at an index that is not compacted.
+func (r *Replica) membersAt(index uint64) []Member {
+	voters := r.snapshot.members
+	for _, h := range r.memberHistory {
 		if h.index <= index {
-			voters = h.voters
+			voters = h.members
 		}
 	}
 	return voters
@@ -187,10 +187,10 @@
 // syncProgress tracks each member in force and nobody else.
 func (r *Replica) syncProgress() {
 	members := map[MemberID]bool{}
-	for _, v := range r.Voters() {
-		members[v.Member()] = true
-		if r.progress[v.Member()] == nil {
-			r.progress[v.Member()] = &progress{next: r.log.last() + 1, active: true, heardAt: r.clock}
+	for _, v := range r.Members() {
+		members[v.MemberID()] = true
+		if r.progress[v.MemberID()] == nil {
+			r.progress[v.MemberID()] = &progress{next: r.log.last() + 1, active: true, respondedAt: r.clock}
 		}
 	}
 	for m := range r.progress {
@@ -200,19 +200,19 @@
 	}
 }
 
-func copyVoters(voters []Voter) []Voter { return append([]Voter(nil), voters...) }
+func copyMembers(voters []Member) []Member { return append([]Member(nil), voters...) }
 
-func without(voters []Voter, m MemberID) []Voter {
-	var rest []Voter
+func withoutMember(voters []Member, m MemberID) []Member {
+	var rest []Member
 	for _, v := range voters {
-		if v.Member() != m {
+		if v.MemberID() != m {
 			rest = append(rest, v)
 		}
 	}
 	return rest
 }
 
-func countVoters(voters []Voter) int {
+func countVoters(voters []Member) int {
 	n := 0
 	for _, v := range voters {
 		if !v.learner {
--- a/pkg/controllog/wire_generated.go
+++ b/pkg/controllog/wire_generated.go
@@ -95,9 +95,57 @@
 	return nil
 }
 
+// NewMember returns a Member with the given fields.
+func NewMember(id vm.ID, incarnation uint64, address string, learner bool, replaces MemberID) Member {
+	return Member{id: id, incarnation: incarnation, address: address, learner: learner, replaces: replaces}
+}
+
+// ID is the VM of the voter.
+func (m Member) ID() vm.ID { return m.id }
+
+// Incarnation is that of its data folder.
+func (m Member) Incarnation() uint64 { return m.incarnation }
+
+// Address is its link address, host:port.
+func (m Member) Address() string { return m.address }
+
+// Learner says that it receives the log and does not vote yet.
+func (m Member) Learner() bool { return m.learner }
+
+// Replaces is a member that is removed once this one votes; may be empty.
+func (m Member) Replaces() MemberID { return m.replaces }
+
+// EncodeMsgpack writes the fields in order, as one array.
+func (m Member) EncodeMsgpack(enc *msgpack.Encoder) error {
+	if err := enc.EncodeArrayLen(5); err != nil {
+		return err
+	}
+	return enc.EncodeMulti(m.id, m.incarnation, m.address, m.learner, m.replaces)
+}
+
+// DecodeMsgpack reads what EncodeMsgpack wrote, of this version or another.
+func (m *Member) DecodeMsgpack(dec *msgpack.Decoder) error {
+	count, err := dec.DecodeArrayLen()
+	if err != nil {
+		return err
+	}
+	fields := []any{&m.id, &m.incarnation, &m.address, &m.learner, &m.replaces}
+	for i := 0; i < count; i++ {
+		if i >= len(fields) {
+			err = dec.Skip()
+		} else {
+			err = dec.Decode(fields[i])
+		}
+		if err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
 // NewMessage returns a Message with the given fields.
-func NewMessage(kind MessageKind, from MemberID, to MemberID, term uint64, index uint64, logTerm uint64, entries []Entry, commit uint64, reject bool, read uint64, snapshot SnapshotPart) Message {
-	return Message{kind: kind, from: from, to: to, term: term, index: index, logTerm: logTerm, entries: entries, commit: commit, reject: reject, read: read, snapshot: snapshot}
+func NewMessage(kind MessageKind, from MemberID, to MemberID, term uint64, index uint64, logTerm uint64, entries []Entry, commit uint64, reject bool, round uint64, snapshot SnapshotPart) Message {
+	return Message{kind: kind, from: from, to: to, term: term, index: index, logTerm: logTerm, entries: entries, commit: commit, reject: reject, round: round, snapshot: snapshot}
 }
 
 // Kind says what the message is.
@@ -127,8 +175,8 @@
 // Reject says no.
 func (m Message) Reject() bool { return m.reject }
 
-// Read is the round of confirmed reads that a heartbeat serves.
-func (m Message) Read() uint64 { return m.read }
+// Round is the round of confirmed reads that a heartbeat serves.
+func (m Message) Round() uint64 { return m.round }
 
 // Snapshot is one part of a snapshot.
 func (m Message) Snapshot() SnapshotPart { return m.snapshot }
@@ -138,7 +186,7 @@
 	if err := enc.EncodeArrayLen(11); err != nil {
 		return err
 	}
-	return enc.EncodeMulti(m.kind, m.from, m.to, m.term, m.index, m.logTerm, m.entries, m.commit, m.reject, m.read, m.snapshot)
+	return enc.EncodeMulti(m.kind, m.from, m.to, m.term, m.index, m.logTerm, m.entries, m.commit, m.reject, m.round, m.snapshot)
 }
 
 // DecodeMsgpack reads what EncodeMsgpack wrote, of this version or another.
@@ -147,7 +195,7 @@
 	if err != nil {
 		return err
 	}
-	fields := []any{&m.kind, &m.from, &m.to, &m.term, &m.index, &m.logTerm, &m.entries, &m.commit, &m.reject, &m.read, &m.snapshot}
+	fields := []any{&m.kind, &m.from, &m.to, &m.term, &m.index, &m.logTerm, &m.entries, &m.commit, &m.reject, &m.round, &m.snapshot}
 	for i := 0; i < count; i++ {
 		if i >= len(fields) {
 			err = dec.Skip()
@@ -162,8 +210,8 @@
 }
 
 // NewSnapshot returns a Snapshot with the given fields.
-func NewSnapshot(index uint64, term uint64, voters []Voter, state []byte) Snapshot {
-	return Snapshot{index: index, term: term, voters: voters, state: state}
+func NewSnapshot(index uint64, term uint64, members []Member, state []byte) Snapshot {
+	return Snapshot{index: index, term: term, members: members, state: state}
 }
 
 // Index is the last entry that the snapshot covers.
@@ -172,8 +220,8 @@
 // Term is that entry's term.
 func (s Snapshot) Term() uint64 { return s.term }
 
-// Voters are those in force at the index.
-func (s Snapshot) Voters() []Voter { return s.voters }
+// Members are those in force at the index.
+func (s Snapshot) Members() []Member { return s.members }
 
 // State is the state machine's.
 func (s Snapshot) State() []byte { return s.state }
@@ -183,7 +231,7 @@
 	if err := enc.EncodeArrayLen(4); err != nil {
 		return err
 	}
-	return enc.EncodeMulti(s.index, s.term, s.voters, s.state)
+	return enc.EncodeMulti(s.index, s.term, s.members, s.state)
 }
 
 // DecodeMsgpack reads what EncodeMsgpack wrote, of this version or another.
@@ -192,7 +240,7 @@
 	if err != nil {
 		return err
 	}
-	fields := []any{&s.index, &s.term, &s.voters, &s.state}
+	fields := []any{&s.index, &s.term, &s.members, &s.state}
 	for i := 0; i < count; i++ {
 		if i >= len(fields) {
 			err = dec.Skip()
@@ -254,74 +302,26 @@
 	return nil
 }
 
-// NewVoter returns a Voter with the given fields.
-func NewVoter(id vm.ID, incarnation uint64, address string, learner bool, replaces MemberID) Voter {
-	return Voter{id: id, incarnation: incarnation, address: address, learner: learner, replaces: replaces}
-}
-
-// ID is the VM of the voter.
-func (v Voter) ID() vm.ID { return v.id }
-
-// Incarnation is that of its data folder.
-func (v Voter) Incarnation() uint64 { return v.incarnation }
-
-// Address is its link address, host:port.
-func (v Voter) Address() string { return v.address }
-
-// Learner says that it receives the log and does not vote yet.
-func (v Voter) Learner() bool { return v.learner }
-
-// Replaces is a member that is removed once this one votes; may be empty.
-func (v Voter) Replaces() MemberID { return v.replaces }
-
-// EncodeMsgpack writes the fields in order, as one array.
-func (v Voter) EncodeMsgpack(enc *msgpack.Encoder) error {
-	if err := enc.EncodeArrayLen(5); err != nil {
-		return err
-	}
-	return enc.EncodeMulti(v.id, v.incarnation, v.address, v.learner, v.replaces)
-}
-
-// DecodeMsgpack reads what EncodeMsgpack wrote, of this version or another.
-func (v *Voter) DecodeMsgpack(dec *msgpack.Decoder) error {
-	count, err := dec.DecodeArrayLen()
-	if err != nil {
-		return err
-	}
-	fields := []any{&v.id, &v.incarnation, &v.address, &v.learner, &v.replaces}
-	for i := 0; i < count; i++ {
-		if i >= len(fields) {
-			err = dec.Skip()
-		} else {
-			err = dec.Decode(fields[i])
-		}
-		if err != nil {
-			return err
-		}
-	}
-	return nil
-}
-
-// newBase returns a base with the given fields.
-func newBase(index uint64, term uint64) base {
-	return base{index: index, term: term}
+// newLogBase returns a logBase with the given fields.
+func newLogBase(index uint64, term uint64) logBase {
+	return logBase{index: index, term: term}
 }
 
 // EncodeMsgpack writes the fields in order, as one array.
-func (b base) EncodeMsgpack(enc *msgpack.Encoder) error {
+func (l logBase) EncodeMsgpack(enc *msgpack.Encoder) error {
 	if err := enc.EncodeArrayLen(2); err != nil {
 		return err
 	}
-	return enc.EncodeMulti(b.index, b.term)
+	return enc.EncodeMulti(l.index, l.term)
 }
 
 // DecodeMsgpack reads what EncodeMsgpack wrote, of this version or another.
-func (b *base) DecodeMsgpack(dec *msgpack.Decoder) error {
+func (l *logBase) DecodeMsgpack(dec *msgpack.Decoder) error {
 	count, err := dec.DecodeArrayLen()
 	if err != nil {
 		return err
 	}
-	fields := []any{&b.index, &b.term}
+	fields := []any{&l.index, &l.term}
 	for i := 0; i < count; i++ {
 		if i >= len(fields) {
 			err = dec.Skip()
--- a/pkg/entry/control.go
+++ b/pkg/entry/control.go
@@ -24,7 +24,7 @@
 
 func (e *Entry) openControlLog(folder *disk.Folder) error {
 	e.machine = agreed.NewMachine(e.state)
-	self := controllog.NewVoter(e.process.Identity.ID(), e.process.Identity.Incarnation(), e.process.Identity.Address(), false, "")
+	self := controllog.NewMember(e.process.Identity.ID(), e.process.Identity.Incarnation(), e.process.Identity.Address(), false, "")
 	runner, err := controllog.NewRunner(controllog.RunnerConfig{
 		Self:    self,
 		Folder:  folder,
@@ -160,13 +160,13 @@
 	if err := e.process.Endpoint.Call(ctx, c.Address(), link.KindVoterIdentity, contract.Acknowledgement{}, &identity); err != nil {
 		return err
 	}
-	return e.runner.AddVoter(ctx, controllog.NewVoter(identity.ID(), identity.Incarnation(), identity.Address(), true, ""))
+	return e.runner.AddMember(ctx, controllog.NewMember(identity.ID(), identity.Incarnation(), identity.Address(), true, ""))
 }
 
 func (e *Entry) removeVoter(ctx context.Context, c contract.VoterChange) error {
-	for _, v := range e.runner.State().Voters {
+	for _, v := range e.runner.State().Members {
 		if string(v.ID()) == c.ID() && (c.Incarnation() == 0 || c.Incarnation() == v.Incarnation()) {
-			return e.runner.RemoveVoter(ctx, v.Member())
+			return e.runner.RemoveMember(ctx, v.MemberID())
 		}
 	}
 	return failure.New(failure.UnknownObject, "%q is not a member", c.ID())
--- a/pkg/entry/entry.go
+++ b/pkg/entry/entry.go
@@ -107,7 +107,7 @@
 		if folder, err = disk.NewFolder(s.Common().DataFolder()); err != nil {
 			return nil, err
 		}
-		if incarnation, err = controllog.Identity(folder); err != nil {
+		if incarnation, err = controllog.LoadOrCreateIncarnation(folder); err != nil {
 			return nil, err
 		}
 	}
--- a/pkg/entry/operators.go
+++ b/pkg/entry/operators.go
@@ -129,8 +129,8 @@
 	if e.runner != nil {
 		state := e.runner.State()
 		leader, term = string(state.Leader.ID()), state.Term
-		for _, v := range state.Voters {
-			voters = append(voters, contract.NewVoterStatus(string(v.ID()), v.Incarnation(), v.Address(), v.Learner(), state.Match[v.Member()]))
+		for _, v := range state.Members {
+			voters = append(voters, contract.NewVoterStatus(string(v.ID()), v.Incarnation(), v.Address(), v.Learner(), state.Match[v.MemberID()]))
 		}
 	}
 	return contract.NewStatus(e.process.Identity, e.state.Revision(), leader, term, voters, agents, e.entries.all(now))
