--- a/pkg/agreed/machine.go
+++ b/pkg/agreed/machine.go
@@ -1,10 +1,10 @@
 // ================================================================
-// The state machine behind the control log: commands in, the configuration
-// and the claims out.
+// The replicated state machine of the control log: it applies committed
+// commands to the configuration and to the claims.
 // ================================================================
 
-// Package agreed applies the commands of the control log to the state that
-// all voters share.
+// Package agreed applies the commands of the control log to the state that is
+// replicated on all voters.
 package agreed
 
 //go:generate go run github.com/tidepost/tidepost/tools/wiregen
@@ -20,52 +20,57 @@
 	"github.com/tidepost/tidepost/pkg/invariant"
 )
 
-// CommandKind says what a command does.
+// CommandKind is the kind of a command.
 type CommandKind uint8
 
-// The kinds of commands. Numbers stand in logs and are never reused.
+// The kinds of commands. The numbers are stored in logs and are never reused.
 const (
+	// CommandChange changes the configuration; its body is a contract.Change.
 	CommandChange CommandKind = iota + 1
+	// CommandClaim claims a request; its body is a contract.Claim.
 	CommandClaim
+	// CommandSettle ends a claim; its body is a contract.Settle.
 	CommandSettle
 )
 
-// Command is what stands in an entry of the log.
+// Command is the payload of a log entry.
 //
 //wire:generate
 type Command struct {
-	// kind says what body is.
+	// kind selects the type of body.
 	kind CommandKind
-	// time is the leader's clock in nanoseconds since 1970.
+	// time is the leader's clock at the proposal, in nanoseconds since the Unix epoch.
 	time int64
 	// body is the encoded Change, Claim or Settle.
 	body []byte
 }
 
-// EncodeCommand returns a command, encoded.
+// EncodeCommand returns an encoded command of the given kind, time and body.
 func EncodeCommand(kind CommandKind, time int64, body any) ([]byte, error) {
 	raw, err := msgpack.Marshal(body)
 	if err != nil {
-		return nil, failure.New(failure.Internal, "a %T cannot be encoded: %v", body, err)
+		return nil, failure.New(failure.Internal, "%T cannot be encoded: %v", body, err)
 	}
 	return msgpack.Marshal(NewCommand(kind, time, raw))
 }
 
-// machineSnapshot is the machine's state in a snapshot.
+// machineSnapshot is the encoded form of the machine's state.
 //
 //wire:generate
 type machineSnapshot struct {
-	// time is the log's time.
+	// time is the log time in nanoseconds since the Unix epoch.
 	time int64
-	// applied is the last index applied.
+	// applied is the index of the last applied entry.
 	applied uint64
-	// config and claims are the parts, encoded.
+	// config is the encoded configuration state.
 	config []byte
+	// claims is the encoded table of claims.
 	claims []byte
 }
 
-// Machine holds the agreed state of one voter. Apply, Snapshot and Restore are
-// called from one goroutine; the parts may be read from any.
+// Machine holds the replicated state of one voter. Apply, Snapshot and Restore
+// must be called from one goroutine; the configuration state and the claims may
+// be read from any goroutine.
 type Machine struct {
 	config  *configstate.State
 	claims  *claim.Table
@@ -73,28 +78,28 @@
 	applied uint64
 }
 
-// NewMachine returns an empty machine over the given configuration.
+// NewMachine returns a machine without claims that applies changes to config.
 func NewMachine(config *configstate.State) *Machine {
 	return &Machine{config: config, claims: claim.NewTable()}
 }
 
-// Claims returns the claims.
+// Claims returns the table of claims.
 func (m *Machine) Claims() *claim.Table { return m.claims }
 
-// StateMachine returns the machine as the control log calls it.
+// StateMachine returns the machine's functions in the form that the control log calls.
 func (m *Machine) StateMachine() controllog.StateMachine {
 	return controllog.StateMachine{Apply: m.Apply, Snapshot: m.Snapshot, Restore: m.Restore}
 }
 
-// appliers is the table of commands.
+// appliers holds the function that applies each kind of command.
 var appliers = map[CommandKind]func(*Machine, []byte) (any, error){
 	CommandChange: (*Machine).applyChange,
 	CommandClaim:  (*Machine).applyClaim,
 	CommandSettle: (*Machine).applySettle,
 }
 
-// Apply applies the entry at index and returns a ChangeResult, a ClaimResult,
-// a bool for a Settle, or an error.
+// Apply applies the command of the entry at index. It returns a ChangeResult,
+// a ClaimResult, a bool (for a Settle) or an error.
 func (m *Machine) Apply(index uint64, data []byte) any {
 	if err := invariant.Check(index > m.applied, "log_applied_twice", "index %d after %d", index, m.applied); err != nil {
 		return err
@@ -102,13 +107,13 @@
 	m.applied = index
 	var c Command
 	if err := msgpack.Unmarshal(data, &c); err != nil {
-		return failure.New(failure.BadRequest, "entry %d holds no command: %v", index, err)
+		return failure.New(failure.BadRequest, "the command of entry %d cannot be decoded: %v", index, err)
 	}
-	// The log's time never runs back, whatever the leaders' clocks do.
+	// The log time never decreases, even if a new leader's clock is behind the old one's.
 	m.time = max(m.time, c.time)
 	apply := appliers[c.kind]
 	if apply == nil {
-		return failure.New(failure.BadRequest, "entry %d holds a command of unknown kind %d", index, c.kind)
+		return failure.New(failure.BadRequest, "the command of entry %d has the unknown kind %d", index, c.kind)
 	}
 	value, err := apply(m, c.body)
 	if err != nil {
@@ -120,7 +125,7 @@
 func (m *Machine) applyChange(body []byte) (any, error) {
 	var c contract.Change
 	if err := msgpack.Unmarshal(body, &c); err != nil {
-		return nil, failure.New(failure.BadRequest, "a change cannot be read: %v", err)
+		return nil, failure.New(failure.BadRequest, "a change cannot be decoded: %v", err)
 	}
 	return m.config.ApplyChange(c), nil
 }
@@ -128,7 +133,7 @@
 func (m *Machine) applyClaim(body []byte) (any, error) {
 	var c contract.Claim
 	if err := msgpack.Unmarshal(body, &c); err != nil {
-		return nil, failure.New(failure.BadRequest, "a claim cannot be read: %v", err)
+		return nil, failure.New(failure.BadRequest, "a claim cannot be decoded: %v", err)
 	}
 	return m.claims.Acquire(c, m.time), nil
 }
@@ -136,12 +141,12 @@
 func (m *Machine) applySettle(body []byte) (any, error) {
 	var s contract.Settle
 	if err := msgpack.Unmarshal(body, &s); err != nil {
-		return nil, failure.New(failure.BadRequest, "an outcome cannot be read: %v", err)
+		return nil, failure.New(failure.BadRequest, "the outcome of a claim cannot be decoded: %v", err)
 	}
 	return m.claims.Settle(s, m.time), nil
 }
 
-// Snapshot returns the whole state, encoded.
+// Snapshot returns the encoded state.
 func (m *Machine) Snapshot() ([]byte, error) {
 	config, err := m.config.Snapshot()
 	if err != nil {
@@ -154,15 +159,15 @@
 	return msgpack.Marshal(machineSnapshot{time: m.time, applied: m.applied, config: config, claims: claims})
 }
 
-// Restore replaces the whole state.
+// Restore replaces the state by one that Snapshot returned.
 func (m *Machine) Restore(state []byte) error {
-	var i machineSnapshot
-	if err := msgpack.Unmarshal(state, &i); err != nil {
-		return failure.New(failure.CorruptLog, "a snapshot cannot be read: %v", err)
+	var s machineSnapshot
+	if err := msgpack.Unmarshal(state, &s); err != nil {
+		return failure.New(failure.CorruptLog, "a snapshot cannot be decoded: %v", err)
 	}
-	m.time, m.applied = i.time, i.applied
-	if err := m.config.Restore(i.config); err != nil {
+	m.time, m.applied = s.time, s.applied
+	if err := m.config.Restore(s.config); err != nil {
 		return err
 	}
-	return m.claims.Restore(i.claims)
+	return m.claims.Restore(s.claims)
 }
--- a/pkg/agreed/wire_generated.go
+++ b/pkg/agreed/wire_generated.go
@@ -11,10 +11,10 @@
 	return Command{kind: kind, time: time, body: body}
 }
 
-// Kind says what body is.
+// Kind selects the type of body.
 func (c Command) Kind() CommandKind { return c.kind }
 
-// Time is the leader's clock in nanoseconds since 1970.
+// Time is the leader's clock at the proposal, in nanoseconds since the Unix epoch.
 func (c Command) Time() int64 { return c.time }
 
 // Body is the encoded Change, Claim or Settle.
--- a/pkg/claim/table.go
+++ b/pkg/claim/table.go
@@ -1,17 +1,15 @@
 // ================================================================
-// Claims: who may run a request that must not run twice, and what came of it.
+// The table of claims records which attempt may run a request that must not
+// run twice, and the request's outcome.
 //
 //	(larder, order-4711) -> attempt entry-2/77, running, until 09:15:00
 //
-// The table is fed by the control log only, so all voters hold the same one
-// and the first claim in the log wins. Time is the log's, never a local clock.
-//
-// A claim whose holder was lost stays "running" until its deadline, and from
-// then on counts as "ran, answer lost": it is never handed out again, since
-// nobody can tell that it did not run.
+// Only the control log changes the table, with the log's time instead of a
+// local clock. All voters therefore hold the same table, and the first claim
+// of a key in the log wins.
 // ================================================================
 
-// Package claim holds the claims of requests that may not be repeated.
+// Package claim holds the claims on requests that must not run more than once.
 package claim
 
 import (
@@ -29,41 +27,44 @@
 
 const (
 	shardCount = 64
-	// Retention is how long a claim is kept after its deadline, in
-	// nanoseconds: an hour, far above the longest deadline that settings allow.
+	// Retention is how long a claim is kept after its deadline, in nanoseconds.
+	// One hour is far above the longest deadline that the settings allow.
 	Retention int64 = 3600 * 1e9
 )
 
-// record is one claim.
+// record is one claim and, once it is settled, its outcome.
 //
 //wire:generate
 type record struct {
-	// organisation and key identify the claim.
+	// organisation is the organisation that sent the request.
 	organisation string
-	key          string
-	// attempt holds it.
+	// key is the idempotency key of the request within the organisation.
+	key string
+	// attempt identifies the attempt that holds the claim.
 	attempt string
 	// body is the digest of the request.
 	body contract.Digest
-	// deadline is the request's, in nanoseconds since 1970.
+	// deadline is the request's deadline, in nanoseconds since the Unix epoch.
 	deadline int64
-	// settled says that the outcome is known, or known to be lost.
+	// settled is true when the request ran and outcome is set; outcome may say that the
+	// response was lost.
 	settled bool
-	// outcome is the stored answer.
+	// outcome is the stored response.
 	outcome contract.Outcome
 }
 
-// claimKey is what a claim is found by.
+// claimKey identifies a claim.
 type claimKey struct{ organisation, key string }
 
-// shard is a part of the table under its own lock.
+// shard is a part of the table with a lock of its own.
 type shard struct {
 	mu             sync.RWMutex
 	records        map[claimKey]*record
-	insertionOrder []claimKey
+	insertionOrder []claimKey // may name claims that were released since
 }
 
-// Table holds the claims, in shards by hash of organisation and key.
+// Table holds the claims, sharded by the hash of organisation and key. It is safe for
+// concurrent use.
 type Table struct {
 	shards [shardCount]*shard
 }
@@ -81,8 +82,8 @@
 	return t.shards[xxhash.Sum64String(id.organisation+"\x00"+id.key)%shardCount]
 }
 
-// Acquire claims a request at log time now. The first claim of a key wins; a
-// resend of the winning attempt is granted again.
+// Acquire claims a request at the log time now. The first claim of a key is
+// granted; a repeated claim of the same attempt is granted again.
 func (t *Table) Acquire(c contract.Claim, now int64) contract.ClaimResult {
 	id := claimKey{c.Organisation(), c.Key()}
 	s := t.shard(id)
@@ -104,7 +105,11 @@
 	return r.resultFor(c, now)
 }
 
-// resultFor answers a claim for a key that is known.
+// resultFor returns the result of a claim whose key already has a record.
+//
+// If the holder was lost before it settled the claim, the claim counts as
+// running until its deadline and as done with an unknown outcome after it. It
+// is never granted to another attempt, because the request may have run.
 func (r *record) resultFor(c contract.Claim, now int64) contract.ClaimResult {
 	switch {
 	case r.body != c.Body():
@@ -121,8 +126,9 @@
 	}
 }
 
-// Settle ends the claim of an attempt. It returns false when the attempt does
-// not hold it.
+// Settle stores the outcome of an attempt's claim, or releases the claim if the
+// request did not run. It returns false when the attempt does not hold an
+// unsettled claim.
 func (t *Table) Settle(s contract.Settle, now int64) bool {
 	id := claimKey{s.Organisation(), s.Key()}
 	sh := t.shard(id)
@@ -141,8 +147,8 @@
 	return true
 }
 
-// expire forgets claims past their retention. Records come almost in the
-// order of their deadlines, so looking at the head is enough.
+// expire deletes claims past their retention. Claims are inserted roughly in
+// the order of their deadlines, so it stops at the first one that is retained.
 func (s *shard) expire(now int64) {
 	for len(s.insertionOrder) > 0 {
 		r := s.records[s.insertionOrder[0]]
@@ -156,7 +162,7 @@
 	}
 }
 
-// Len counts the claims.
+// Len returns the number of claims.
 func (t *Table) Len() int {
 	n := 0
 	for _, s := range t.shards {
@@ -167,7 +173,7 @@
 	return n
 }
 
-// Snapshot returns all claims, encoded in one order.
+// Snapshot returns all claims, encoded in the order of deadline, organisation and key.
 func (t *Table) Snapshot() ([]byte, error) {
 	var records []record
 	for _, s := range t.shards {
@@ -187,11 +193,11 @@
 	return msgpack.Marshal(records)
 }
 
-// Restore replaces all claims.
+// Restore replaces all claims by those of a snapshot.
 func (t *Table) Restore(raw []byte) error {
 	var records []record
 	if err := msgpack.Unmarshal(raw, &records); err != nil {
-		return failure.New(failure.CorruptLog, "the claims in a snapshot cannot be read: %v", err)
+		return failure.New(failure.CorruptLog, "the claims in a snapshot cannot be decoded: %v", err)
 	}
 	for _, s := range t.shards {
 		s.mu.Lock()
--- a/pkg/claim/table_test.go
+++ b/pkg/claim/table_test.go
@@ -1,3 +1,7 @@
+// ================================================================
+// Tests of the table of claims.
+// ================================================================
+
 package claim
 
 import (
@@ -38,6 +42,7 @@
 	}
 }
 
+// The request of a lost holder may have run, so its key must not be granted again.
 func TestClaimOfLostHolderIsNotReleased(t *testing.T) {
 	table := NewTable()
 	acquireState(t, table, "a", 1)
@@ -55,7 +60,7 @@
 		t.Error("an attempt settled a claim that it does not hold")
 	}
 	if !table.Settle(contract.NewSettle("larder", "order-1", "a", true, outcome), 2) {
-		t.Fatal("the holder could not settle")
+		t.Fatal("the holder could not settle its claim")
 	}
 	raw, err := table.Snapshot()
 	if err != nil {
@@ -67,7 +72,7 @@
 	}
 	r := restored.Acquire(newTestClaim("c", "flour"), 3)
 	if r.State() != contract.ClaimDone || string(r.Outcome().Body()) != "done" {
-		t.Errorf("after the restart: %+v", r)
+		t.Errorf("after the restore: %+v", r)
 	}
 }
 
@@ -76,7 +81,7 @@
 	acquireState(t, table, "a", 1)
 	table.Settle(contract.NewSettle("larder", "order-1", "a", false, contract.Outcome{}), 2)
 	if s := acquireState(t, table, "b", 3); s != contract.ClaimGranted {
-		t.Errorf("after the claim was given back: %d", s)
+		t.Errorf("after the claim was released: %d", s)
 	}
 }
 
--- a/pkg/controllog/agreement_test.go
+++ b/pkg/controllog/agreement_test.go
@@ -1,6 +1,7 @@
 // ================================================================
-// The control log under random faults: what is agreed stays agreed, and each
-// safeguard, when it is left out, is missed.
+// Tests of the control log under random faults: committed entries stay committed
+// and the history is linearizable. With a safeguard disabled the same check must
+// fail.
 // ================================================================
 
 package controllog
@@ -17,7 +18,7 @@
 	"github.com/tidepost/tidepost/pkg/vm"
 )
 
-// TestMain fixes rapid's seed, unless a soak names one.
+// TestMain sets a fixed seed for rapid unless a soak sets one.
 func TestMain(m *testing.M) {
 	if err := fixedseed.Set(); err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -28,10 +29,11 @@
 
 const stepsPerRun = 1200
 
-// faultCount counts the faults of a run, for the report.
+// faultCount is the number of faults injected in a run.
 type faultCount int
 
-// runRandomSteps makes random steps: mostly time and messages, now and then a fault.
+// runRandomSteps runs random steps: mostly ticks and messages, some client operations,
+// and a few changes of members and faults.
 func (c *simulatedCluster) runRandomSteps(steps int) faultCount {
 	faults := faultCount(0)
 	if err := c.members[0].runner.replica.Bootstrap(c.members[0].self); err != nil {
@@ -41,16 +43,16 @@
 	for range steps {
 		c.step++
 		m := c.members[c.random.IntN(len(c.members))]
-		asked := c.chooseTarget(m)
+		target := c.chooseTarget(m)
 		switch p := c.random.IntN(1000); {
 		case p < 250:
 			c.tick(m)
 		case p < 700 && len(c.inFlight) > 0:
 			c.deliver(c.random.IntN(min(len(c.inFlight), 6)), c.random.IntN(20) == 0)
-		case p < 800 && c.running(asked):
-			c.write(asked, c.randomKey(), fmt.Sprintf("v%d", c.step))
-		case p < 880 && c.running(asked):
-			c.read(asked, c.randomKey())
+		case p < 800 && c.running(target):
+			c.write(target, c.randomKey(), fmt.Sprintf("v%d", c.step))
+		case p < 880 && c.running(target):
+			c.read(target, c.randomKey())
 		case p < 920:
 			c.changeMembers()
 		default:
@@ -64,8 +66,8 @@
 	return faults
 }
 
-// chooseTarget returns whom a client asks: mostly some leader, at times anybody, as
-// one does that has not heard of a change of the lead.
+// chooseTarget returns the member that a client sends a request to: a leader in most
+// cases, and else m, as for a client that does not know about a change of leader.
 func (c *simulatedCluster) chooseTarget(m *simulatedMember) *simulatedMember {
 	if c.random.IntN(4) == 0 {
 		return m
@@ -80,8 +82,8 @@
 
 func (c *simulatedCluster) randomKey() string { return fmt.Sprintf("k%d", c.random.IntN(3)) }
 
-// changeMembers has the leader add a VM that is no member, or now and then
-// remove one.
+// changeMembers has the leader add a VM that is not a member or, in a tenth of the
+// other cases, remove a member.
 func (c *simulatedCluster) changeMembers() {
 	leader := c.leader()
 	if leader == nil {
@@ -95,8 +97,8 @@
 		}
 	}
 	if c.random.IntN(10) == 0 {
-		victim := c.members[c.random.IntN(len(c.members))]
-		_ = leader.runner.replica.RemoveMember(victim.self.MemberID())
+		removed := c.members[c.random.IntN(len(c.members))]
+		_ = leader.runner.replica.RemoveMember(removed.self.MemberID())
 		c.processAllReady(leader)
 	}
 }
@@ -122,7 +124,7 @@
 	case p < 994 && c.canReplaceDisk(m):
 		c.replaceDisk(m)
 	case p < 997 && c.killBeforeSyncs && m.runner != nil:
-		// Its process dies at its next write, before the sync.
+		// The process dies at its next write, before the sync.
 		m.disk.FailSync = func(string) error { return errKilled }
 	default:
 		c.blocked = map[[2]vm.ID]bool{}
@@ -131,26 +133,27 @@
 	return 1
 }
 
-// canReplaceDisk allows the loss of one disk at a time: the log promises no more.
+// canReplaceDisk limits the loss of disks to one at a time, since the log does not
+// tolerate more.
 func (c *simulatedCluster) canReplaceDisk(m *simulatedMember) bool {
 	leader := c.leader()
 	if leader == nil || leader == m {
 		return false
 	}
-	voters := leader.runner.replica.Members()
-	for _, v := range voters {
+	members := leader.runner.replica.Members()
+	for _, v := range members {
 		member := c.currentMember(v.ID())
 		if member == nil || member.self.MemberID() != v.MemberID() || v.learner {
 			return false
 		}
 	}
-	return len(voters) >= 3 && leader.runner.replica.checkMemberChange() == nil
+	return len(members) >= 3 && leader.runner.replica.checkMemberChange() == nil
 }
 
-// runRandomHistory runs one random history and returns what is wrong with it.
+// runRandomHistory runs a random history and returns the violation found, or "".
 func runRandomHistory(seed uint64, faults Faults, skipSync bool) (string, faultCount, *simulatedCluster) {
 	c := newSimulatedCluster(rand.New(rand.NewPCG(seed, 1)), 3+int(seed%3), faults, skipSync)
-	// A seeded fault shows in few histories, and members that die more often leave fewer.
+	// Few histories reveal a disabled safeguard, and fewer do when members die more often.
 	c.killBeforeSyncs = faults == Faults{} && !skipSync
 	n := c.runRandomSteps(stepsPerRun)
 	if c.violation == "" {
@@ -166,9 +169,9 @@
 	total, writes := faultCount(0), 0
 	rapid.Check(t, func(rt *rapid.T) {
 		seed := rapid.Uint64().Draw(rt, "seed")
-		broken, n, c := runRandomHistory(seed, Faults{}, false)
-		if broken != "" {
-			rt.Fatalf("seed %d: %s", seed, broken)
+		violation, n, c := runRandomHistory(seed, Faults{}, false)
+		if violation != "" {
+			rt.Fatalf("seed %d: %s", seed, violation)
 		}
 		total += n
 		for _, o := range c.history {
@@ -179,12 +182,12 @@
 	})
 	t.Logf("faults=%d accepted_writes=%d", total, writes)
 	if writes == 0 {
-		t.Fatal("no write was ever accepted: the run shows nothing")
+		t.Fatal("no write was accepted, so the run checks nothing")
 	}
 }
 
-// seededFaults are the safeguards that a random run must be seen to miss. The
-// ones that take a rare order of events are in scripted_test.go.
+// seededFaults are the disabled safeguards that random runs must detect. Those
+// that need a rare order of events are in scripted_test.go.
 var seededFaults = []struct {
 	name     string
 	faults   Faults
@@ -194,7 +197,7 @@
 	{"answer_before_sync", Faults{}, true},
 }
 
-// maxSeeds bounds the search for a history that shows a seeded fault.
+// maxSeeds bounds the search for a history that reveals a seeded fault.
 const maxSeeds = 3000
 
 func TestSeededFaultsAreCaught(t *testing.T) {
@@ -202,12 +205,12 @@
 		t.Run(f.name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(maxSeeds) {
-				if broken, _, _ := runRandomHistory(seed, f.faults, f.skipSync); broken != "" {
-					t.Logf("caught by seed %d: %s", seed, broken)
+				if violation, _, _ := runRandomHistory(seed, f.faults, f.skipSync); violation != "" {
+					t.Logf("detected with seed %d: %s", seed, violation)
 					return
 				}
 			}
-			t.Fatalf("%d runs did not notice the fault", maxSeeds)
+			t.Fatalf("%d runs did not detect the fault", maxSeeds)
 		})
 	}
 }
--- a/pkg/controllog/cluster_test.go
+++ b/pkg/controllog/cluster_test.go
@@ -1,7 +1,7 @@
 // ================================================================
-// A cluster of members in one goroutine: the real runners, stores and
-// replicas, driven step by step. Messages wait in a list from which a test
-// delivers, drops, doubles and reorders; disks lose what was not synced.
+// A simulated cluster in one goroutine: the real runners, stores and replicas,
+// driven step by step. A test delivers, drops, duplicates and reorders the
+// messages in flight. Simulated disks lose what was not synced.
 // ================================================================
 
 package controllog
@@ -21,16 +21,17 @@
 	"github.com/tidepost/tidepost/pkg/vm"
 )
 
-// simulatedMember is one member.
+// simulatedMember is a member of the simulated cluster.
 type simulatedMember struct {
 	self   Member
 	disk   *disk.Memory
-	runner *Runner // nil while it is down
-	frozen bool
-	values map[string]string
+	runner *Runner           // nil while it is down
+	frozen bool              // it is paused: it neither ticks nor receives
+	values map[string]string // the state of its state machine
 }
 
-// simulatedCluster is the cluster and what is checked of it.
+// simulatedCluster is the cluster, the faults in force, and the observations that the checks
+// use.
 type simulatedCluster struct {
 	random          *rand.Rand
 	faults          Faults
@@ -38,23 +39,23 @@
 	killBeforeSyncs bool // members die between write and sync
 	members         []*simulatedMember
 	inFlight        []Message
-	blocked         map[[2]vm.ID]bool
-	applied         map[uint64]string
-	leaders         map[uint64]MemberID
-	violation       string
-	step            int64
+	blocked         map[[2]vm.ID]bool   // by sender and receiver
+	applied         map[uint64]string   // applied commands by index
+	leaders         map[uint64]MemberID // by term
+	violation       string              // the first violation found, or ""
+	step            int64               // the time of operations
 	history         []*operation
 	lastIncarnation int
 }
 
-// operation is a write or a read of a client.
+// operation is a write or a read by a client.
 type operation struct {
 	read   bool
 	key    string
 	value  string
 	call   int64
-	end    int64 // 0 while it is open
-	failed bool  // it certainly did not happen
+	end    int64 // 0 while there is no result
+	failed bool  // it certainly did not take effect
 	reply  chan result
 	member *simulatedMember
 }
@@ -70,7 +71,7 @@
 	return c
 }
 
-// newMember formats a disk for a VM and starts a member on it.
+// newMember starts a member with an empty disk and a new incarnation on a VM.
 func (c *simulatedCluster) newMember(id vm.ID) *simulatedMember {
 	c.lastIncarnation++
 	m := &simulatedMember{self: NewMember(id, uint64(c.lastIncarnation), string(id), false, ""), disk: disk.NewMemory()}
@@ -100,7 +101,7 @@
 	m.runner = runner
 }
 
-// folder returns the member's disk, whose syncs do nothing under skipSync.
+// folder returns the folder on the member's disk. With skipSync its syncs do nothing.
 func (c *simulatedCluster) folder(m *simulatedMember) *disk.Folder {
 	f := m.disk.Folder()
 	if !c.skipSync {
@@ -163,8 +164,8 @@
 // ----------------------------------------------------------------
 // Events
 
-// processAllReady has a member do what it wants done. A member whose disk fails is
-// down from then on.
+// processAllReady has a member perform its requested actions. A member whose disk
+// fails is down from then on.
 func (c *simulatedCluster) processAllReady(m *simulatedMember) {
 	if err := m.runner.processAllReady(); err != nil {
 		m.runner = nil
@@ -173,7 +174,7 @@
 	c.checkLeader(m)
 }
 
-// checkLeader asserts that a term has one leader at most.
+// checkLeader checks that a term has at most one leader.
 func (c *simulatedCluster) checkLeader(m *simulatedMember) {
 	r := m.runner.replica
 	if r.Role() != Leader {
@@ -194,7 +195,8 @@
 	}
 }
 
-// deliver hands the i-th waiting message over; keep leaves a double behind.
+// deliver delivers the i-th message in flight. With keep it stays in flight as a
+// duplicate.
 func (c *simulatedCluster) deliver(i int, keep bool) {
 	m := c.inFlight[i]
 	if !keep {
@@ -211,7 +213,7 @@
 	c.processAllReady(to)
 }
 
-// currentMember returns the present life of a VM.
+// currentMember returns the latest incarnation of a VM.
 func (c *simulatedCluster) currentMember(id vm.ID) *simulatedMember {
 	for i := len(c.members) - 1; i >= 0; i-- {
 		if c.members[i].self.ID() == id {
@@ -221,6 +223,8 @@
 	return nil
 }
 
+// crash ends a member's process and discards data that was not synced, except for a
+// random number of bytes.
 func (c *simulatedCluster) crash(m *simulatedMember) {
 	if m.runner == nil {
 		return
@@ -229,7 +233,7 @@
 	m.disk.Crash(c.random.IntN(40))
 }
 
-// replaceDisk replaces a VM's disk: the old life is gone for good.
+// replaceDisk crashes a member and starts a new incarnation with an empty disk on its VM.
 func (c *simulatedCluster) replaceDisk(m *simulatedMember) *simulatedMember {
 	c.crash(m)
 	for i, other := range c.members {
@@ -241,6 +245,7 @@
 	return c.newMember(m.self.ID())
 }
 
+// leader returns the running leader with the highest term, or nil.
 func (c *simulatedCluster) leader() *simulatedMember {
 	var best *simulatedMember
 	for _, m := range c.members {
@@ -253,7 +258,7 @@
 	return best
 }
 
-// write proposes at a member, whatever it is.
+// write proposes a write at a member, whatever its role.
 func (c *simulatedCluster) write(m *simulatedMember, key, value string) {
 	o := &operation{key: key, value: value, call: c.step, reply: make(chan result, 1), member: m}
 	c.history = append(c.history, o)
@@ -269,7 +274,7 @@
 	c.processAllReady(m)
 }
 
-// collectResults notes the answers that have come.
+// collectResults records the results that have arrived.
 func (c *simulatedCluster) collectResults() {
 	for _, o := range c.history {
 		if o.end != 0 {
@@ -292,12 +297,12 @@
 	case o.read || strings.Contains(r.err.Error(), "not_leader") || strings.Contains(r.err.Error(), "not_formed") || strings.Contains(r.err.Error(), "overloaded"):
 		o.failed = true
 	default:
-		o.end = 0 // it may still happen
+		o.end = 0 // it may still take effect
 		o.reply = nil
 	}
 }
 
-// recoverAll ends all faults and lets the cluster come to rest.
+// recoverAll ends all faults and runs the cluster until operations have ended.
 func (c *simulatedCluster) recoverAll() {
 	c.blocked = map[[2]vm.ID]bool{}
 	for _, m := range c.members {
@@ -321,7 +326,7 @@
 // ----------------------------------------------------------------
 // Checks
 
-// operationInput is an operation as porcupine takes it.
+// operationInput is the input of an operation for porcupine.
 type operationInput struct {
 	read  bool
 	key   string
@@ -350,7 +355,7 @@
 	},
 }
 
-// linearizable tells whether the history of writes and reads is.
+// linearizable reports whether the history of writes and reads is linearizable.
 func (c *simulatedCluster) linearizable() bool {
 	var history []porcupine.Operation
 	for client, o := range c.history {
@@ -368,4 +373,4 @@
 	return porcupine.CheckOperations(registerModel, history)
 }
 
-var errDisk = errors.New("the disk is full")
+var errDiskFull = errors.New("the disk is full")
--- a/pkg/controllog/election.go
+++ b/pkg/controllog/election.go
@@ -1,16 +1,19 @@
 // ================================================================
-// Elections. A replica that hears no leader asks first whether it would win
-// (pre-vote); only then does it raise the term. So a member that was cut off
-// and comes back, or one that was removed, does not depose a working leader.
+// Leader election with a pre-vote: a replica without a leader first asks
+// whether it would win, and raises the term only then. Thus a member that
+// returns from a network partition, or one that was removed, does not depose a
+// working leader.
 // ================================================================
 
 package controllog
 
+// canCampaign reports whether the replica is a voter.
 func (r *Replica) canCampaign() bool {
 	v, ok := r.member(r.config.Self)
 	return ok && !v.learner
 }
 
+// preCampaign starts a pre-vote for the next term.
 func (r *Replica) preCampaign() {
 	r.role, r.leader = PreCandidate, ""
 	r.resetTimeout()
@@ -18,6 +21,7 @@
 	r.countVotes()
 }
 
+// campaign enters the next term as a candidate and requests votes.
 func (r *Replica) campaign() {
 	r.role, r.leader = Candidate, ""
 	r.hardState.term++
@@ -39,7 +43,7 @@
 
 func (r *Replica) countVotes() {
 	won := r.quorum(func(m MemberID) bool { return r.votes[m] })
-	lost := r.quorum(func(m MemberID) bool { granted, answered := r.votes[m]; return answered && !granted })
+	lost := r.quorum(func(m MemberID) bool { granted, responded := r.votes[m]; return responded && !granted })
 	switch {
 	case won && r.role == PreCandidate:
 		r.campaign()
@@ -63,25 +67,25 @@
 }
 
 // ----------------------------------------------------------------
-// Answers
+// Vote requests and responses
 
-// stepVote answers a vote or a pre-vote.
+// stepVote handles a vote or pre-vote request.
 func (r *Replica) stepVote(m Message) {
-	answer := MessageVoteResponse
+	responseKind := MessageVoteResponse
 	if m.kind == MessagePreVote {
-		answer = MessagePreVoteResponse
+		responseKind = MessagePreVoteResponse
 	}
-	grant := r.grantsVote(m)
-	if grant && m.kind == MessageVote {
+	granted := r.grantsVote(m)
+	if granted && m.kind == MessageVote {
 		r.hardState.vote = m.from
 		r.resetTimeout()
 	}
-	reply := Message{kind: answer, to: m.from, reject: !grant}
-	if grant {
-		// A granted pre-vote names the term that was asked for.
-		reply.term = m.term
+	response := Message{kind: responseKind, to: m.from, reject: !granted}
+	if granted {
+		// The response to a granted pre-vote carries the requested term.
+		response.term = m.term
 	}
-	r.send(reply)
+	r.send(response)
 }
 
 func (r *Replica) grantsVote(m Message) bool {
@@ -95,8 +99,8 @@
 	return free && r.leader == ""
 }
 
-// hasActiveLeader tells whether a leader was heard from so lately that another
-// campaign is not called for.
+// hasActiveLeader reports whether the replica leads or has heard from a leader
+// within the shortest election timeout.
 func (r *Replica) hasActiveLeader() bool {
 	if r.role == Leader {
 		return true
@@ -104,7 +108,7 @@
 	return r.leader != "" && r.ticksSinceReset < r.config.ElectionTicks
 }
 
-// stepVoteResponse counts an answer to the vote that is going on.
+// stepVoteResponse counts a response to the current vote or pre-vote.
 func (r *Replica) stepVoteResponse(m Message) {
 	expected := map[MessageKind]Role{MessagePreVoteResponse: PreCandidate, MessageVoteResponse: Candidate}
 	if r.role != expected[m.kind] {
--- a/pkg/controllog/entries.go
+++ b/pkg/controllog/entry_log.go
@@ -1,11 +1,12 @@
 // ================================================================
-// The part of the log that is in memory: all entries after the snapshot, and
-// some before it for members that lag a little.
+// The part of the log that is kept in memory: all entries after the snapshot,
+// and some of those before it for members that lag by a few entries.
 // ================================================================
 
 package controllog
 
-// entryLog holds entries first..last; the one before first is known by term.
+// entryLog holds the entries first..last. Of the entry before first (the base) it
+// holds the index and the term.
 type entryLog struct {
 	baseIndex uint64
 	baseTerm  uint64
@@ -23,7 +24,7 @@
 	return l.entries[len(l.entries)-1].term
 }
 
-// term returns the term of an entry; false when it is not in memory.
+// term returns the term of the entry at index, and false when it is not in memory.
 func (l *entryLog) term(index uint64) (uint64, bool) {
 	if index == l.baseIndex {
 		return l.baseTerm, true
@@ -34,8 +35,8 @@
 	return l.entries[index-l.first()].term, true
 }
 
-// slice returns entries from..to inclusive, at most maxBytes of data but never
-// none when there is one.
+// slice returns the entries from..to inclusive, limited to maxBytes of data. The
+// first of them is returned even if it alone exceeds maxBytes.
 func (l *entryLog) slice(from, to uint64, maxBytes int) []Entry {
 	from, to = max(from, l.first()), min(to, l.last())
 	if from > to {
@@ -52,15 +53,15 @@
 	return entries[:len(entries):len(entries)]
 }
 
-func (l *entryLog) append(e ...Entry) { l.entries = append(l.entries, e...) }
+func (l *entryLog) append(entries ...Entry) { l.entries = append(l.entries, entries...) }
 
-// truncate removes index and all after it.
+// truncate removes the entry at index and all after it.
 func (l *entryLog) truncate(index uint64) {
 	l.entries = l.entries[: index-l.first() : index-l.first()]
 }
 
-// compactIndex returns the index before which entries may be forgotten, so that at
-// most count entries of maxBytes of data stay before index.
+// compactIndex returns the index up to which entries may be removed so that at most
+// count entries, with at most maxBytes of data, remain up to index.
 func (l *entryLog) compactIndex(index uint64, count, maxBytes int) uint64 {
 	size := 0
 	for kept := 0; index > l.baseIndex && kept < count; kept++ {
@@ -73,7 +74,7 @@
 	return index
 }
 
-// compact forgets entries up to index, which must be in memory.
+// compact removes the entries up to index. It does nothing if index is not in memory.
 func (l *entryLog) compact(index uint64) {
 	term, ok := l.term(index)
 	if !ok || index <= l.baseIndex {
@@ -83,13 +84,13 @@
 	l.baseIndex, l.baseTerm = index, term
 }
 
-// reset starts the log after a snapshot.
+// reset empties the log; the next entry follows index.
 func (l *entryLog) reset(index, term uint64) {
 	*l = entryLog{baseIndex: index, baseTerm: term}
 }
 
-// upToDate tells whether a log that ends with (index, term) is at least as
-// late as this one, which is what a vote asks.
+// upToDate reports whether a log that ends with (index, term) is at least as up to
+// date as this one, which a candidate's log must be to get a vote.
 func (l *entryLog) upToDate(index, term uint64) bool {
 	return term > l.lastTerm() || (term == l.lastTerm() && index >= l.last())
 }
--- a/pkg/controllog/voters.go
+++ b/pkg/controllog/members.go
@@ -1,13 +1,12 @@
 // ================================================================
-// The set of voters and its changes, one at a time.
+// The set of members and its changes, one at a time.
 //
-// A set is in force from the moment it is appended. A member comes in as a
-// learner, is promoted by the leader once its synced log has caught up, and
-// only then is the one it replaces removed. So at no time does the loss of
-// one more VM cost the quorum that the repair was to restore.
-//
-// Rejected: swapping the old incarnation for the new one in a single step. It
-// is only safe if the old disk never comes back, and nobody can promise that.
+// A set is in force once it is appended. A member is added as a learner, the
+// leader promotes it once its synced log has caught up, and only then removes
+// the member that it replaces. Thus the loss of one more VM during a
+// replacement does not cost the quorum. The new incarnation does not take the
+// old one's place in a single step: that would be safe only if the old disk
+// never came back, which cannot be guaranteed.
 // ================================================================
 
 package controllog
@@ -17,7 +16,7 @@
 	"github.com/tidepost/tidepost/pkg/vm"
 )
 
-// Members returns the members in force.
+// Members returns the set of members in force, learners included.
 func (r *Replica) Members() []Member {
 	if len(r.memberHistory) == 0 {
 		return r.snapshot.members
@@ -25,6 +24,7 @@
 	return r.memberHistory[len(r.memberHistory)-1].members
 }
 
+// member returns the member with the given id, and false when there is none.
 func (r *Replica) member(m MemberID) (Member, bool) {
 	for _, v := range r.Members() {
 		if v.MemberID() == m {
@@ -34,7 +34,7 @@
 	return Member{}, false
 }
 
-// quorum tells whether more than half of the voters satisfy the condition.
+// quorum reports whether more than half of the voters satisfy the condition.
 func (r *Replica) quorum(holds func(MemberID) bool) bool {
 	voters, yes := 0, 0
 	for _, v := range r.Members() {
@@ -52,7 +52,7 @@
 // ----------------------------------------------------------------
 // Changes
 
-// AddMember brings a member in as a learner; it is promoted by itself.
+// AddMember adds a member as a learner. The leader promotes it once it has caught up.
 func (r *Replica) AddMember(v Member) error {
 	if err := r.checkMemberChange(); err != nil {
 		return err
@@ -66,7 +66,8 @@
 	return nil
 }
 
-// previousIncarnation returns the member that is an earlier life of the same VM.
+// previousIncarnation returns the member that is an earlier incarnation of the same
+// VM, or "".
 func (r *Replica) previousIncarnation(id vm.ID) MemberID {
 	for _, v := range r.Members() {
 		if v.id == id {
@@ -76,25 +77,25 @@
 	return ""
 }
 
-// RemoveMember takes every life of a VM out.
+// RemoveMember removes a member. The last voter cannot be removed.
 func (r *Replica) RemoveMember(m MemberID) error {
 	if err := r.checkMemberChange(); err != nil {
 		return err
 	}
-	gone, ok := r.member(m)
+	removed, ok := r.member(m)
 	if !ok {
 		return failure.New(failure.UnknownObject, "%s is not a member", m)
 	}
-	rest := withoutMember(r.Members(), m)
-	if !gone.learner && countVoters(rest) == 0 {
+	remaining := withoutMember(r.Members(), m)
+	if !removed.learner && countVoters(remaining) == 0 {
 		return failure.New(failure.BadVoterChange, "%s is the last voter", m)
 	}
-	r.changeMembers(rest)
+	r.changeMembers(remaining)
 	return nil
 }
 
-// checkMemberChange holds a change back until the last one and an entry of the
-// leader's own term are committed.
+// checkMemberChange returns an error unless this replica leads and the last change
+// and an entry of its own term are committed.
 func (r *Replica) checkMemberChange() error {
 	if r.role != Leader {
 		return r.notLeader()
@@ -108,42 +109,43 @@
 	return nil
 }
 
-func (r *Replica) changeMembers(voters []Member) {
-	r.appendMembers(voters)
+func (r *Replica) changeMembers(members []Member) {
+	r.appendMembers(members)
 	r.syncProgress()
 	r.broadcastAppend()
 	r.advanceCommit()
 }
 
-func (r *Replica) appendMembers(voters []Member) {
-	r.appendEntry(EntryMembers, encodeMembers(voters))
-	r.memberHistory = append(r.memberHistory, indexedMembers{r.log.last(), voters})
+func (r *Replica) appendMembers(members []Member) {
+	r.appendEntry(EntryMembers, encodeMembers(members))
+	r.memberHistory = append(r.memberHistory, indexedMembers{r.log.last(), members})
 }
 
-// adjustMembers promotes a learner that has caught up and removes the member
-// that a promoted one replaces.
+// adjustMembers makes at most one change: it promotes a learner that has caught up,
+// or removes a member that a promoted one replaces.
 func (r *Replica) adjustMembers() {
 	if r.checkMemberChange() != nil {
 		return
 	}
 	for i, v := range r.Members() {
 		if v.learner && r.matchOf(v.MemberID()) >= r.hardState.commit {
-			voters := copyMembers(r.Members())
-			voters[i].learner = false
-			r.changeMembers(voters)
+			members := copyMembers(r.Members())
+			members[i].learner = false
+			r.changeMembers(members)
 			return
 		}
 		if v.learner || v.replaces == "" {
 			continue
 		}
-		if _, there := r.member(v.replaces); there && v.replaces != r.config.Self {
+		if _, present := r.member(v.replaces); present && v.replaces != r.config.Self {
 			r.changeMembers(withoutMember(r.Members(), v.replaces))
 			return
 		}
 	}
 }
 
-// stepDownIfRemoved ends the lead of a member that is a voter no more.
+// stepDownIfRemoved makes a leader that is no longer a member a follower, once its
+// removal is committed.
 func (r *Replica) stepDownIfRemoved() {
 	n := len(r.memberHistory)
 	if n > 0 && r.memberHistory[n-1].index > r.hardState.commit {
@@ -156,7 +158,7 @@
 }
 
 // ----------------------------------------------------------------
-// History
+// The sets of members in the log
 
 func (r *Replica) dropMembersFrom(index uint64) {
 	for len(r.memberHistory) > 0 && r.memberHistory[len(r.memberHistory)-1].index >= index {
@@ -173,18 +175,18 @@
 	}
 }
 
-// membersAt returns the set in force at an index that is not compacted.
+// membersAt returns the set of members in force at an index that is not compacted.
 func (r *Replica) membersAt(index uint64) []Member {
-	voters := r.snapshot.members
+	members := r.snapshot.members
 	for _, h := range r.memberHistory {
 		if h.index <= index {
-			voters = h.members
+			members = h.members
 		}
 	}
-	return voters
+	return members
 }
 
-// syncProgress tracks each member in force and nobody else.
+// syncProgress adds and removes progress so that it matches the members in force.
 func (r *Replica) syncProgress() {
 	members := map[MemberID]bool{}
 	for _, v := range r.Members() {
@@ -200,21 +202,21 @@
 	}
 }
 
-func copyMembers(voters []Member) []Member { return append([]Member(nil), voters...) }
+func copyMembers(members []Member) []Member { return append([]Member(nil), members...) }
 
-func withoutMember(voters []Member, m MemberID) []Member {
-	var rest []Member
-	for _, v := range voters {
+func withoutMember(members []Member, m MemberID) []Member {
+	var remaining []Member
+	for _, v := range members {
 		if v.MemberID() != m {
-			rest = append(rest, v)
+			remaining = append(remaining, v)
 		}
 	}
-	return rest
+	return remaining
 }
 
-func countVoters(voters []Member) int {
+func countVoters(members []Member) int {
 	n := 0
-	for _, v := range voters {
+	for _, v := range members {
 		if !v.learner {
 			n++
 		}
--- a/pkg/controllog/joining_test.go
+++ b/pkg/controllog/new_member_test.go
@@ -1,9 +1,8 @@
 // ================================================================
-// What was seen: members whose disks were lost were no voters again after 6 s, on busy
-// machines at loopback; between regions with 20 Mbit/s it takes longer. If disks are lost
-// once more meanwhile, nobody leads any more, and what was acknowledged is gone. How it
-// comes about: a new member is sent the log entry by entry, and of a log of whole
-// configurations one counts. What proved it: the bytes that go to a new member.
+// Tests that a new member receives the state and not each entry of a log of whole
+// configurations. Sent entry by entry, members that lost their disks took 6 s to become
+// voters again on busy machines over loopback, and longer between regions with 20 Mbit/s.
+// If further disks are lost during that time, the quorum and acknowledged data are lost too.
 // ================================================================
 
 package controllog
@@ -15,7 +14,8 @@
 	"testing"
 )
 
-// countBytesTo counts the data that goes to a member while messages pass.
+// countBytesTo returns a filter that allows all messages and adds the data sent to a member
+// to count.
 func countBytesTo(c *simulatedCluster, to MemberID, count *int) func(Message) bool {
 	return func(m Message) bool {
 		if m.to == to {
@@ -37,25 +37,26 @@
 		c.deliverAllowed(allMessages)
 		c.runHeartbeats(leader, allMessages)
 	}
-	fresh := c.newMember("entry-4")
+	added := c.newMember("entry-4")
 	sent := 0
-	allow := countBytesTo(c, fresh.self.MemberID(), &sent)
-	leader.runner.handleRequest(request{step: func(r *Runner) error { return r.addMember(fresh.self) }, reply: make(chan result, 1)})
+	countingFilter := countBytesTo(c, added.self.MemberID(), &sent)
+	leader.runner.handleRequest(request{step: func(r *Runner) error { return r.addMember(added.self) }, reply: make(chan result, 1)})
 	c.processAllReady(leader)
-	c.runHeartbeats(leader, allow)
-	c.runHeartbeats(leader, allow)
-	if v, ok := leader.runner.replica.member(fresh.self.MemberID()); !ok || v.Learner() {
+	c.runHeartbeats(leader, countingFilter)
+	c.runHeartbeats(leader, countingFilter)
+	if v, ok := leader.runner.replica.member(added.self.MemberID()); !ok || v.Learner() {
 		t.Fatal("the new member does not vote")
 	}
-	if got := fresh.values["k"]; !strings.HasPrefix(got, fmt.Sprint(writes-1)+"x") {
+	if got := added.values["k"]; !strings.HasPrefix(got, fmt.Sprint(writes-1)+"x") {
 		t.Errorf("it holds %.10q", got)
 	}
 	if sent > 3*size {
-		t.Errorf("%d bytes went to it; the state has %d", sent, size)
+		t.Errorf("%d bytes were sent to it; the state has %d", sent, size)
 	}
 }
 
-// Answers that come slowly ask for no part twice.
+// Heartbeat responses that arrive while a part is in flight do not make the leader send it
+// again.
 func TestSnapshotPartsAreSentOnce(t *testing.T) {
 	const size = 3 * snapshotPartSize
 	r := rand.New(rand.NewPCG(1, 1))
@@ -68,14 +69,14 @@
 	c.write(leader, "k", string(value))
 	c.write(leader, "k", string(value))
 	c.write(leader, "k", string(value))
-	fresh := c.newMember("entry-2")
-	leader.runner.handleRequest(request{step: func(r *Runner) error { return r.addMember(fresh.self) }, reply: make(chan result, 1)})
+	added := c.newMember("entry-2")
+	leader.runner.handleRequest(request{step: func(r *Runner) error { return r.addMember(added.self) }, reply: make(chan result, 1)})
 	c.processAllReady(leader)
 	parts := map[int64]int{}
 	for range 40 {
 		c.tick(leader)
-		// One message a tick in each direction: heartbeats overtake nothing, and many
-		// are answered while a part is on its way.
+		// At most two messages are delivered per tick, in order, so that many heartbeats
+		// are answered while a part is in flight.
 		for n := min(len(c.inFlight), 2); n > 0; n-- {
 			if m := c.inFlight[0]; m.kind == MessageSnapshot {
 				parts[m.snapshot.offset]++
@@ -84,11 +85,11 @@
 		}
 	}
 	if len(parts) < size/snapshotPartSize {
-		t.Fatalf("%d parts went out", len(parts))
+		t.Fatalf("%d parts were sent", len(parts))
 	}
 	for offset, n := range parts {
 		if n > 1 {
-			t.Errorf("the part at %d went out %d times", offset, n)
+			t.Errorf("the part at %d was sent %d times", offset, n)
 		}
 	}
 }
--- a/pkg/controllog/reads.go
+++ b/pkg/controllog/reads.go
@@ -1,12 +1,13 @@
 // ================================================================
-// Confirmed reads: a leader answers a read only after a quorum has said, in a
-// heartbeat sent after the read came, that it still leads. A leader that was
-// frozen and thaws can thus not answer with what was true before.
+// Linearizable reads: a leader answers a read only after a quorum has responded
+// to a heartbeat that was sent after the read arrived. Thus a leader that was
+// paused and deposed in the meantime cannot return stale state.
 // ================================================================
 
 package controllog
 
-// Read asks for a confirmed read; it comes back in Ready.Reads under its id.
+// Read starts a confirmed read. Once it is confirmed, Ready.Reads contains it with the
+// given id.
 func (r *Replica) Read(id uint64) error {
 	if r.role != Leader {
 		return r.notLeader()
@@ -16,8 +17,8 @@
 		return nil
 	}
 	r.readRound++
-	// Until an entry of this term is committed, the commit index may be behind
-	// what a former leader has acknowledged; firstOfTerm is never behind it.
+	// Until an entry of this term is committed, the commit index may be lower than
+	// what a former leader has acknowledged; firstIndexOfTerm never is.
 	index := max(r.hardState.commit, r.firstIndexOfTerm)
 	r.pendingReads = append(r.pendingReads, pendingRead{id: id, index: index, round: r.readRound})
 	r.broadcastHeartbeat()
@@ -25,7 +26,7 @@
 	return nil
 }
 
-// confirmReads lets go of the reads whose round a quorum has answered.
+// confirmReads confirms the pending reads whose round a quorum has responded to.
 func (r *Replica) confirmReads() {
 	for len(r.pendingReads) > 0 {
 		first := r.pendingReads[0]
--- a/pkg/controllog/ready.go
+++ b/pkg/controllog/ready.go
@@ -1,31 +1,31 @@
 // ================================================================
-// What a replica wants done after each input: what to write, what to send before and
-// after it, what to apply and whom to answer.
+// The actions that a replica requests after each input: what to write, what to send
+// before and after the write, what to apply, and which reads to answer.
 // ================================================================
 
 package controllog
 
-// Ready is what a replica wants done, in the order of its fields.
+// Ready lists the actions that a replica requests, in the order of its fields.
 type Ready struct {
 	// MessagesBeforeSync are messages that may be sent before anything is written.
 	MessagesBeforeSync []Message
-	// Snapshot is a snapshot to store and to restore the state from; or nil.
+	// Snapshot is a received snapshot to store and to restore the state from, or nil.
 	Snapshot *Snapshot
-	// HardState is to be written when Changed.
+	// HardState is to be written when HardStateChanged is true.
 	HardState        HardState
 	HardStateChanged bool
-	// Entries are to be written; an index that was written before is
-	// overwritten, and all after it are void.
+	// Entries are to be written. An entry whose index was written before replaces the
+	// earlier one and all entries after it.
 	Entries []Entry
-	// MessagesAfterSync are sent once all above is synced.
+	// MessagesAfterSync are sent once all of the above is synced.
 	MessagesAfterSync []Message
-	// Committed are to be applied in order.
+	// Committed are entries to apply in order.
 	Committed []Entry
-	// Reads may be answered once Committed is applied.
+	// Reads are confirmed reads; each may be answered once its index is applied.
 	Reads []Read
 }
 
-// Ready returns what is to be done now and forgets it.
+// Ready returns the requested actions and clears them.
 func (r *Replica) Ready() Ready {
 	out := Ready{
 		Snapshot:         r.snapshotToInstall,
@@ -50,15 +50,15 @@
 	return out
 }
 
-// HasReady tells whether Ready has anything to do.
+// HasReady reports whether Ready would return any action.
 func (r *Replica) HasReady() bool {
 	return r.snapshotToInstall != nil || len(r.messages) > 0 || len(r.confirmedReads) > 0 ||
 		r.stableIndex < r.log.last() || r.appliedIndex < min(r.hardState.commit, r.stableIndex) ||
 		r.hardState.term != r.savedHardState.term || r.hardState.vote != r.savedHardState.vote
 }
 
-// Persisted says that the log is synced up to index with its entry of term.
-// An entry that was replaced in the meantime does not count.
+// Persisted tells the replica that its log is synced up to the entry with the
+// given index and term. It has no effect if that entry was replaced since.
 func (r *Replica) Persisted(index, term uint64) {
 	if t, ok := r.log.term(index); !ok || t != term || index <= r.stableIndex {
 		return
--- a/pkg/controllog/record.go
+++ b/pkg/controllog/record.go
@@ -1,15 +1,11 @@
 // ================================================================
-// Records of the log file.
+// The record format of the log file.
 //
 //	magic    2 bytes, so that a scan can find the next record
 //	kind     1 byte
 //	length   4 bytes, of the body
 //	checksum 8 bytes, xxhash of kind, length and body
 //	body     msgpack
-//
-// A record that is cut off at the end of the file is a torn write: nothing
-// after the last sync was promised, so it is cut and reported. A bad record
-// with a good one behind it is damage to what was promised, and is refused.
 // ================================================================
 
 package controllog
@@ -24,7 +20,7 @@
 	"github.com/tidepost/tidepost/pkg/failure"
 )
 
-// recordKind says what a record holds.
+// recordKind is the kind of a record.
 type recordKind byte
 
 const (
@@ -41,19 +37,22 @@
 
 var recordMagic = []byte{0xd5, 0x1e}
 
-// logBase is the first record of a file: the entry before those that follow.
+// logBase is the first record of a log file. It names the entry before the first one
+// in the file.
 //
 //wire:generate
 type logBase struct {
-	// index and term are those of the entry before the first.
+	// index is the index of that entry.
 	index uint64
-	term  uint64
+	// term is the term of that entry.
+	term uint64
 }
 
+// appendRecord appends a record with the encoded body to buffer.
 func appendRecord(buffer []byte, kind recordKind, body any) ([]byte, error) {
 	raw, err := msgpack.Marshal(body)
 	if err != nil {
-		return nil, failure.New(failure.Internal, "a %T cannot be encoded: %v", body, err)
+		return nil, failure.New(failure.Internal, "%T cannot be encoded: %v", body, err)
 	}
 	start := len(buffer)
 	buffer = append(buffer, recordMagic...)
@@ -70,8 +69,8 @@
 	return d.Sum64()
 }
 
-// parseRecord reads the record at the start of data; ok is false when it is
-// not whole.
+// parseRecord reads the record at the start of data. It returns false when the
+// record is incomplete or fails its checksum.
 func parseRecord(data []byte) (kind recordKind, body []byte, size int, ok bool) {
 	if len(data) < recordHeaderSize || !bytes.HasPrefix(data, recordMagic) {
 		return 0, nil, 0, false
@@ -87,7 +86,7 @@
 	return recordKind(data[2]), body, recordHeaderSize + length, true
 }
 
-// containsRecord tells whether a whole record starts anywhere in data.
+// containsRecord reports whether a valid record starts anywhere in data.
 func containsRecord(data []byte) bool {
 	for {
 		i := bytes.Index(data, recordMagic)
@@ -101,21 +100,26 @@
 	}
 }
 
-// readRecords calls take for each record, and returns the length of the good
-// part. A torn tail is not an error; damage before the end is.
-func readRecords(name string, data []byte, take func(recordKind, []byte) error) (good int, err error) {
-	for good < len(data) {
-		kind, body, size, ok := parseRecord(data[good:])
+// readRecords calls handle for each record and returns the length of the valid
+// part of data.
+//
+// An invalid record with no valid record after it is a torn write. It is not an
+// error, since nothing after the last sync was acknowledged. An invalid record
+// with a valid one after it means that acknowledged data is damaged, and is a
+// CorruptLog error.
+func readRecords(name string, data []byte, handle func(recordKind, []byte) error) (valid int, err error) {
+	for valid < len(data) {
+		kind, body, size, ok := parseRecord(data[valid:])
 		if !ok {
-			if containsRecord(data[good+1:]) {
-				return good, failure.New(failure.CorruptLog, "%s is damaged at byte %d of %d", name, good, len(data))
+			if containsRecord(data[valid+1:]) {
+				return valid, failure.New(failure.CorruptLog, "%s is damaged at byte %d of %d", name, valid, len(data))
 			}
-			return good, nil
+			return valid, nil
 		}
-		if err := take(kind, body); err != nil {
-			return good, failure.New(failure.CorruptLog, "%s at byte %d: %v", name, good, err)
+		if err := handle(kind, body); err != nil {
+			return valid, failure.New(failure.CorruptLog, "%s at byte %d: %v", name, valid, err)
 		}
-		good += size
+		valid += size
 	}
-	return good, nil
+	return valid, nil
 }
--- a/pkg/controllog/replica.go
+++ b/pkg/controllog/replica.go
@@ -1,12 +1,7 @@
 // ================================================================
-// The replica: one member's part in the agreement, after Ongaro's thesis
-// (terms, pre-vote, quorum commit, single changes of voters, confirmed reads).
-//
-// Use: feed it with Step, Tick, Propose and the like, then take Ready, write
-// what has to be written, call Persisted, send the messages and apply the
-// committed entries. Messages that rely on a write go out after it;
-// AppendFirst marks the ones that may go before, since a leader counts its own
-// copy only once it is synced.
+// The replica: the protocol state of one member, after Ongaro's thesis on Raft
+// (terms, pre-vote, quorum commit, single-server membership changes, confirmed
+// reads).
 // ================================================================
 
 package controllog
@@ -21,10 +16,10 @@
 	"github.com/tidepost/tidepost/pkg/invariant"
 )
 
-// Role is what a replica is at the moment.
+// Role is the role of a replica in its current term.
 type Role uint8
 
-// The roles.
+// The roles of a replica.
 const (
 	Follower Role = iota
 	PreCandidate
@@ -38,116 +33,123 @@
 }
 
 const (
-	// maxUncommitted bounds the entries that wait for a quorum.
+	// maxUncommitted bounds the entries in a leader's log that are not committed yet.
 	maxUncommitted = 4096
-	// maxAppendBytes bounds the data of one append message.
+	// maxAppendBytes bounds the data of one append message, in bytes.
 	maxAppendBytes = 1 << 20
-	// maxInFlight bounds the entries sent to a member and not acknowledged.
+	// maxInFlight bounds the entries that are sent to a member and not acknowledged.
 	maxInFlight = 1024
 )
 
-// ReplicaConfig are the constants of a replica.
+// ReplicaConfig holds the settings of a replica.
 type ReplicaConfig struct {
-	// Self is this member.
+	// Self is the member's own id.
 	Self MemberID
-	// ElectionTicks is the shortest time without a leader before a campaign;
-	// the longest is twice that.
+	// ElectionTicks is the shortest election timeout, in ticks. The timeout is
+	// random and less than twice as long.
 	ElectionTicks int
-	// HeartbeatTicks is the time between heartbeats of a leader.
+	// HeartbeatTicks is the interval of a leader's heartbeats, in ticks.
 	HeartbeatTicks int
-	// Random spreads the campaigns.
+	// Random randomises the election timeouts.
 	Random *rand.Rand
-	// Faults leave a safeguard out, to show that a test would notice.
+	// Faults disables safeguards, so that tests can show that they detect it.
 	Faults Faults
 }
 
-// Faults are seeded faults. The zero value has none.
+// Faults are faults that a test injects. The zero value has none.
 type Faults struct {
-	// VoteTwice forgets the vote of a term.
+	// VoteTwice grants votes to several candidates in one term.
 	VoteTwice bool
-	// CommitOldTerms counts copies of entries of former terms as committed.
+	// CommitOldTerms commits entries of former terms by counting replicas.
 	CommitOldTerms bool
-	// UnconfirmedReads answers reads without asking a quorum.
+	// UnconfirmedReads confirms reads without a quorum.
 	UnconfirmedReads bool
-	// AnyIncarnation takes messages to an earlier incarnation.
+	// AnyIncarnation accepts messages to an earlier incarnation of the member.
 	AnyIncarnation bool
 }
 
-// indexedMembers is a set of voters and the index that put it in force.
+// indexedMembers is a set of members and the index of the entry that put it in force.
 type indexedMembers struct {
 	index   uint64
 	members []Member
 }
 
-// progress is what a leader knows of a member.
+// progress is the replication state of a member as the leader knows it.
 type progress struct {
-	match            uint64
-	next             uint64
-	lastMatch        uint64 // match at the last heartbeat answer
-	active           bool   // heard from since the last quorum check
-	respondedAt      uint64 // the replica's clock when it last answered
-	readRound        uint64
-	outgoingSnapshot *Snapshot
+	match            uint64    // the last entry that the member is known to have synced
+	next             uint64    // the next entry to send
+	lastMatch        uint64    // match at the last heartbeat response
+	active           bool      // it responded since the last quorum check
+	respondedAt      uint64    // the replica's clock at its last response
+	readRound        uint64    // the highest read round that it responded to
+	outgoingSnapshot *Snapshot // the snapshot that is being sent, or nil
 	encodedSnapshot  []byte
-	sentOffset       int64
-	lastOffset       int64 // sentOffset at the last heartbeat answer
+	sentOffset       int64 // offset of the part sent last
+	lastOffset       int64 // sentOffset at the last heartbeat response
 }
 
-// Replica is one member's part in the agreement.
+// Replica implements the protocol for one member. It is not safe for concurrent
+// use.
+//
+// The caller passes input to Step, Tick, Propose and the other methods, then
+// takes a Ready, writes its entries, calls Persisted, sends its messages and
+// applies its committed entries. Most messages rely on the write and must be
+// sent after it. Ready.MessagesBeforeSync may be sent earlier, because a leader
+// counts its own copy of an entry only once it is synced.
 type Replica struct {
 	config ReplicaConfig
 
 	hardState      HardState
-	savedHardState HardState
+	savedHardState HardState // as of the last Ready
 	log            entryLog
-	stableIndex    uint64
-	appliedIndex   uint64
+	stableIndex    uint64 // the last synced entry
+	appliedIndex   uint64 // the last entry that a Ready returned as committed
 	snapshot       Snapshot
-	memberHistory  []indexedMembers
+	memberHistory  []indexedMembers // the sets of members after the snapshot
 
 	role                  Role
 	leader                MemberID
 	clock                 uint64 // ticks since the start
-	ticksSinceReset       int
-	electionTimeout       int
+	ticksSinceReset       int    // ticks since the election timer was reset
+	electionTimeout       int    // in ticks
 	ticksSinceQuorumCheck int
-	votes                 map[MemberID]bool
-	progress              map[MemberID]*progress
-	firstIndexOfTerm      uint64
+	votes                 map[MemberID]bool      // responses in the current election
+	progress              map[MemberID]*progress // on a leader
+	firstIndexOfTerm      uint64                 // the leader's first entry of its term
 	pendingReads          []pendingRead
-	readRound             uint64
-	incomingSnapshot      []byte
+	readRound             uint64 // the round of the latest read
+	incomingSnapshot      []byte // the parts received so far
 	incomingSnapshotIndex uint64
-	snapshotToInstall     *Snapshot
+	snapshotToInstall     *Snapshot // for the next Ready
 
-	messages       []Message
-	confirmedReads []Read
+	messages       []Message // for the next Ready
+	confirmedReads []Read    // for the next Ready
 }
 
-// pendingRead waits for a quorum to confirm that this is still the leader.
+// pendingRead is a read that waits for a quorum to confirm that this replica still leads.
 type pendingRead struct {
 	id    uint64
 	index uint64
 	round uint64
 }
 
-// Read is a confirmed read: it may be answered once Index is applied.
+// Read is a confirmed read. It may be answered once the entry at Index is applied.
 type Read struct {
 	ID    uint64
 	Index uint64
 }
 
-// StoredState is what a member's disk holds.
+// StoredState is the state that a member reads from its disk at the start.
 type StoredState struct {
 	HardState HardState
 	Snapshot  Snapshot
-	// BaseIndex and BaseTerm are those of the entry before Entries.
+	// BaseIndex and BaseTerm are the index and term of the entry before Entries.
 	BaseIndex uint64
 	BaseTerm  uint64
 	Entries   []Entry
 }
 
-// NewReplica returns a replica with what its disk holds.
+// NewReplica returns a follower with the state from its disk.
 func NewReplica(c ReplicaConfig, s StoredState) *Replica {
 	r := &Replica{config: c, hardState: s.HardState, snapshot: s.Snapshot}
 	r.log = entryLog{baseIndex: s.BaseIndex, baseTerm: s.BaseTerm, entries: s.Entries}
@@ -160,34 +162,36 @@
 	r.stableIndex = r.log.last()
 	r.rebuildMemberHistory()
 	r.becomeFollower(r.hardState.term, "")
-	// After a restart there is most likely no leader, or one that is heard of
-	// soon; the pre-vote keeps an early campaign from deposing it.
+	// The first election timeout may be shorter than the later ones. After a restart
+	// there is most likely no leader, or one that soon sends a heartbeat; the
+	// pre-vote keeps an early campaign from deposing it.
 	r.electionTimeout = 2 + c.Random.IntN(c.ElectionTicks)
 	return r
 }
 
 // ----------------------------------------------------------------
-// What others may ask
+// Accessors
 
-// Role returns what the replica is.
+// Role returns the current role.
 func (r *Replica) Role() Role { return r.role }
 
-// Leader returns the known leader of the term, or "".
+// Leader returns the known leader of the current term, or "".
 func (r *Replica) Leader() MemberID { return r.leader }
 
 // Term returns the current term.
 func (r *Replica) Term() uint64 { return r.hardState.term }
 
-// Commit returns the last committed index.
+// Commit returns the last index known to be committed.
 func (r *Replica) Commit() uint64 { return r.hardState.commit }
 
 // LastIndex returns the last index of the log.
 func (r *Replica) LastIndex() uint64 { return r.log.last() }
 
-// Applied returns the last index that was handed out to be applied.
+// Applied returns the last index that a Ready returned for application.
 func (r *Replica) Applied() uint64 { return r.appliedIndex }
 
-// Match returns how far a member's synced log is known to agree (leader only).
+// Match returns the last index up to which a member's synced log is known to match
+// (leader only).
 func (r *Replica) Match(m MemberID) uint64 {
 	if p := r.progress[m]; p != nil {
 		return p.match
@@ -195,7 +199,7 @@
 	return 0
 }
 
-// ticksSinceResponse returns how many ticks ago a member answered (leader only).
+// ticksSinceResponse returns how many ticks ago a member last responded (leader only).
 func (r *Replica) ticksSinceResponse(m MemberID) int {
 	p := r.progress[m]
 	if p == nil || m == r.config.Self {
@@ -204,13 +208,13 @@
 	return int(r.clock - p.respondedAt)
 }
 
-// recordResponse notes that a member answered.
+// recordResponse records that a member responded.
 func (r *Replica) recordResponse(p *progress) {
 	p.active = true
 	p.respondedAt = r.clock
 }
 
-// Formed tells whether the replica belongs to a cluster.
+// Formed reports whether the replica belongs to a cluster.
 func (r *Replica) Formed() bool { return len(r.Members()) > 0 }
 
 // ----------------------------------------------------------------
@@ -228,21 +232,21 @@
 	return nil
 }
 
-// Propose appends a command. It returns the index and term that the command
-// has if it is ever committed.
+// Propose appends a command to the leader's log. It returns the index and term
+// that the command has if it is committed.
 func (r *Replica) Propose(data []byte) (index, term uint64, err error) {
 	if r.role != Leader {
 		return 0, 0, r.notLeader()
 	}
 	if r.log.last()-r.hardState.commit >= maxUncommitted {
-		return 0, 0, failure.New(failure.Overloaded, "%d entries wait for a quorum", maxUncommitted)
+		return 0, 0, failure.New(failure.Overloaded, "%d entries are not committed yet", maxUncommitted)
 	}
 	r.appendEntry(EntryCommand, data)
 	return r.log.last(), r.hardState.term, nil
 }
 
-// Flush sends what was proposed since the last Flush. It is apart from Propose
-// so that a batch of proposals makes one message a member.
+// Flush sends the entries proposed since the last Flush. It is separate from
+// Propose so that a batch of proposals makes one message per member.
 func (r *Replica) Flush() {
 	if r.role == Leader {
 		r.broadcastAppend()
@@ -251,12 +255,12 @@
 
 func (r *Replica) notLeader() error {
 	if !r.Formed() {
-		return failure.New(failure.NotFormed, "%s is in no cluster", r.config.Self)
+		return failure.New(failure.NotFormed, "%s does not belong to a cluster", r.config.Self)
 	}
-	return failure.New(failure.NotLeader, "%s is %s", r.config.Self, r.role)
+	return failure.New(failure.NotLeader, "%s has the role %s", r.config.Self, r.role)
 }
 
-// Tick advances the replica's time by one tick.
+// Tick advances the replica's clock by one tick.
 func (r *Replica) Tick() {
 	r.clock++
 	r.ticksSinceReset++
@@ -284,19 +288,20 @@
 	}
 }
 
-// quorumResponded tells whether a quorum was heard from since the last check.
-// A leader that is cut off finds out by it and stops leading.
+// quorumResponded reports whether a quorum has responded since the last check.
+// A leader that is partitioned from the others steps down because of it.
 func (r *Replica) quorumResponded() bool {
-	heard := r.quorum(func(m MemberID) bool { return m == r.config.Self || r.progress[m].active })
+	responded := r.quorum(func(m MemberID) bool { return m == r.config.Self || r.progress[m].active })
 	for _, p := range r.progress {
 		p.active = false
 	}
-	return heard
+	return responded
 }
 
 // ----------------------------------------------------------------
-// Common parts
+// Helpers
 
+// send queues a message; its term is the current one unless it is set.
 func (r *Replica) send(m Message) {
 	m.from = r.config.Self
 	if m.term == 0 {
@@ -324,7 +329,7 @@
 	r.electionTimeout = r.config.ElectionTicks + r.config.Random.IntN(r.config.ElectionTicks)
 }
 
-// advanceCommitTo raises the commit index.
+// advanceCommitTo raises the commit index, at most to the end of the log.
 func (r *Replica) advanceCommitTo(commit uint64) {
 	commit = min(commit, r.log.last())
 	if commit > r.hardState.commit {
@@ -332,13 +337,15 @@
 	}
 }
 
-// checkTruncation asserts that nothing committed is ever replaced.
+// checkTruncation returns an error if the entry at index is committed and thus must
+// not be replaced.
 func (r *Replica) checkTruncation(index uint64) error {
 	return invariant.Check(index > r.hardState.commit, "control_log_committed_replaced",
-		"%s would replace entry %d; committed is %d", r.config.Self, index, r.hardState.commit)
+		"%s would replace entry %d, but the log is committed up to entry %d", r.config.Self, index, r.hardState.commit)
 }
 
-// sortedMembers returns members in one order, so that runs repeat.
+// sortedMembers returns the members in a fixed order, so that a simulation is
+// reproducible.
 func sortedMembers(m map[MemberID]*progress) []MemberID {
 	members := make([]MemberID, 0, len(m))
 	for id := range m {
@@ -348,20 +355,20 @@
 	return members
 }
 
-func encodeMembers(voters []Member) []byte {
-	raw, err := msgpack.Marshal(voters)
+func encodeMembers(members []Member) []byte {
+	raw, err := msgpack.Marshal(members)
 	if err != nil {
-		// Encoding plain fields into memory cannot fail.
+		// Encoding plain fields to memory does not fail.
 		panic(err)
 	}
 	return raw
 }
 
 func decodeMembers(raw []byte) []Member {
-	var voters []Member
-	if err := msgpack.Unmarshal(raw, &voters); err != nil {
-		// The entry passed its checksum, so it was written that way.
+	var members []Member
+	if err := msgpack.Unmarshal(raw, &members); err != nil {
+		// The entry passed its checksum, so a member wrote it like this.
 		panic(err)
 	}
-	return voters
+	return members
 }
--- a/pkg/controllog/replication.go
+++ b/pkg/controllog/replication.go
@@ -1,9 +1,9 @@
 // ================================================================
-// Replication: how entries travel and when they are committed.
+// Replication of entries to the members, and the commit rule.
 //
-// A leader sends ahead of the acknowledgements (next runs in front of match)
-// and falls back to match when a heartbeat answer shows no headway, which is
-// all that a lost message needs.
+// A leader sends entries ahead of the acknowledgements (next is greater than
+// match). It goes back to match when match did not advance between two
+// heartbeat responses. Lost messages need no other handling.
 // ================================================================
 
 package controllog
@@ -19,11 +19,12 @@
 	}
 }
 
-// sendAppend sends what the member lacks, as far as the window allows.
+// sendAppend sends the entries that the member lacks, limited by maxInFlight and
+// maxAppendBytes, or starts a snapshot.
 func (r *Replica) sendAppend(to MemberID) {
 	p := r.progress[to]
 	if p == nil {
-		// The commit that went before has ended the lead or the membership.
+		// A preceding commit made this replica step down or removed the member.
 		return
 	}
 	if to == r.config.Self || p.outgoingSnapshot != nil || p.next > r.log.last() || p.next > p.match+maxInFlight {
@@ -85,8 +86,9 @@
 	p.lastMatch = p.match
 }
 
-// advanceCommit commits what a quorum has synced. Only an entry of the
-// leader's own term is counted; those before it are committed with it.
+// advanceCommit commits the entries that a quorum has synced. Replicas are counted
+// only for an entry of the leader's own term; earlier entries are committed with
+// it.
 func (r *Replica) advanceCommit() {
 	var matches []uint64
 	for _, v := range r.Members() {
@@ -107,8 +109,8 @@
 		return
 	}
 	r.advanceCommitTo(commit)
-	// Followers hear of the commit now and not with the next heartbeat: a
-	// change is in force there one message later.
+	// Followers learn the commit index now instead of with the next heartbeat, so
+	// that they apply a change one message later.
 	r.broadcastHeartbeat()
 	r.stepDownIfRemoved()
 }
@@ -134,7 +136,7 @@
 	}
 	if term, ok := r.log.term(m.index); !ok || term != m.logTerm {
 		if ok && m.index <= r.hardState.commit {
-			// Asking for earlier entries would go on for ever.
+			// A request for earlier entries would repeat without end.
 			return r.checkTruncation(m.index)
 		}
 		hint := min(m.index-1, r.log.last())
@@ -150,7 +152,7 @@
 	return nil
 }
 
-// appendReceived appends what is new and replaces what differs.
+// appendReceived appends the new entries and replaces those that differ.
 func (r *Replica) appendReceived(entries []Entry) error {
 	for i, e := range entries {
 		if term, ok := r.log.term(e.index); ok && term == e.term {
--- a/pkg/controllog/runner.go
+++ b/pkg/controllog/runner.go
@@ -1,10 +1,6 @@
 // ================================================================
-// The runner: one goroutine that feeds a Replica from a timer, incoming
-// messages and requests, and carries out what it wants done.
-//
-// Everything goes through one loop, so a Ready is always written before the
-// next message is looked at. Proposals that wait when the loop comes round
-// share one write and one sync: that is the whole of the batching.
+// The runner: one goroutine that passes ticks, messages and requests to a
+// Replica and performs the actions that the replica requests.
 // ================================================================
 
 package controllog
@@ -26,53 +22,66 @@
 const (
 	// DefaultTick is the length of a tick.
 	DefaultTick = 100 * time.Millisecond
-	// DefaultElectionTicks is the shortest time without a leader, in ticks.
+	// DefaultElectionTicks is the shortest election timeout, in ticks.
 	DefaultElectionTicks = 10
-	// DefaultHeartbeatTicks is the time between heartbeats, in ticks.
+	// DefaultHeartbeatTicks is the interval of heartbeats, in ticks.
 	DefaultHeartbeatTicks = 2
-	// DefaultSnapshotEvery is how many entries are applied between snapshots.
+	// DefaultSnapshotEvery is the number of entries applied between snapshots.
 	DefaultSnapshotEvery = 4096
-	// snapshotThreshold is how much applied data calls for a snapshot earlier, and
-	// joiningBytes how much does when a member is brought in.
-	snapshotThreshold          = 8 << 20
+	// snapshotThreshold is the amount of applied data, in bytes, that triggers a
+	// snapshot before DefaultSnapshotEvery entries are applied.
+	snapshotThreshold = 8 << 20
+	// newMemberSnapshotThreshold replaces snapshotThreshold when a member is added,
+	// so that the member receives the state instead of the log.
 	newMemberSnapshotThreshold = 256 << 10
 
+	// inboxSize is the capacity of the queues of messages and of requests.
 	inboxSize = 1024
 	// maxBatch bounds the proposals that share one write.
 	maxBatch = 256
 )
 
-// StateMachine is what committed commands are applied to. All of it is called
-// from the runner's goroutine.
+// StateMachine is the state machine that committed commands are applied to. Its
+// functions are called from the runner's goroutine only.
 type StateMachine struct {
 	// Apply applies a command and returns its result.
 	Apply func(index uint64, data []byte) any
-	// Snapshot returns the whole state.
+	// Snapshot returns the encoded state.
 	Snapshot func() ([]byte, error)
-	// Restore replaces the whole state.
+	// Restore replaces the state by one that Snapshot returned.
 	Restore func(state []byte) error
 }
 
-// RunnerConfig says how a member runs.
+// RunnerConfig holds the settings of a Runner.
 type RunnerConfig struct {
 	Self    Member
 	Folder  *disk.Folder
 	Machine StateMachine
-	// Send hands a message to a member; it must not block. The address is
-	// empty for a member that is not in the log yet.
+	// Send sends a message to a member; it must not block. The address is empty
+	// for a member that the log does not contain yet.
 	Send func(to MemberID, address string, m Message)
-	// Record notes an event of the time line.
+	// Record adds an event to the timeline.
 	Record func(kind event.Kind, subject, detail string)
 	Logger log.Logger
-	Tick   time.Duration
-	// ElectionTicks is the shortest time without a leader; 0 is the default.
+	// Tick is the length of a tick; 0 means DefaultTick.
+	Tick time.Duration
+	// ElectionTicks is the shortest election timeout, in ticks; 0 means
+	// DefaultElectionTicks.
 	ElectionTicks int
+	// SnapshotEvery is the number of entries applied between snapshots; 0 means
+	// DefaultSnapshotEvery.
 	SnapshotEvery uint64
-	Seed          uint64
-	Faults        Faults
+	// Seed seeds the random election timeouts.
+	Seed   uint64
+	Faults Faults
 }
 
-// Runner runs one member of the control log.
+// Runner runs one member of the control log. Run must be called once; the other
+// exported methods may be called from any goroutine.
+//
+// All input goes through one loop, so a Ready is written before the next message
+// is handled. Proposals are batched only there: those that are queued when the
+// loop takes a request share one write and one sync.
 type Runner struct {
 	config  RunnerConfig
 	replica *Replica
@@ -81,41 +90,41 @@
 	inbox    chan Message
 	requests chan request
 	done     chan struct{}
-	err      error
+	err      error // why the loop ended; set before done is closed
 
-	pendingProposals map[uint64]pendingProposal
-	pendingReads     map[uint64]chan<- result
-	confirmedReads   []Read
+	pendingProposals map[uint64]pendingProposal // by the index of the entry
+	pendingReads     map[uint64]chan<- result   // by the id of the read
+	confirmedReads   []Read                     // not answered yet
 	lastReadID       uint64
-	applied          uint64
-	lastSnapshot     uint64
-	appliedBytes     int
-	memberAdded      bool // a member was brought in since the last look at the snapshot
+	applied          uint64 // the last applied entry
+	lastSnapshot     uint64 // the index of the last snapshot
+	appliedBytes     int    // data applied since the last snapshot
+	memberAdded      bool   // a member was added since snapshotIfDue last ran
 	state            atomic.Pointer[State]
 	wasLeader        bool
 }
 
-// request is a call into the loop.
+// request is a call that the loop handles: a step, a confirmed read or a proposal.
 type request struct {
-	step  func(r *Runner) error // a step that is answered at once
-	data  []byte                // a proposal, when do is nil
+	step  func(r *Runner) error // a step whose result is the reply
+	data  []byte                // a proposal, when step is nil and read is false
 	read  bool                  // a confirmed read
 	reply chan<- result
 }
 
-// result is the answer of a request.
+// result is the result of a request.
 type result struct {
 	value any
 	err   error
 }
 
-// pendingProposal waits for the entry at an index to be applied.
+// pendingProposal is a proposal whose entry is not applied yet.
 type pendingProposal struct {
 	term  uint64
 	reply chan<- result
 }
 
-// State is what a member tells of itself.
+// State is the state of a member that others may read.
 type State struct {
 	Role    Role
 	Term    uint64
@@ -124,24 +133,25 @@
 	// Leader is the known leader; its zero value means none.
 	Leader  Member
 	Members []Member
-	// Match holds, on a leader, how far each member's synced log agrees.
+	// Match holds, on a leader, the last index up to which each member's synced log
+	// is known to match.
 	Match map[MemberID]uint64
-	// TicksSinceResponse holds, on a leader, how many ticks ago each member answered.
+	// TicksSinceResponse holds, on a leader, how many ticks ago each member last responded.
 	TicksSinceResponse map[MemberID]int
-	// CanChangeMembers says, on a leader, that an entry of its term is committed and no
-	// change of voters is under way.
+	// CanChangeMembers is true on a leader when an entry of its term is committed and
+	// no change of members is pending.
 	CanChangeMembers bool
 }
 
-// NewRunner opens the folder and returns a runner that is not running yet.
+// NewRunner reads the state in the folder and returns a runner; Run starts it.
 func NewRunner(c RunnerConfig) (*Runner, error) {
 	store, stored, repair, err := OpenStore(c.Folder)
 	if err != nil {
 		return nil, err
 	}
 	if repair.Bytes > 0 {
-		_ = level.Warn(c.Logger).Log("msg", "control log: cut a torn write", "file", repair.File, "bytes", repair.Bytes)
-		c.Record(event.LogRepaired, repair.File, "cut a torn write from the end")
+		_ = level.Warn(c.Logger).Log("msg", "control log: torn write truncated", "file", repair.File, "bytes", repair.Bytes)
+		c.Record(event.LogRepaired, repair.File, "truncated a torn write at the end")
 	}
 	if stored.Snapshot.index > 0 {
 		if err := c.Machine.Restore(stored.Snapshot.state); err != nil {
@@ -180,8 +190,8 @@
 // ----------------------------------------------------------------
 // Calls
 
-// Deliver takes a message from another member in. A full inbox drops it, as a
-// network would.
+// Deliver queues a message from another member. It drops the message when the
+// queue is full; the protocol tolerates lost messages.
 func (r *Runner) Deliver(m Message) {
 	select {
 	case r.inbox <- m:
@@ -189,26 +199,28 @@
 	}
 }
 
-// Propose has a command committed and applied, and returns its result. On a
-// member that does not lead it fails with NotLeader. An error with RanUnknown
-// means that the command may still be applied.
+// Propose proposes a command, waits until it is committed and applied, and
+// returns its result. It fails with NotLeader on a member that is not the leader.
+// After an error with RanUnknown the command may still be applied.
 func (r *Runner) Propose(ctx context.Context, data []byte) (any, error) {
 	return r.call(ctx, request{data: data})
 }
 
 // ConfirmedRead returns once a quorum has confirmed that this member leads and
-// all that was committed before the call is applied.
+// all entries that were committed before the call are applied.
 func (r *Runner) ConfirmedRead(ctx context.Context) error {
 	_, err := r.call(ctx, request{read: true})
 	return err
 }
 
-// Bootstrap forms a new cluster with this member alone.
+// Bootstrap forms a new cluster with this member as its only voter.
 func (r *Runner) Bootstrap(ctx context.Context) error {
 	return r.runStep(ctx, func(r *Runner) error { return r.replica.Bootstrap(r.config.Self) })
 }
 
-// AddMember brings a member in. What it lacks is brought down to the state first.
+// AddMember adds a member as a learner; the leader promotes it once it has caught up.
+// A snapshot is taken in the same step if enough data was applied since the last one, so
+// that the member receives the state instead of the log.
 func (r *Runner) AddMember(ctx context.Context, v Member) error {
 	return r.runStep(ctx, func(r *Runner) error { return r.addMember(v) })
 }
@@ -219,7 +231,7 @@
 	return err
 }
 
-// RemoveMember takes a member out.
+// RemoveMember removes a member.
 func (r *Runner) RemoveMember(ctx context.Context, m MemberID) error {
 	return r.runStep(ctx, func(r *Runner) error { return r.replica.RemoveMember(m) })
 }
@@ -230,8 +242,8 @@
 }
 
 func (r *Runner) call(ctx context.Context, q request) (any, error) {
-	answer := make(chan result, 1)
-	q.reply = answer
+	reply := make(chan result, 1)
+	q.reply = reply
 	select {
 	case r.requests <- q:
 	case <-r.done:
@@ -240,12 +252,12 @@
 		return nil, failure.New(failure.Overloaded, "the control log is busy: %v", ctx.Err())
 	}
 	select {
-	case a := <-answer:
-		return a.value, a.err
+	case res := <-reply:
+		return res.value, res.err
 	case <-r.done:
 		return nil, failure.Of(r.stopError()).WithRan(failure.RanUnknown)
 	case <-ctx.Done():
-		return nil, failure.New(failure.NoQuorum, "no answer from a quorum: %v", ctx.Err()).WithRan(failure.RanUnknown)
+		return nil, failure.New(failure.NoQuorum, "no response from a quorum: %v", ctx.Err()).WithRan(failure.RanUnknown)
 	}
 }
 
@@ -253,12 +265,12 @@
 	if r.err != nil {
 		return r.err
 	}
-	return failure.New(failure.Draining, "this voter is stopping")
+	return failure.New(failure.Draining, "this member is stopping")
 }
 
-// State returns what the member knew of itself after its last step. It never
-// waits: a step may hang for as long as the disk does. When the runner has
-// stopped it returns the zero State.
+// State returns the member's state after its last step. It does not wait for the
+// current step, which can block for as long as a disk write does. When the
+// runner has stopped, it returns the zero State.
 func (r *Runner) State() State {
 	select {
 	case <-r.done:
@@ -268,5 +280,5 @@
 	}
 }
 
-// Done is closed when the runner has ended.
+// Done returns a channel that is closed when Run has returned.
 func (r *Runner) Done() <-chan struct{} { return r.done }
--- a/pkg/controllog/runner_loop.go
+++ b/pkg/controllog/runner_loop.go
@@ -1,6 +1,7 @@
 // ================================================================
-// The runner's loop: one input, then all that the replica wants done for it, in
-// the order that its promises need: write and sync, send, apply, answer.
+// The runner's loop: it handles one input, then performs the actions that the
+// replica requests. Most messages, and the application of entries and the replies,
+// rely on what was written, so the order is write and sync, send, apply, reply.
 // ================================================================
 
 package controllog
@@ -15,7 +16,8 @@
 	"github.com/tidepost/tidepost/pkg/failure"
 )
 
-// Run runs the member until the context ends or its disk fails.
+// Run runs the member until the context ends or an error occurs, such as a failed
+// disk write. It returns nil when the context has ended.
 func (r *Runner) Run(ctx context.Context) error {
 	defer close(r.done)
 	defer func() { _ = r.store.Close() }()
@@ -37,7 +39,8 @@
 	}
 }
 
-// processInput waits for one input, takes what else waits, and carries it all out.
+// processInput waits for one input and performs the actions that follow from it. A
+// request is handled together with the other requests in the queue.
 func (r *Runner) processInput(ctx context.Context, tick <-chan time.Time) error {
 	select {
 	case <-ctx.Done():
@@ -87,7 +90,7 @@
 	}
 }
 
-// processAllReady does what the replica wants until it wants nothing more.
+// processAllReady performs the requested actions until the replica requests no more.
 func (r *Runner) processAllReady() error {
 	r.replica.Flush()
 	for r.replica.HasReady() {
@@ -100,30 +103,31 @@
 	return r.snapshotIfDue()
 }
 
-func (r *Runner) processReady(d Ready) error {
-	r.sendMessages(d.MessagesBeforeSync)
-	if d.Snapshot != nil {
-		if err := r.installSnapshot(*d.Snapshot, d.HardState); err != nil {
+func (r *Runner) processReady(ready Ready) error {
+	r.sendMessages(ready.MessagesBeforeSync)
+	if ready.Snapshot != nil {
+		if err := r.installSnapshot(*ready.Snapshot, ready.HardState); err != nil {
 			return err
 		}
 	}
-	if err := r.store.Save(d.HardState, d.HardStateChanged, d.Entries); err != nil {
+	if err := r.store.Save(ready.HardState, ready.HardStateChanged, ready.Entries); err != nil {
 		return err
 	}
-	if n := len(d.Entries); n > 0 {
-		r.replica.Persisted(d.Entries[n-1].index, d.Entries[n-1].term)
+	if n := len(ready.Entries); n > 0 {
+		r.replica.Persisted(ready.Entries[n-1].index, ready.Entries[n-1].term)
 	}
-	r.sendMessages(d.MessagesAfterSync)
-	r.applyEntries(d.Committed)
-	r.confirmedReads = append(r.confirmedReads, d.Reads...)
+	r.sendMessages(ready.MessagesAfterSync)
+	r.applyEntries(ready.Committed)
+	r.confirmedReads = append(r.confirmedReads, ready.Reads...)
 	r.replyToReads()
 	return nil
 }
 
 func (r *Runner) sendMessages(messages []Message) {
 	for _, m := range messages {
-		// A learner answers a leader that it does not know of yet: the address
-		// is then empty, and Send answers where the message came from.
+		// A new learner may respond to a leader that is not in its log yet. The
+		// address is then empty, and Send uses the connection that the message
+		// came from.
 		to, _ := r.replica.member(m.to)
 		r.config.Send(m.to, to.address, m)
 	}
@@ -156,7 +160,8 @@
 	}
 }
 
-// replyToProposal answers who proposed the entry, if it was proposed here.
+// replyToProposal sends the result to the caller that proposed the entry on this member,
+// if there is one.
 func (r *Runner) replyToProposal(e Entry, value any) {
 	w, ok := r.pendingProposals[e.index]
 	if !ok {
@@ -164,38 +169,38 @@
 	}
 	delete(r.pendingProposals, e.index)
 	if w.term != e.term {
-		// Another leader's entry took the place: ours will never commit.
-		w.reply <- result{err: failure.New(failure.NotLeader, "the lead changed before the entry was accepted")}
+		// Another leader's entry replaced the proposed one, which cannot be committed any more.
+		w.reply <- result{err: failure.New(failure.NotLeader, "the leader changed before the entry was committed")}
 		return
 	}
 	w.reply <- result{value: value}
 }
 
 func (r *Runner) replyToReads() {
-	rest := r.confirmedReads[:0]
+	remaining := r.confirmedReads[:0]
 	for _, read := range r.confirmedReads {
 		if read.Index > r.applied {
-			rest = append(rest, read)
+			remaining = append(remaining, read)
 			continue
 		}
-		if answer := r.pendingReads[read.ID]; answer != nil {
-			answer <- result{}
+		if reply := r.pendingReads[read.ID]; reply != nil {
+			reply <- result{}
 			delete(r.pendingReads, read.ID)
 		}
 	}
-	r.confirmedReads = rest
+	r.confirmedReads = remaining
 }
 
-// recordLeadershipChange records changes of the lead, and on losing it answers all who
-// wait: their entries may or may not be accepted by the next leader.
+// recordLeadershipChange records an event when this member starts or stops leading. When
+// it stops, pending calls fail: the next leader may or may not commit their entries.
 func (r *Runner) recordLeadershipChange() {
-	leads := r.replica.Role() == Leader
-	if leads == r.wasLeader {
+	isLeader := r.replica.Role() == Leader
+	if isLeader == r.wasLeader {
 		return
 	}
-	r.wasLeader = leads
+	r.wasLeader = isLeader
 	self := string(r.config.Self.MemberID())
-	if leads {
+	if isLeader {
 		r.config.Record(event.LeaderElected, self, describeTerm(r.replica.Term()))
 		return
 	}
@@ -203,30 +208,33 @@
 	r.failPending()
 }
 
+// failPending fails the pending proposals with an unknown outcome, and the pending reads
+// as not run.
 func (r *Runner) failPending() {
-	lost := failure.New(failure.NoQuorum, "the lead was lost before a quorum answered").WithRan(failure.RanUnknown)
+	lostErr := failure.New(failure.NoQuorum, "leadership was lost before a quorum responded").WithRan(failure.RanUnknown)
 	for index, w := range r.pendingProposals {
-		w.reply <- result{err: lost}
+		w.reply <- result{err: lostErr}
 		delete(r.pendingProposals, index)
 	}
-	for id, answer := range r.pendingReads {
-		answer <- result{err: lost.WithRan(failure.NotRun)}
+	for id, reply := range r.pendingReads {
+		reply <- result{err: lostErr.WithRan(failure.NotRun)}
 		delete(r.pendingReads, id)
 	}
 	r.confirmedReads = nil
 }
 
+// snapshotIfDue takes a snapshot if enough entries or bytes were applied since the last one.
 func (r *Runner) snapshotIfDue() error {
 	every := r.config.SnapshotEvery
 	if every == 0 {
 		every = DefaultSnapshotEvery
 	}
-	most := snapshotThreshold
+	threshold := snapshotThreshold
 	if r.memberAdded {
-		most = newMemberSnapshotThreshold
+		threshold = newMemberSnapshotThreshold
 	}
 	r.memberAdded = false
-	if r.applied == r.lastSnapshot || (r.applied-r.lastSnapshot < every && r.appliedBytes < most) {
+	if r.applied == r.lastSnapshot || (r.applied-r.lastSnapshot < every && r.appliedBytes < threshold) {
 		return nil
 	}
 	state, err := r.config.Machine.Snapshot()
@@ -239,7 +247,7 @@
 	return r.store.SaveSnapshot(s, r.replica.hardState, r.replica.log.baseIndex, r.replica.log.baseTerm, entries)
 }
 
-// publishState makes the state after a step readable without a wait.
+// publishState stores the state for State to return.
 func (r *Runner) publishState() {
 	s := State{
 		Role:    r.replica.Role(),
--- a/pkg/controllog/scripted_test.go
+++ b/pkg/controllog/scripted_test.go
@@ -1,6 +1,7 @@
 // ================================================================
-// Histories that chance finds too rarely, each played with its safeguard and
-// without it. 3,000 random runs did not show either fault.
+// Tests with scripted histories, and helpers for them. Those with a safeguard to
+// disable run with and without it, because 3,000 random runs detected neither
+// fault.
 // ================================================================
 
 package controllog
@@ -13,7 +14,7 @@
 	"github.com/tidepost/tidepost/pkg/vm"
 )
 
-// newVotingCluster returns a cluster whose members all vote, with entry-1 leading.
+// newVotingCluster returns a cluster whose members are all voters; entry-1 leads.
 func newVotingCluster(t *testing.T, size int, faults Faults) *simulatedCluster {
 	t.Helper()
 	c := newSimulatedCluster(rand.New(rand.NewPCG(1, 1)), size, faults, false)
@@ -40,17 +41,17 @@
 
 func allMessages(Message) bool { return true }
 
-// messagesAmong allows messages among the named members only.
+// messagesAmong returns a filter that allows only messages among the named members.
 func messagesAmong(names ...vm.ID) func(Message) bool {
-	among := map[vm.ID]bool{}
+	allowed := map[vm.ID]bool{}
 	for _, n := range names {
-		among[n] = true
+		allowed[n] = true
 	}
-	return func(m Message) bool { return among[m.from.VM()] && among[m.to.VM()] }
+	return func(m Message) bool { return allowed[m.from.VM()] && allowed[m.to.VM()] }
 }
 
-// deliverAllowed delivers what is allowed, in order, and drops the rest, until nothing
-// waits.
+// deliverAllowed delivers the allowed messages in order and drops the others, until
+// no message is in flight.
 func (c *simulatedCluster) deliverAllowed(allow func(Message) bool) {
 	for len(c.inFlight) > 0 {
 		if !allow(c.inFlight[0]) {
@@ -61,7 +62,7 @@
 	}
 }
 
-// campaign has a member campaign now.
+// campaign has a member start an election.
 func (c *simulatedCluster) campaign(m *simulatedMember) {
 	m.runner.replica.campaign()
 	c.processAllReady(m)
@@ -69,8 +70,8 @@
 
 // ----------------------------------------------------------------
 
-// runTwoCandidates has two members campaign in one term before a common voter
-// hears of either.
+// runTwoCandidates has two members campaign in the same term before the third
+// member receives a vote request. It returns the violation found, or "".
 func runTwoCandidates(t *testing.T, faults Faults) string {
 	c := newVotingCluster(t, 3, faults)
 	c.crash(c.members[0])
@@ -87,27 +88,27 @@
 }
 
 func TestOneVotePerTerm(t *testing.T) {
-	if broken := runTwoCandidates(t, Faults{}); broken != "" {
-		t.Errorf("with the safeguard: %s", broken)
+	if violation := runTwoCandidates(t, Faults{}); violation != "" {
+		t.Errorf("with the safeguard: %s", violation)
 	}
-	if broken := runTwoCandidates(t, Faults{VoteTwice: true}); !strings.Contains(broken, "has the leaders") {
-		t.Errorf("without the safeguard: %q", broken)
+	if violation := runTwoCandidates(t, Faults{VoteTwice: true}); !strings.Contains(violation, "has the leaders") {
+		t.Errorf("without the safeguard: %q", violation)
 	}
 }
 
-// runOldTermOnMajority is figure 8 of the Raft paper: an entry of an old term
-// reaches a majority under a later leader, who is lost before any entry of its
-// own term does.
+// runOldTermOnMajority runs figure 8 of the Raft paper: an entry of an old term
+// reaches a majority under a later leader, which crashes before any entry of its
+// own term does. It returns the violation found, or "".
 func runOldTermOnMajority(t *testing.T, faults Faults) string {
 	c := newVotingCluster(t, 5, faults)
 	s1, s5 := c.members[0], c.members[4]
 
-	// s1 appends a large entry, so that it travels alone, and reaches s2 only.
+	// s1 appends an entry that fills a message of its own, and reaches s2 only.
 	c.write(s1, "k", strings.Repeat("x", maxAppendBytes+1))
 	c.deliverAllowed(messagesAmong("entry-1", "entry-2"))
 	c.crash(s1)
 
-	// s5 leads with the votes of s3 and s4, and appends without reaching them.
+	// s5 is elected by s3 and s4, and its appends do not reach them.
 	for _, m := range c.members[1:] {
 		m.runner.replica.becomeFollower(m.runner.replica.Term(), "")
 	}
@@ -117,14 +118,14 @@
 	})
 	c.crash(s5)
 
-	// s1 leads again and brings its old entry, and no more, to s3.
+	// s1 leads again and replicates only its old entry to s3.
 	c.start(s1)
 	for _, m := range c.members[1:4] {
 		m.runner.replica.becomeFollower(m.runner.replica.Term(), "")
 	}
 	s1.runner.replica.hardState.term = c.members[2].runner.replica.Term()
 	c.campaign(s1)
-	withoutOwn := func(m Message) bool {
+	onlyOldEntries := func(m Message) bool {
 		own := false
 		for _, e := range m.entries {
 			own = own || e.term == s1.runner.replica.Term()
@@ -132,13 +133,13 @@
 		return !own && messagesAmong("entry-1", "entry-2", "entry-3")(m)
 	}
 	for range 2 * DefaultHeartbeatTicks {
-		c.deliverAllowed(withoutOwn)
+		c.deliverAllowed(onlyOldEntries)
 		c.tick(s1)
 	}
-	c.deliverAllowed(withoutOwn)
+	c.deliverAllowed(onlyOldEntries)
 	c.crash(s1)
 
-	// s5 comes back, leads, and replaces that entry everywhere.
+	// s5 restarts, leads, and replaces that entry on all members.
 	c.start(s5)
 	for _, m := range c.members[1:4] {
 		m.runner.replica.becomeFollower(m.runner.replica.Term(), "")
@@ -154,26 +155,26 @@
 }
 
 func TestOnlyCurrentTermEntriesAreCounted(t *testing.T) {
-	if broken := runOldTermOnMajority(t, Faults{}); broken != "" {
-		t.Errorf("with the safeguard: %s", broken)
+	if violation := runOldTermOnMajority(t, Faults{}); violation != "" {
+		t.Errorf("with the safeguard: %s", violation)
 	}
-	if broken := runOldTermOnMajority(t, Faults{CommitOldTerms: true}); broken == "" {
-		t.Error("without the safeguard nothing was noticed")
+	if violation := runOldTermOnMajority(t, Faults{CommitOldTerms: true}); violation == "" {
+		t.Error("without the safeguard no violation was detected")
 	}
 }
 
-// TestLostDiskIsAnotherMember replaces a voter that lost its disk and then
-// loses a second VM: a quorum is left.
+// TestLostDiskIsAnotherMember replaces a voter that lost its disk, and then
+// crashes a second VM. The remaining members must still form a quorum.
 func TestLostDiskIsAnotherMember(t *testing.T) {
 	c := newVotingCluster(t, 3, Faults{})
 	leader := c.members[0]
 	lost := c.members[1]
 	old := lost.self.MemberID()
-	renewed := c.replaceDisk(lost)
-	if renewed.self.MemberID() == old {
-		t.Fatal("an emptied disk kept its identity")
+	replacement := c.replaceDisk(lost)
+	if replacement.self.MemberID() == old {
+		t.Fatal("the member with an empty disk kept its id")
 	}
-	if err := leader.runner.replica.AddMember(renewed.self); err != nil {
+	if err := leader.runner.replica.AddMember(replacement.self); err != nil {
 		t.Fatal(err)
 	}
 	c.processAllReady(leader)
@@ -181,9 +182,9 @@
 		c.tick(leader)
 		c.deliverAllowed(allMessages)
 	}
-	voters := leader.runner.replica.Members()
-	if _, there := leader.runner.replica.member(old); there || countVoters(voters) != 3 {
-		t.Fatalf("after the repair the voters are %s", describeMembers(voters))
+	members := leader.runner.replica.Members()
+	if _, present := leader.runner.replica.member(old); present || countVoters(members) != 3 {
+		t.Fatalf("after the replacement the members are %s", describeMembers(members))
 	}
 	c.crash(leader)
 	for range 200 {
@@ -193,11 +194,12 @@
 		c.deliverAllowed(allMessages)
 	}
 	if c.leader() == nil {
-		t.Fatal("no leader after a second VM was lost right after the repair")
+		t.Fatal("no leader after a second VM crashed right after the replacement")
 	}
 }
 
-// TestDamagedLogIsRefusedAndTornTailIsTruncated tells the two kinds of damage apart.
+// TestDamagedLogIsRefusedAndTornTailIsTruncated checks that a torn write at the end of the
+// log is truncated, and that damage before the end is an error.
 func TestDamagedLogIsRefusedAndTornTailIsTruncated(t *testing.T) {
 	c := newVotingCluster(t, 1, Faults{})
 	m := c.members[0]
@@ -222,25 +224,26 @@
 	}
 }
 
-// TestFailedSyncStopsTheVoter shows that a voter whose disk fails promises
-// nothing more.
+// TestFailedSyncStopsTheVoter checks that a voter whose disk fails stops and does not
+// accept the write.
 func TestFailedSyncStopsTheVoter(t *testing.T) {
 	c := newVotingCluster(t, 1, Faults{})
 	m := c.members[0]
-	m.disk.FailSync = func(string) error { return errDisk }
+	m.disk.FailSync = func(string) error { return errDiskFull }
 	c.write(m, "k", "v")
 	c.collectResults()
 	if m.runner != nil {
-		t.Fatal("the voter goes on after a failed sync")
+		t.Fatal("the voter runs on after a failed sync")
 	}
 	for _, o := range c.history {
 		if o.end != 0 && !o.failed {
-			t.Fatal("a write was accepted whose sync failed")
+			t.Fatal("a write whose sync failed was accepted")
 		}
 	}
 }
 
-// TestEmptyFolderFormsNoCluster shows that members wait for a bootstrap.
+// TestEmptyFolderFormsNoCluster checks that members with empty folders form no cluster
+// without a bootstrap.
 func TestEmptyFolderFormsNoCluster(t *testing.T) {
 	c := newSimulatedCluster(rand.New(rand.NewPCG(1, 1)), 3, Faults{}, false)
 	for range 20 * DefaultElectionTicks {
--- a/pkg/controllog/snapshot.go
+++ b/pkg/controllog/snapshot.go
@@ -1,32 +1,32 @@
 // ================================================================
-// Snapshots: what stands for the start of the log, on disk and in transit.
-// A snapshot goes over in parts, each asked for by the answer to the one
-// before, so that it never holds up heartbeats.
+// Snapshots, which replace the start of the log on disk and in transfers. A
+// snapshot is sent in parts, each requested by the response to the one before,
+// so that it does not delay heartbeats.
 // ================================================================
 
 package controllog
 
 import "github.com/vmihailenco/msgpack/v5"
 
-// snapshotPartSize is the data of one part, in bytes.
+// snapshotPartSize is the size of the data of one part, in bytes.
 const snapshotPartSize = 512 << 10
 
-// trailingEntries stay in memory and on disk behind a snapshot, for members
-// that lag by less than that.
+// trailingEntries is the number of entries before a snapshot that stay in memory
+// and on disk, so that a member that lags by less does not need the snapshot.
 const trailingEntries = 512
 
-// trailingBytes bounds the data of those entries: a log of whole
-// configurations would else keep 512 of them.
+// trailingBytes bounds the data of those entries. An entry can hold a whole
+// configuration, and 512 of these would be kept otherwise.
 const trailingBytes = 4 << 20
 
-// MakeSnapshot returns a snapshot of state as of an applied index.
+// MakeSnapshot returns a snapshot of state, which is the state after the applied index.
 func (r *Replica) MakeSnapshot(index uint64, state []byte) Snapshot {
 	term, _ := r.log.term(index)
 	return Snapshot{index: index, term: term, members: r.membersAt(index), state: state}
 }
 
-// Compact takes a stored snapshot in place of the entries that it covers, and
-// returns the entries that stay.
+// Compact replaces entries by the snapshot s and returns the entries that stay in
+// the log.
 func (r *Replica) Compact(s Snapshot) []Entry {
 	r.snapshot = s
 	r.log.compact(r.log.compactIndex(s.index, trailingEntries, trailingBytes))
@@ -37,10 +37,11 @@
 // ----------------------------------------------------------------
 // Leader
 
-// snapshotIsSmaller tells whether the snapshot is less than half the bytes of the entries from an
-// index on that it stands for. Of a log of whole configurations one counts: sent entry by
-// entry to a member with an empty disk it was twenty times the state, and the voters were
-// whole again after up to 6 s.
+// snapshotIsSmaller reports whether the state in the snapshot has less than half the
+// bytes of the entries that the snapshot covers from the index from on. When each entry
+// holds a whole configuration, only the last one matters: sent entry by entry to a member
+// with an empty disk, the log was twenty times the size of the state, and it took up to
+// 6 s until all members were voters again.
 func (r *Replica) snapshotIsSmaller(from uint64) bool {
 	if from > r.snapshot.index {
 		return false
@@ -52,6 +53,7 @@
 	return bytes > 2*len(r.snapshot.state)
 }
 
+// startSnapshot starts to send the snapshot to a member.
 func (r *Replica) startSnapshot(to MemberID) {
 	p := r.progress[to]
 	encoded, err := msgpack.Marshal(r.snapshot)
@@ -76,8 +78,9 @@
 	}})
 }
 
-// resendSnapshotPart repeats the last part when nothing was heard of it for a whole
-// heartbeat: one that has just gone out is on its way.
+// resendSnapshotPart is called for heartbeat responses of a member that makes no progress.
+// It sends the last part again if the same part was the last one at the previous call; a
+// part that was sent since may still be in flight.
 func (r *Replica) resendSnapshotPart(to MemberID) {
 	p := r.progress[to]
 	if p.outgoingSnapshot == nil {
@@ -99,7 +102,7 @@
 		return
 	}
 	if !m.snapshot.last {
-		// The answer to a part that went out twice asks for one that is on its way.
+		// The response to a part that was sent twice requests one that is already in flight.
 		if m.snapshot.offset != p.sentOffset {
 			r.sendSnapshotPart(m.from, m.snapshot.offset)
 		}
@@ -140,9 +143,10 @@
 	r.sendSnapshotResponse(m, SnapshotPart{index: part.index, last: true})
 }
 
-// coversSnapshot tells whether the log has all that a snapshot stands for. A member that knows of
-// fewer commits than there are keeps what it has then: to start its log anew from the
-// snapshot would drop entries behind it that a quorum was counted with.
+// coversSnapshot reports whether the log contains all entries that a snapshot replaces.
+// The member then keeps its log, even if it does not know yet that these entries are
+// committed. A reset of the log to the snapshot would drop the entries after it, and the
+// member may have been counted in the quorum that committed them.
 func (r *Replica) coversSnapshot(part SnapshotPart) bool {
 	term, known := r.log.term(part.index)
 	return part.index <= r.hardState.commit || known && term == part.term
@@ -152,8 +156,8 @@
 	r.send(Message{kind: MessageSnapshotResponse, to: m.from, index: r.hardState.commit, snapshot: part})
 }
 
-// installReceivedSnapshot takes the received snapshot over; the shell stores it before the
-// answer goes out.
+// installReceivedSnapshot resets the log to the received snapshot. The runner stores the
+// snapshot before it sends the response.
 func (r *Replica) installReceivedSnapshot() bool {
 	var s Snapshot
 	err := msgpack.Unmarshal(r.incomingSnapshot, &s)
--- a/pkg/controllog/kept_entries_test.go
+++ b/pkg/controllog/snapshot_entries_test.go
@@ -1,9 +1,8 @@
 // ================================================================
-// How an acknowledged entry may be lost: a member that has it, and does not know yet that
-// it is committed, gets a snapshot from before it, and starts its log anew from there. One
-// copy fewer than was counted is left. A new leader sends such a snapshot when a heartbeat
-// is answered before its first append is. What caused it: a snapshot took the place of the
-// log also where the log went on behind it. What proved it: this history.
+// Test that a snapshot does not remove the entries after it from a member's log. The member
+// may have been counted in the quorum that committed them, so an acknowledged entry could
+// be lost. It happens when the member does not know yet that the entries are committed: a
+// new leader sends it a snapshot if it responds to a heartbeat before the first append.
 // ================================================================
 
 package controllog
@@ -23,7 +22,7 @@
 	c.write(s1, "k", "new")
 	c.runHeartbeats(s1, allMessages)
 
-	// As after a start with what the disk says of commits.
+	// The commit index is that of a member just started, whose stored one lags.
 	member := s2.runner.replica
 	last := member.LastIndex()
 	member.hardState.commit = snapshot.index - 1
@@ -40,11 +39,11 @@
 	}
 	c.processAllReady(s2)
 	if member.LastIndex() != last {
-		t.Errorf("the log ended with entry %d and ends with %d", last, member.LastIndex())
+		t.Errorf("the log ended with entry %d and now ends with entry %d", last, member.LastIndex())
 	}
 	c.crash(s2)
 	c.start(s2)
 	if got := s2.runner.replica.LastIndex(); got != last {
-		t.Errorf("after a loss of power it ends with entry %d; it had %d", got, last)
+		t.Errorf("after a power loss the log ends with entry %d; it ended with entry %d", got, last)
 	}
 }
--- a/pkg/controllog/step.go
+++ b/pkg/controllog/step.go
@@ -1,10 +1,11 @@
 // ================================================================
-// Incoming messages: the term rules first, then one handler a kind.
+// Handling of incoming messages: the rules for terms, then the handler for the kind
+// of message.
 // ================================================================
 
 package controllog
 
-// messageHandlers is the table of handlers.
+// messageHandlers holds the handler of each kind of message.
 var messageHandlers = map[MessageKind]func(*Replica, Message) error{
 	MessagePreVote:           func(r *Replica, m Message) error { r.stepVote(m); return nil },
 	MessageVote:              func(r *Replica, m Message) error { r.stepVote(m); return nil },
@@ -18,8 +19,8 @@
 	MessageSnapshotResponse:  func(r *Replica, m Message) error { r.stepSnapshotResponse(m); return nil },
 }
 
-// Step takes a message in. It returns an error only when an invariant broke;
-// the voter must then stop.
+// Step handles a message from another member. It returns an error only when an
+// invariant is violated; the member must then stop.
 func (r *Replica) Step(m Message) error {
 	if m.to != r.config.Self && !r.config.Faults.AnyIncarnation {
 		return nil
@@ -32,14 +33,14 @@
 		r.rejectOldTerm(m)
 		return nil
 	}
-	step := messageHandlers[m.kind]
-	if step == nil {
+	handle := messageHandlers[m.kind]
+	if handle == nil {
 		return nil
 	}
-	return step(r, m)
+	return handle(r, m)
 }
 
-// adoptTerm takes a later term over, and tells whether to go on with m.
+// adoptTerm handles the later term of m and reports whether m is to be handled too.
 func (r *Replica) adoptTerm(m Message) bool {
 	switch m.kind {
 	case MessagePreVote:
@@ -61,7 +62,8 @@
 	return true
 }
 
-// rejectOldTerm tells a sender of an earlier term which one it is now.
+// rejectOldTerm responds to a leader's message or a pre-vote of an earlier term, so
+// that its sender learns the current term.
 func (r *Replica) rejectOldTerm(m Message) {
 	switch {
 	case fromLeader(m.kind):
@@ -71,14 +73,14 @@
 	}
 }
 
-// FromLeader tells whether only a leader of its term sends such a message.
+// FromLeader reports whether only the leader of a term sends this kind of message.
 func (m Message) FromLeader() bool { return fromLeader(m.kind) }
 
 func fromLeader(k MessageKind) bool {
 	return k == MessageAppend || k == MessageHeartbeat || k == MessageSnapshot
 }
 
-// followLeader notes that a leader of this term was heard.
+// followLeader makes the sender of m the leader and resets the election timer.
 func (r *Replica) followLeader(m Message) {
 	if r.role != Follower {
 		r.becomeFollower(m.term, m.from)
--- a/pkg/controllog/store.go
+++ b/pkg/controllog/store.go
@@ -1,13 +1,9 @@
 // ================================================================
-// The store: a member's part of the log under the data folder.
+// The store: the files of a member in the data folder.
 //
 //	identity     the incarnation, written once when the folder is formatted
 //	snapshot     the last snapshot
-//	log-0000002  records after it; a higher number replaces a lower one
-//
-// A write that fails or comes short stops the store for good: what is on disk
-// behind it is not known, so nothing more is promised until a restart has
-// read it back.
+//	log-0000002  the records after it; a higher number replaces a lower one
 // ================================================================
 
 package controllog
@@ -31,24 +27,27 @@
 	logPrefix    = "log-"
 )
 
-// Store keeps a member's log on disk. It is used by one goroutine.
+// Store keeps a member's log on disk. It must be used by one goroutine at a time.
+//
+// After a failed or short write the content of the disk is unknown. The store
+// then refuses all writes; only a restart, which reads the files again, ends this.
 type Store struct {
 	folder     *disk.Folder
 	file       *disk.File
-	sequence   uint64
+	sequence   uint64 // the number of the current log file
 	writeError error
 }
 
-// Repair says what was cut from the end of a log when it was opened.
+// Repair describes a torn write that was truncated when a log was opened.
 type Repair struct {
 	File string
-	// Bytes were cut; 0 is no repair.
+	// Bytes is the number of bytes removed; 0 means that there was no torn write.
 	Bytes int
 }
 
-// LoadOrCreateIncarnation returns the incarnation of a data folder. An empty folder is
-// formatted: it gets a new incarnation, since what the VM's old disk held is
-// not there any more.
+// LoadOrCreateIncarnation returns the incarnation of a data folder. An empty
+// folder gets a new one, because it does not contain what the member that ran on
+// the VM before may have stored.
 func LoadOrCreateIncarnation(folder *disk.Folder) (uint64, error) {
 	raw, err := folder.Read(identityFile)
 	if errors.Is(err, os.ErrNotExist) {
@@ -60,12 +59,12 @@
 	}
 	var incarnation uint64
 	if _, err := fmt.Sscanf(string(raw), "%x", &incarnation); err != nil || incarnation == 0 {
-		return 0, failure.New(failure.CorruptLog, "%s does not hold an incarnation", identityFile)
+		return 0, failure.New(failure.CorruptLog, "%s does not contain an incarnation", identityFile)
 	}
 	return incarnation, nil
 }
 
-// OpenStore reads what the folder holds and opens it for writing.
+// OpenStore reads the state in the folder and opens the log for writing.
 func OpenStore(folder *disk.Folder) (*Store, StoredState, Repair, error) {
 	s := &Store{folder: folder}
 	var stored StoredState
@@ -96,8 +95,8 @@
 	return msgpack.Unmarshal(body, &stored.Snapshot)
 }
 
-// newestLog returns the log file with the highest number; the others are
-// left over from a compaction that was interrupted.
+// newestLog returns the name of the log file with the highest number; the others
+// are left over from an interrupted compaction.
 func (s *Store) newestLog() (string, error) {
 	names, err := s.folder.List()
 	if err != nil {
@@ -109,7 +108,7 @@
 			continue
 		}
 		if _, err := fmt.Sscanf(strings.TrimPrefix(name, logPrefix), "%d", &s.sequence); err != nil {
-			return "", failure.New(failure.CorruptLog, "file name %q is not a log", name)
+			return "", failure.New(failure.CorruptLog, "file name %q is not the name of a log file", name)
 		}
 		current = name
 	}
@@ -123,7 +122,7 @@
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
 		return Repair{}, err
 	}
-	good, err := readRecords(name, raw, stored.addRecord)
+	valid, err := readRecords(name, raw, stored.addRecord)
 	if err != nil {
 		return Repair{}, err
 	}
@@ -132,19 +131,19 @@
 		return Repair{}, err
 	}
 	repair := Repair{}
-	if good < len(raw) {
-		if err := s.file.Truncate(int64(good)); err != nil {
+	if valid < len(raw) {
+		if err := s.file.Truncate(int64(valid)); err != nil {
 			return Repair{}, err
 		}
-		repair = Repair{File: name, Bytes: len(raw) - good}
+		repair = Repair{File: name, Bytes: len(raw) - valid}
 	}
-	// What was read may be in the kernel's memory alone: a process that died between
-	// a write and its sync leaves it so. Told to a leader as a copy without this sync,
-	// it would go with the power; the sync costs a start one disk write.
+	// After a process died between a write and its sync, the data just read may be in
+	// the page cache only. Without this sync the member would acknowledge entries to a
+	// leader that a power loss still removes. The sync costs one disk write per start.
 	return repair, s.file.Sync()
 }
 
-// addRecord adds a record to what is stored.
+// addRecord adds a record of the log file to the state.
 func (s *StoredState) addRecord(kind recordKind, body []byte) error {
 	switch kind {
 	case recordBase:
@@ -167,8 +166,8 @@
 	}
 }
 
-// addEntry appends an entry; one with an index that is there already voids
-// that one and all behind it.
+// addEntry appends an entry. If its index is present already, it replaces that
+// entry and all after it.
 func (s *StoredState) addEntry(e Entry) error {
 	next := s.BaseIndex + uint64(len(s.Entries)) + 1
 	if e.index > next || e.index <= s.BaseIndex {
@@ -181,8 +180,9 @@
 // ----------------------------------------------------------------
 // Writing
 
-// Save writes a hard state (when changed, and with entries, so that the commit
-// index on disk lags by no more than one write) and entries, and syncs them.
+// Save writes and syncs the entries and the hard state. The hard state is written
+// if it changed, and also with any entries, so that the commit index on disk lags
+// by at most one write.
 func (s *Store) Save(hard HardState, changed bool, entries []Entry) error {
 	if s.writeError != nil {
 		return s.writeError
@@ -209,7 +209,7 @@
 }
 
 // SaveSnapshot stores a snapshot and starts a new log file with the hard state
-// and the entries that stay behind it.
+// and the entries that stay in the log.
 func (s *Store) SaveSnapshot(snapshot Snapshot, hard HardState, baseIndex, baseTerm uint64, entries []Entry) error {
 	if s.writeError != nil {
 		return s.writeError
@@ -249,7 +249,7 @@
 	return s.folder.Remove(old)
 }
 
-// recordError remembers the first error; the store refuses every later write.
+// recordError stores the first error, with which every later write fails.
 func (s *Store) recordError(err error) error {
 	if err != nil && s.writeError == nil {
 		s.writeError = err
--- a/pkg/controllog/unsynced_test.go
+++ b/pkg/controllog/unsynced_log_test.go
@@ -1,11 +1,9 @@
 // ================================================================
-// What was seen: an acknowledged configuration is gone after all nodes lost power and
-// one lost its disk. How it comes about: a member is killed after it has written an
-// entry and before the disk has it. Started again, it finds the entry in its file,
-// where the kernel still holds it for the disk, and tells the leader that it has it
-// for good. The leader counts that as a copy and acknowledges. Loss of power takes the
-// kernel's copy away. What caused it: a log that was read back was taken to be synced.
-// What proved it: this history, which loses the entry without the sync at the opening.
+// Test that a member syncs the log that it reads at the start. A member may be killed
+// between the write and the sync of an entry, and then reads the entry from the page
+// cache. If it acknowledged the entry without a sync, a power loss would remove the copy
+// that the leader has counted. An acknowledged configuration was lost like this after all
+// nodes lost power and one of them its disk.
 // ================================================================
 
 package controllog
@@ -18,18 +16,19 @@
 
 var errKilled = errors.New("the process was killed before the sync")
 
-// killBeforeSync has a member take an append in and die after the write of it.
-func (c *simulatedCluster) killBeforeSync(t *testing.T, m *simulatedMember, take func()) {
+// killBeforeSync calls action, which makes a member write, and kills the member between the
+// write and its sync.
+func (c *simulatedCluster) killBeforeSync(t *testing.T, m *simulatedMember, action func()) {
 	t.Helper()
 	m.disk.FailSync = func(string) error { return errKilled }
-	take()
+	action()
 	m.disk.FailSync = nil
 	if m.runner != nil {
-		t.Fatalf("%s has not written anything", m.self.MemberID())
+		t.Fatalf("%s was not killed, since it did not write", m.self.MemberID())
 	}
 }
 
-// runHeartbeats lets heartbeats of a leader pass between some members.
+// runHeartbeats ticks a leader for three heartbeats and delivers the allowed messages.
 func (c *simulatedCluster) runHeartbeats(leader *simulatedMember, allow func(Message) bool) {
 	for range 3 * DefaultHeartbeatTicks {
 		c.tick(leader)
@@ -50,7 +49,7 @@
 	c.step++
 	c.runHeartbeats(s1, pair)
 	if o := c.history[0]; o.end == 0 || o.failed {
-		t.Fatal("the write was not acknowledged: the history shows nothing")
+		t.Fatal("the write was not acknowledged, so the test checks nothing")
 	}
 
 	// s1 loses its disk, and the others lose power.
@@ -62,9 +61,9 @@
 	c.recoverAll()
 	leader := c.leader()
 	if leader == nil {
-		t.Fatal("nobody leads")
+		t.Fatal("no member leads")
 	}
 	if got := leader.values["k"]; got != "v" {
-		t.Errorf("after the loss of power the acknowledged value is %q", got)
+		t.Errorf("after the power loss the acknowledged value is %q", got)
 	}
 }
--- a/pkg/controllog/wire_generated.go
+++ b/pkg/controllog/wire_generated.go
@@ -16,13 +16,13 @@
 // Term is the term of the leader that appended it.
 func (e Entry) Term() uint64 { return e.term }
 
-// Index is its place, from 1.
+// Index is the entry's position in the log, from 1.
 func (e Entry) Index() uint64 { return e.index }
 
-// Kind says what data is.
+// Kind is the kind of data.
 func (e Entry) Kind() EntryKind { return e.kind }
 
-// Data is the command, or the encoded voters.
+// Data is the command or the encoded members.
 func (e Entry) Data() []byte { return e.data }
 
 // EncodeMsgpack writes the fields in order, as one array.
@@ -58,13 +58,13 @@
 	return HardState{term: term, vote: vote, commit: commit}
 }
 
-// Term is the highest term seen.
+// Term is the highest term that the member has seen.
 func (h HardState) Term() uint64 { return h.term }
 
-// Vote is whom the voter voted for in the term.
+// Vote is the member that it voted for in the term; empty for none.
 func (h HardState) Vote() MemberID { return h.vote }
 
-// Commit is the last index known to be committed; may lag.
+// Commit is the last index known to be committed. The stored value may lag.
 func (h HardState) Commit() uint64 { return h.commit }
 
 // EncodeMsgpack writes the fields in order, as one array.
@@ -100,19 +100,19 @@
 	return Member{id: id, incarnation: incarnation, address: address, learner: learner, replaces: replaces}
 }
 
-// ID is the VM of the voter.
+// ID is the member's VM.
 func (m Member) ID() vm.ID { return m.id }
 
-// Incarnation is that of its data folder.
+// Incarnation is the incarnation of the data folder.
 func (m Member) Incarnation() uint64 { return m.incarnation }
 
-// Address is its link address, host:port.
+// Address is the link address, host:port.
 func (m Member) Address() string { return m.address }
 
-// Learner says that it receives the log and does not vote yet.
+// Learner is true for a member that does not vote yet.
 func (m Member) Learner() bool { return m.learner }
 
-// Replaces is a member that is removed once this one votes; may be empty.
+// Replaces is the member to remove once this one votes; empty for none.
 func (m Member) Replaces() MemberID { return m.replaces }
 
 // EncodeMsgpack writes the fields in order, as one array.
@@ -148,37 +148,37 @@
 	return Message{kind: kind, from: from, to: to, term: term, index: index, logTerm: logTerm, entries: entries, commit: commit, reject: reject, round: round, snapshot: snapshot}
 }
 
-// Kind says what the message is.
+// Kind is the kind of the message.
 func (m Message) Kind() MessageKind { return m.kind }
 
 // From is the sender.
 func (m Message) From() MemberID { return m.from }
 
-// To is the receiver; a message to an earlier incarnation is dropped.
+// To is the receiver. A member drops messages to its earlier incarnations.
 func (m Message) To() MemberID { return m.to }
 
-// Term is the sender's term, or the one it would campaign in (pre-vote).
+// Term is the sender's term; in a pre-vote, the term that it would campaign in.
 func (m Message) Term() uint64 { return m.term }
 
-// Index is the entry before those carried; in answers the last one held.
+// Index is the entry before entries; in responses, the last entry that the sender holds.
 func (m Message) Index() uint64 { return m.index }
 
-// LogTerm is the term of that entry.
+// LogTerm is the term of the entry at index.
 func (m Message) LogTerm() uint64 { return m.logTerm }
 
-// Entries follow index.
+// Entries are the entries that follow index.
 func (m Message) Entries() []Entry { return m.entries }
 
 // Commit is the sender's commit index.
 func (m Message) Commit() uint64 { return m.commit }
 
-// Reject says no.
+// Reject is true in a response that refuses the request.
 func (m Message) Reject() bool { return m.reject }
 
-// Round is the round of confirmed reads that a heartbeat serves.
+// Round is the round of confirmed reads that a heartbeat belongs to.
 func (m Message) Round() uint64 { return m.round }
 
-// Snapshot is one part of a snapshot.
+// Snapshot is a part of a snapshot.
 func (m Message) Snapshot() SnapshotPart { return m.snapshot }
 
 // EncodeMsgpack writes the fields in order, as one array.
@@ -217,13 +217,13 @@
 // Index is the last entry that the snapshot covers.
 func (s Snapshot) Index() uint64 { return s.index }
 
-// Term is that entry's term.
+// Term is the term of that entry.
 func (s Snapshot) Term() uint64 { return s.term }
 
-// Members are those in force at the index.
+// Members are the members in force at the index.
 func (s Snapshot) Members() []Member { return s.members }
 
-// State is the state machine's.
+// State is the encoded state of the state machine.
 func (s Snapshot) State() []byte { return s.state }
 
 // EncodeMsgpack writes the fields in order, as one array.
@@ -259,19 +259,19 @@
 	return SnapshotPart{index: index, term: term, offset: offset, data: data, last: last}
 }
 
-// Index and term are those of the snapshot.
+// Index is the index of the snapshot.
 func (s SnapshotPart) Index() uint64 { return s.index }
 
-// Term returns the field of that name.
+// Term is the term of the entry at index.
 func (s SnapshotPart) Term() uint64 { return s.term }
 
-// Offset is where data starts; in answers, where the next part starts.
+// Offset is the byte at which data starts; in responses, the start of the next part.
 func (s SnapshotPart) Offset() int64 { return s.offset }
 
-// Data is the piece of the encoded snapshot.
+// Data is the content of the part.
 func (s SnapshotPart) Data() []byte { return s.data }
 
-// Last marks the last piece.
+// Last marks the last part; in responses, that the snapshot is complete.
 func (s SnapshotPart) Last() bool { return s.last }
 
 // EncodeMsgpack writes the fields in order, as one array.
--- a/pkg/logline/table.go
+++ b/pkg/logline/table.go
@@ -86,7 +86,7 @@
 	{"log_repaired", control, "The log on the disk was mended at the start, as `detail` says.", "more than once: the disk"},
 	{"voter_changed", control, "Who votes in the control log changed.", "nothing"},
 	{"voter stopped", control + ", " + entry, "The control log cannot go on here, for instance since its disk failed.", "the disk; replace the node"},
-	{"control log: cut a torn write", control + ", " + entry, "The end of the log was half written when the process ended.", "nothing"},
+	{"control log: torn write truncated", control + ", " + entry, "The end of the log was half written when the process ended.", "nothing"},
 	{"barred requests cannot be kept", control, "What requests ended their servers is not on the disk.", "the disk"},
 	{"barred requests cannot be read", control, "The same, at the start.", "the disk"},
 	{"request ends backend servers", control + ", " + gateway, "Requests of one content ended each of `servers`; it is held back.", "OPERATIONS.md, requests that end their servers"},
