--- a/bench/capacity_test.go
+++ b/bench/capacity_test.go
@@ -57,7 +57,7 @@
 		view := membership.NewView(6 * time.Second)
 		heap = append(heap, point{float64(n), float64(heapOf(func() any {
 			for i := range n {
-				view.Heard(heartbeatOf(i, 1, 1), time.Now())
+				view.RecordHeartbeat(heartbeatOf(i, 1, 1), time.Now())
 			}
 			return view
 		})) / 1024})
@@ -71,7 +71,7 @@
 				if err := msgpack.Unmarshal(raw, &b); err != nil {
 					panic(err)
 				}
-				view.Heard(b, time.Now())
+				view.RecordHeartbeat(b, time.Now())
 			}
 		}))})
 		usable = append(usable, point{float64(n), microseconds(perCall(func() { view.Usable(time.Now()) }))})
--- a/bench/route_test.go
+++ b/bench/route_test.go
@@ -253,7 +253,7 @@
 		r.refuse(c, err)
 		return
 	}
-	e.budget.Request()
+	e.budget.RecordRequest()
 	e.send(c, ticket)
 }
 
@@ -267,10 +267,10 @@
 	}
 	c.attempts++
 	target := r.replicas[indexOf(e.replicas, chosen)]
-	chosen.Sent()
+	chosen.RequestSent()
 	if target.dead || len(target.running)+len(target.waiting) >= engineLimit {
-		chosen.Ended(0, target.dead, r.now)
-		if c.attempts < 4 && e.budget.Retry() {
+		chosen.RequestEnded(0, target.dead, r.now)
+		if c.attempts < 4 && e.budget.TryRetry() {
 			r.retries++
 			r.after(3*time.Millisecond, func() { e.send(c, ticket) })
 			return
@@ -281,8 +281,8 @@
 	}
 	tokens := c.tokens
 	c.done = func(failed bool) {
-		chosen.Ended(tokens, failed, r.now)
-		if failed && c.first.IsZero() && c.attempts < 4 && e.budget.Retry() {
+		chosen.RequestEnded(tokens, failed, r.now)
+		if failed && c.first.IsZero() && c.attempts < 4 && e.budget.TryRetry() {
 			r.retries++
 			e.send(c, ticket)
 			return
@@ -368,7 +368,7 @@
 		r.after(r.reportLag, func() {
 			for _, e := range r.entries {
 				report.At = r.now
-				e.replicas[i].Reported(report)
+				e.replicas[i].UpdateReport(report)
 			}
 		})
 	}
--- a/pkg/admission/admission.go
+++ b/pkg/admission/admission.go
@@ -20,13 +20,13 @@
 )
 
 const (
-	// softPart is the part of the limit below which shares do not count.
-	softPart = 0.8
-	// leastRetryAfter and mostRetryAfter bound the time to come back.
-	leastRetryAfter = time.Second
-	mostRetryAfter  = 30 * time.Second
-	// durationWeight is the part of a new sample in the usual duration.
-	durationWeight = 0.05
+	// softLimitFraction is the part of the limit below which shares do not count.
+	softLimitFraction = 0.8
+	// minRetryAfter and mostRetryAfter bound the time to come back.
+	minRetryAfter = time.Second
+	maxRetryAfter = 30 * time.Second
+	// durationSampleWeight is the part of a new sample in the usual duration.
+	durationSampleWeight = 0.05
 )
 
 // Organisation is an organisation's contract.
@@ -50,7 +50,7 @@
 	mu            sync.Mutex
 	total         int
 	organisations map[string]*usage
-	usual         time.Duration
+	meanDuration  time.Duration
 }
 
 // NewController returns a controller with a limit of requests in flight.
@@ -106,7 +106,7 @@
 			o.Name, inFlight).WithRetryAfter(c.retryAfter())
 	case c.total >= c.limit:
 		return failure.New(failure.Overloaded, "%d requests in flight at this entry", c.total).WithRetryAfter(c.retryAfter())
-	case float64(c.total) >= softPart*float64(c.limit) && float64(inFlight) >= c.share(o):
+	case float64(c.total) >= softLimitFraction*float64(c.limit) && float64(inFlight) >= c.share(o):
 		return failure.New(failure.ShareExceeded, "organisation %q has %d requests in flight, its share while others wait",
 			o.Name, inFlight).WithRetryAfter(c.retryAfter())
 	default:
@@ -129,7 +129,7 @@
 // retryAfter is about when a place will be free: the usual duration of a
 // request, in bounds.
 func (c *Controller) retryAfter() time.Duration {
-	return min(max(c.usual.Round(time.Second), leastRetryAfter), mostRetryAfter)
+	return min(max(c.meanDuration.Round(time.Second), minRetryAfter), maxRetryAfter)
 }
 
 // Release gives the place back. More than one call does nothing.
@@ -146,7 +146,7 @@
 	if u.inFlight == 0 {
 		delete(c.organisations, t.name)
 	}
-	c.usual += time.Duration(durationWeight * float64(now.Sub(t.admitted)-c.usual))
+	c.meanDuration += time.Duration(durationSampleWeight * float64(now.Sub(t.admitted)-c.meanDuration))
 }
 
 // InFlight returns the requests in flight.
--- a/pkg/admission/admission_test.go
+++ b/pkg/admission/admission_test.go
@@ -40,11 +40,11 @@
 	}
 }
 
-func TestRefusalsSayWhenToComeBack(t *testing.T) {
+func TestRefusalsCarryRetryAfter(t *testing.T) {
 	c := NewController(1)
 	admit(t, c, "larder", 1, 1)
 	_, err := c.Admit(Organisation{Name: "ladle", Weight: 1}, now.Add(time.Minute), now)
-	if f := failure.Of(err); f.RetryAfter() < leastRetryAfter || f.Ran() != failure.NotRun {
+	if f := failure.Of(err); f.RetryAfter() < minRetryAfter || f.Ran() != failure.NotRun {
 		t.Errorf("refusal %v, come back in %s", f, f.RetryAfter())
 	}
 	if _, err := c.Admit(Organisation{Name: "ladle", Weight: 1}, now, now); !failure.Is(err, failure.DeadlineExceeded) {
@@ -52,7 +52,7 @@
 	}
 }
 
-func TestReleaseTwiceGivesOnePlaceBack(t *testing.T) {
+func TestReleaseTwiceFreesOnePlace(t *testing.T) {
 	c := NewController(2)
 	ticket, err := c.Admit(Organisation{Name: "larder", Weight: 1}, now.Add(time.Minute), now)
 	if err != nil {
--- a/pkg/bus/bus.go
+++ b/pkg/bus/bus.go
@@ -22,10 +22,10 @@
 
 // The topics.
 const (
-	TopicHeartbeat = "heartbeat"
-	TopicEntryBeat = "entry_beat"
-	TopicConfig    = "config"
-	TopicHave      = "have"
+	TopicHeartbeat      = "heartbeat"
+	TopicEntryHeartbeat = "entry_beat"
+	TopicConfig         = "config"
+	TopicHave           = "have"
 )
 
 // Bus is the router of one process.
@@ -92,11 +92,11 @@
 }
 
 func (a logAdapter) Error(msg string, err error, fields watermill.LogFields) {
-	_ = level.Error(a.logger).Log(a.line(msg, fields.Add(watermill.LogFields{"err": err}))...)
+	_ = level.Error(a.logger).Log(a.keyvals(msg, fields.Add(watermill.LogFields{"err": err}))...)
 }
 
 func (a logAdapter) Info(msg string, fields watermill.LogFields) {
-	_ = level.Debug(a.logger).Log(a.line(msg, fields)...)
+	_ = level.Debug(a.logger).Log(a.keyvals(msg, fields)...)
 }
 
 func (a logAdapter) Debug(string, watermill.LogFields) {}
@@ -107,7 +107,7 @@
 	return logAdapter{logger: a.logger, fields: a.fields.Add(fields)}
 }
 
-func (a logAdapter) line(msg string, fields watermill.LogFields) []any {
+func (a logAdapter) keyvals(msg string, fields watermill.LogFields) []any {
 	line := []any{"msg", msg}
 	for key, v := range a.fields.Add(fields) {
 		line = append(line, key, v)
--- a/pkg/control/node.go
+++ b/pkg/control/node.go
@@ -83,7 +83,7 @@
 // speaks; nil where no weights are kept.
 func New(s settings.Control, path string, protocol Protocol, origin *staging.Protocol, seams Seams) (*Node, error) {
 	debug.SetMemoryLimit(int64(float64(s.Memory()) * goMemoryShare))
-	process, err := daemon.New(s.Common().WithoutDataFolder(), vm.FreshIncarnation(), seams.Seams)
+	process, err := daemon.New(s.Common().WithoutDataFolder(), vm.NewIncarnation(), seams.Seams)
 	if err != nil {
 		return nil, err
 	}
--- a/pkg/controllog/store.go
+++ b/pkg/controllog/store.go
@@ -51,7 +51,7 @@
 func LoadOrCreateIncarnation(folder *disk.Folder) (uint64, error) {
 	raw, err := folder.Read(identityFile)
 	if errors.Is(err, os.ErrNotExist) {
-		incarnation := vm.FreshIncarnation()
+		incarnation := vm.NewIncarnation()
 		return incarnation, folder.Replace(identityFile, []byte(fmt.Sprintf("%x\n", incarnation)))
 	}
 	if err != nil {
--- a/pkg/disk/disk.go
+++ b/pkg/disk/disk.go
@@ -74,7 +74,7 @@
 	r := realFolder{path}
 	return &Folder{
 		Open:    r.open,
-		Read:    func(name string) ([]byte, error) { return os.ReadFile(r.at(name)) },
+		Read:    func(name string) ([]byte, error) { return os.ReadFile(r.filePath(name)) },
 		Replace: r.replace,
 		Remove:  r.remove,
 		List:    r.list,
@@ -85,14 +85,14 @@
 // realFolder is the file system behind NewFolder.
 type realFolder struct{ path string }
 
-func (r realFolder) at(name string) string { return filepath.Join(r.path, name) }
+func (r realFolder) filePath(name string) string { return filepath.Join(r.path, name) }
 
 func (r realFolder) open(name string) (*File, error) {
-	f, err := os.OpenFile(r.at(name), os.O_CREATE|os.O_WRONLY|os.O_APPEND, fileMode)
+	f, err := os.OpenFile(r.filePath(name), os.O_CREATE|os.O_WRONLY|os.O_APPEND, fileMode)
 	if err != nil {
 		return nil, diskFailed("open", name, err)
 	}
-	if err := r.syncSelf(); err != nil {
+	if err := r.syncDirectory(); err != nil {
 		_ = f.Close()
 		return nil, err
 	}
@@ -108,7 +108,7 @@
 }
 
 func (r realFolder) replace(name string, data []byte) error {
-	temporary := r.at(name + temporarySuffix)
+	temporary := r.filePath(name + temporarySuffix)
 	f, err := os.OpenFile(temporary, os.O_CREATE|os.O_WRONLY|os.O_TRUNC, fileMode)
 	if err != nil {
 		return diskFailed("open", temporary, err)
@@ -123,17 +123,17 @@
 	if err != nil {
 		return diskFailed("write", temporary, err)
 	}
-	if err := os.Rename(temporary, r.at(name)); err != nil {
+	if err := os.Rename(temporary, r.filePath(name)); err != nil {
 		return diskFailed("rename", name, err)
 	}
-	return r.syncSelf()
+	return r.syncDirectory()
 }
 
 func (r realFolder) remove(name string) error {
-	if err := os.Remove(r.at(name)); err != nil && !errors.Is(err, os.ErrNotExist) {
+	if err := os.Remove(r.filePath(name)); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return diskFailed("remove", name, err)
 	}
-	return r.syncSelf()
+	return r.syncDirectory()
 }
 
 func (r realFolder) list() ([]string, error) {
@@ -151,8 +151,8 @@
 	return names, nil
 }
 
-// syncSelf makes creations and renames in the folder last.
-func (r realFolder) syncSelf() error {
+// syncDirectory makes creations and renames in the folder last.
+func (r realFolder) syncDirectory() error {
 	d, err := os.Open(r.path)
 	if err != nil {
 		return diskFailed("open", r.path, err)
--- a/pkg/entry/beats.go
+++ b/pkg/entry/beats.go
@@ -45,16 +45,16 @@
 func (e *Entry) heardAgent(b contract.Heartbeat) {
 	now := time.Now()
 	id := b.From().ID()
-	change := e.agents.Heard(b, now)
+	change := e.agents.RecordHeartbeat(b, now)
 	if change == membership.Seen {
 		// Another life of the VM: what was learnt of the last one is void.
-		e.router.Forget(id)
+		e.router.Remove(id)
 		e.process.Recorder.Record(event.AgentSeen, string(id), b.From().Address())
 	}
-	if change == membership.Left {
+	if change == membership.StartedLeaving {
 		e.process.Recorder.Record(event.AgentLeaving, string(id), "the agent drains")
 	}
-	e.router.Replica(id, now).Reported(route.Report{
+	e.router.Replica(id, now).UpdateReport(route.Report{
 		InFlight:  int(b.Load().InFlight()),
 		Limit:     int(b.Load().Limit()),
 		CacheFree: b.Load().CacheFree(),
@@ -65,7 +65,7 @@
 func (e *Entry) watchAgents(ctx context.Context) error {
 	return daemon.Every(ctx, watchEvery, func() {
 		for _, id := range e.agents.Expire(time.Now()) {
-			e.router.Forget(id)
+			e.router.Remove(id)
 			e.process.Recorder.Record(event.AgentLost, string(id), "no heartbeat for "+e.settings.AgentTimeout().String())
 		}
 		e.metrics.agents.Set(float64(len(e.agents.Agents())))
@@ -80,7 +80,7 @@
 func (e *Entry) shareOfCapacity(now time.Time) int {
 	capacity := 0
 	for _, a := range e.agents.Usable(now) {
-		capacity += int(a.Beat.Load().Limit())
+		capacity += int(a.LastHeartbeat.Load().Limit())
 	}
 	entries := 1
 	for _, b := range e.entries.all(now) {
@@ -154,7 +154,7 @@
 	defer ticker.Stop()
 	for {
 		if m, err := bus.Encode(e.beat()); err == nil {
-			_ = publisher.Publish(bus.TopicEntryBeat, m)
+			_ = publisher.Publish(bus.TopicEntryHeartbeat, m)
 		}
 		select {
 		case <-ctx.Done():
@@ -169,16 +169,16 @@
 	services := map[string]bool{}
 	inFlight, queued := uint32(0), uint32(0)
 	for _, a := range e.agents.Usable(time.Now()) {
-		for _, c := range a.Beat.Copies() {
+		for _, c := range a.LastHeartbeat.Copies() {
 			if c.Phase() == contract.PhaseReady {
 				digests[c.Digest()] = true
 			}
 		}
-		for _, s := range a.Beat.Services() {
+		for _, s := range a.LastHeartbeat.Services() {
 			services[s] = true
 		}
-		inFlight += a.Beat.Load().InFlight()
-		queued += a.Beat.Load().Queued()
+		inFlight += a.LastHeartbeat.Load().InFlight()
+		queued += a.LastHeartbeat.Load().Queued()
 	}
 	load := contract.NewLoad(inFlight, queued, 0, 0, 0)
 	return contract.NewEntryBeat(e.process.Identity, e.state.Revision(), e.draining.Load(),
--- a/pkg/entry/drain.go
+++ b/pkg/entry/drain.go
@@ -37,7 +37,7 @@
 	var a contract.Acknowledgement
 	callContext, cancel := context.WithTimeout(ctx, operatorTimeout)
 	defer cancel()
-	if err := e.process.Endpoint.Call(callContext, agent.Beat.From().Address(), link.KindDrain, d, &a); err != nil {
+	if err := e.process.Endpoint.Call(callContext, agent.LastHeartbeat.From().Address(), link.KindDrain, d, &a); err != nil {
 		return err
 	}
 	return s.Send(a)
--- a/pkg/entry/entry.go
+++ b/pkg/entry/entry.go
@@ -100,7 +100,7 @@
 	if seams.BeforeSend == nil {
 		seams.BeforeSend = func(string) {}
 	}
-	incarnation := vm.FreshIncarnation()
+	incarnation := vm.NewIncarnation()
 	var folder *disk.Folder
 	if s.Voter() {
 		var err error
@@ -164,7 +164,7 @@
 
 	subscriber := link.NewSubscriber(endpoint)
 	bus.Handle(e.process.Bus, "agents", bus.TopicHeartbeat, subscriber, e.heardAgent)
-	bus.Handle(e.process.Bus, "entries", bus.TopicEntryBeat, subscriber, e.heardEntry)
+	bus.Handle(e.process.Bus, "entries", bus.TopicEntryHeartbeat, subscriber, e.heardEntry)
 }
 
 // Run runs the entry until it is drained by a signal or an operator.
--- a/pkg/entry/execute.go
+++ b/pkg/entry/execute.go
@@ -52,7 +52,7 @@
 func (e *Entry) execute(ctx context.Context, w *work, out *sink) error {
 	e.inFlight.Add(1)
 	defer e.inFlight.Add(-1)
-	e.budget.Request()
+	e.budget.RecordRequest()
 	w.tried = map[string]bool{}
 	ran := failure.NotRun
 	for {
@@ -81,7 +81,7 @@
 	if f.Ran() != failure.NotRun && !w.request.Repeatable() && !e.seams.Faults.RetryAnything {
 		return false
 	}
-	return retryable[f.Kind()] && e.budget.Retry()
+	return retryable[f.Kind()] && e.budget.TryRetry()
 }
 
 // retryable are the failures that another replica may not have.
@@ -109,9 +109,9 @@
 	if t.replica == nil {
 		return e.send(ctx, t, r, out)
 	}
-	t.replica.Sent()
+	t.replica.RequestSent()
 	err = e.send(ctx, t, r, out)
-	t.replica.Ended(0, countsAgainst(err), time.Now())
+	t.replica.RequestEnded(0, countsAgainst(err), time.Now())
 	return err
 }
 
@@ -160,11 +160,11 @@
 	served, _ := e.state.View().ServedDigests(w.request.Model())
 	var current, older []target
 	for _, a := range usable {
-		if w.tried[a.Beat.From().Address()] {
+		if w.tried[a.LastHeartbeat.From().Address()] {
 			continue
 		}
-		for _, digest := range a.ReadyModel(w.request.Model()) {
-			t := target{a.Beat.From().Address(), digest, link.KindRequest, e.router.Replica(a.Beat.From().ID(), now)}
+		for _, digest := range a.ReadyDigests(w.request.Model()) {
+			t := target{a.LastHeartbeat.From().Address(), digest, link.KindRequest, e.router.Replica(a.LastHeartbeat.From().ID(), now)}
 			if contains(served, digest) {
 				current = append(current, t)
 			} else {
@@ -190,9 +190,9 @@
 func (e *Entry) serviceCandidates(w *work, usable []membership.Agent, now time.Time) []target {
 	var targets []target
 	for _, a := range usable {
-		address := a.Beat.From().Address()
-		if a.FrontsService(w.request.Service()) && !w.tried[address] {
-			targets = append(targets, target{address, contract.Digest{}, link.KindRequest, e.router.Replica(a.Beat.From().ID(), now)})
+		address := a.LastHeartbeat.From().Address()
+		if a.HasService(w.request.Service()) && !w.tried[address] {
+			targets = append(targets, target{address, contract.Digest{}, link.KindRequest, e.router.Replica(a.LastHeartbeat.From().ID(), now)})
 		}
 	}
 	return targets
--- a/pkg/entry/operators.go
+++ b/pkg/entry/operators.go
@@ -121,7 +121,7 @@
 	now := time.Now()
 	var agents []contract.AgentStatus
 	for _, a := range e.agents.Agents() {
-		agents = append(agents, contract.NewAgentStatus(a.Beat, now.Sub(a.Received).Seconds(), a.Leaving))
+		agents = append(agents, contract.NewAgentStatus(a.LastHeartbeat, now.Sub(a.Received).Seconds(), a.Leaving))
 	}
 	var leader string
 	var term uint64
--- a/pkg/failure/failure.go
+++ b/pkg/failure/failure.go
@@ -67,7 +67,7 @@
 	return &Failure{
 		kind:       kind,
 		message:    fmt.Sprintf(format, arguments...),
-		retryAfter: kind.entry().retryAfter,
+		retryAfter: kind.description().retryAfter,
 	}
 }
 
@@ -92,7 +92,7 @@
 func (f *Failure) Message() string { return f.message }
 
 // Remedy returns what the reader can do about it.
-func (f *Failure) Remedy() string { return f.kind.entry().remedy }
+func (f *Failure) Remedy() string { return f.kind.description().remedy }
 
 // Ran says whether the request may have run.
 func (f *Failure) Ran() Ran { return f.ran }
@@ -102,7 +102,7 @@
 func (f *Failure) RetryAfter() time.Duration { return f.retryAfter }
 
 // Status returns the HTTP status that callers get.
-func (f *Failure) Status() int { return f.kind.entry().status }
+func (f *Failure) Status() int { return f.kind.description().status }
 
 // Error returns message, remedy and outcome in one line.
 func (f *Failure) Error() string {
--- a/pkg/failure/kinds.go
+++ b/pkg/failure/kinds.go
@@ -57,8 +57,8 @@
 	Internal            Kind = "internal"
 )
 
-// entry describes one kind.
-type entry struct {
+// description describes one kind.
+type description struct {
 	kind       Kind
 	status     int
 	retryAfter time.Duration
@@ -66,7 +66,7 @@
 	remedy     string
 }
 
-var table = []entry{
+var table = []description{
 	{BadRequest, http.StatusBadRequest, 0, "The request cannot be read.", "correct the request; the message names the field"},
 	{TooLarge, http.StatusRequestEntityTooLarge, 0, "A body, header or frame is over its bound.", "send less, or raise the bound that the message names in the settings"},
 	{UnknownModel, http.StatusNotFound, 0, "No configuration names the model.", "list the models with `tidepost get model`, or apply one"},
@@ -108,15 +108,15 @@
 	{Internal, http.StatusInternalServerError, 0, "An error without a kind.", "report it with the log lines around it"},
 }
 
-var byKind = func() map[Kind]entry {
-	m := make(map[Kind]entry, len(table))
+var byKind = func() map[Kind]description {
+	m := make(map[Kind]description, len(table))
 	for _, e := range table {
 		m[e.kind] = e
 	}
 	return m
 }()
 
-func (k Kind) entry() entry {
+func (k Kind) description() description {
 	if e, ok := byKind[k]; ok {
 		return e
 	}
--- a/pkg/fake/origin.go
+++ b/pkg/fake/origin.go
@@ -92,7 +92,7 @@
 		refuse(w, http.StatusNotFound, "no such version")
 		return
 	}
-	writeJSON(w, source.DocumentOf(contract.ManifestOf(data, o.chunkSize)))
+	writeJSON(w, source.NewPublishedManifest(contract.ManifestOf(data, o.chunkSize)))
 }
 
 func (o *Origin) serveWeights(w http.ResponseWriter, r *http.Request) {
--- a/pkg/gateway/always_answered_test.go
+++ b/pkg/gateway/always_answered_test.go
@@ -141,7 +141,7 @@
 drain: {notice: 0s, limit: %s}
 `, address, loopback.FreeAddress(t), limit))
 	g.backends = f.gateway.backends
-	g.index.Raise(f.gateway.index.Load().Document())
+	g.index.Advance(f.gateway.index.Load().Document())
 	signals := make(chan os.Signal, 1)
 	f.exited = make(chan struct{})
 	go func() {
--- a/pkg/gateway/attempt_monitor.go
+++ b/pkg/gateway/attempt_monitor.go
@@ -44,7 +44,7 @@
 // monitorAttempt starts monitoring an attempt that is about to be sent.
 func (g *Gateway) monitorAttempt(x *exchange, abort func()) *attemptMonitor {
 	now := time.Now()
-	l := &attemptMonitor{detector: &g.silenceDetector, exchange: x, connectedAt: x.conn.Made(), sentAt: now, lastReceived: now, abort: abort}
+	l := &attemptMonitor{detector: &g.silenceDetector, exchange: x, connectedAt: x.conn.DialedAt(), sentAt: now, lastReceived: now, abort: abort}
 	g.silenceDetector.add(l, func() { g.checkSilence(time.Now()) })
 	return l
 }
--- a/pkg/gateway/backends.go
+++ b/pkg/gateway/backends.go
@@ -199,7 +199,7 @@
 // sweep closes old connections and removes departed backend servers, and departures that are
 // older than departureTTL.
 func (t *backends) sweep() {
-	t.each(func(b *backend, _ string) { b.pool.CloseOld() })
+	t.each(func(b *backend, _ string) { b.pool.CloseExpired() })
 	for i := range t.shards {
 		t.shards[i].removeGone()
 	}
--- a/pkg/gateway/buffered.go
+++ b/pkg/gateway/buffered.go
@@ -148,7 +148,7 @@
 func (q *request) writeHead(status int, header http.Header, length int64) {
 	q.recordFirstByte()
 	out := q.writer.Header()
-	for name, values := range upstream.PassedOn(header) {
+	for name, values := range upstream.ForwardedHeader(header) {
 		out[name] = values
 	}
 	if _, ok := out["Content-Type"]; !ok {
--- a/pkg/gateway/choose.go
+++ b/pkg/gateway/choose.go
@@ -169,7 +169,7 @@
 // under their own rate limits, by failure domain.
 func (w requirements) capacity(all []candidate) map[string]float64 {
 	capacity := map[string]float64{}
-	requestTime := w.engine.Turn().Seconds()
+	requestTime := w.engine.SlotInterval().Seconds()
 	if requestTime <= 0 {
 		return capacity
 	}
@@ -203,7 +203,7 @@
 	}
 	var reported time.Duration
 	if ahead := l.reported.estimatedRequests() - w.engine.Slots() + 1; l.fresh && ahead > 0 {
-		reported = time.Duration(float64(ahead) * float64(w.engine.Turn()) * max(l.reported.load.StepTimeRatio(), 1))
+		reported = time.Duration(float64(ahead) * float64(w.engine.SlotInterval()) * max(l.reported.load.StepTimeRatio(), 1))
 		// Part of the predicted wait is over by now. Otherwise an engine that reports its load
 		// only in reservation answers gets no requests for reportTTL and stands idle.
 		reported = max(reported-l.reportAge, 0)
--- a/pkg/gateway/crash_probe.go
+++ b/pkg/gateway/crash_probe.go
@@ -131,7 +131,7 @@
 	go func() {
 		defer close(probe.done)
 		// Not the context of a caller: it may cancel, and other attempts share the result.
-		probe.refused = b.pool.Refuses(context.Background(), probeTimeout)
+		probe.refused = b.pool.RefusesDial(context.Background(), probeTimeout)
 	}()
 	return probe
 }
--- a/pkg/gateway/fake_backend_test.go
+++ b/pkg/gateway/fake_backend_test.go
@@ -190,7 +190,7 @@
 	if err := d.Check(); err != nil {
 		t.Fatal(err)
 	}
-	g.index.Raise(d)
+	g.index.Advance(d)
 	for _, server := range servers {
 		g.backends.applyRegistration(registry.NewRegistration(server.incarnation, "menu", server.listener.Addr().String(), "hall-a", "v1", 4, registry.Ready, 0, nil, 1, 0))
 	}
--- a/pkg/gateway/gateway.go
+++ b/pkg/gateway/gateway.go
@@ -84,7 +84,7 @@
 	// failure domain.
 	demandByDomain func() map[string]float64
 	// askStager asks the stager at a link address to reserve a place at its engine.
-	askStager func(ctx context.Context, address string, a reservation.Ask) (reservation.Answer, error)
+	askStager func(ctx context.Context, address string, a reservation.Request) (reservation.Response, error)
 	// askLender asks the gateway at a link address for a retry from its budget, and nextBorrow
 	// is the earliest time to ask again.
 	askLender  func(ctx context.Context, address string, a contract.RepeatAsk) (contract.RepeatAnswer, error)
@@ -104,7 +104,7 @@
 // read again on a reload; it may be empty. hooks replace the environment in tests.
 func New(s settings.Gateway, settingsPath string, protocol Protocol, hooks daemon.Seams) (*Gateway, error) {
 	debug.SetMemoryLimit(int64(float64(s.Memory()) * goMemoryShare))
-	process, err := daemon.New(s.Common(), vm.FreshIncarnation(), hooks)
+	process, err := daemon.New(s.Common(), vm.NewIncarnation(), hooks)
 	if err != nil {
 		return nil, err
 	}
@@ -159,7 +159,7 @@
 	g.mergeRecords(u.Records())
 	g.inheritBudget(u.RetryUsage())
 	d := u.Document()
-	if d == nil || !g.index.Raise(*d) {
+	if d == nil || !g.index.Advance(*d) {
 		return
 	}
 	g.metrics.configNumber.Set(float64(g.index.Number()))
--- a/pkg/gateway/handler.go
+++ b/pkg/gateway/handler.go
@@ -100,7 +100,7 @@
 		timeout = min(timeout, q.head.Deadline)
 	}
 	q.deadline = now.Add(timeout)
-	q.header = upstream.PassedOn(r.Header)
+	q.header = upstream.ForwardedHeader(r.Header)
 	q.tried, q.ranAt = map[*backend]bool{}, map[*backend]bool{}
 	q.estimateWork()
 	if service.Engine().Slots() > 0 {
@@ -138,7 +138,7 @@
 // unknown and the route requires one.
 func (q *request) authenticate(index *serviceconfig.Index) error {
 	q.urgency = q.route.Priority()
-	if !index.HoldsKeys() {
+	if !index.RequiresKey() {
 		return nil
 	}
 	o, known := index.OrganisationOf(q.head.Key)
--- a/pkg/gateway/limit_test.go
+++ b/pkg/gateway/limit_test.go
@@ -241,7 +241,7 @@
 // serve.
 func TestCapacityOfLimitedEngines(t *testing.T) {
 	w := requirements{engine: serviceconfig.NewEngine(16, []string{"menu"}, 1, 96, 24576, 9*time.Millisecond, 0, 20000, 979, 92, 0, 5)}
-	unlimited := 1 / w.engine.Turn().Seconds()
+	unlimited := 1 / w.engine.SlotInterval().Seconds()
 	for _, c := range []struct {
 		load load
 		want float64
--- a/pkg/gateway/order_cut_test.go
+++ b/pkg/gateway/order_cut_test.go
@@ -23,7 +23,7 @@
 	before := newFakeBackend(t, "i-before-its-order", streamAfter(1))
 	after := newFakeBackend(t, "i-after-its-order", streamAfter(1))
 	f := newFixture(t, serviceconfig.Stream, true)
-	f.gateway.index.Raise(engineDocument(t))
+	f.gateway.index.Advance(engineDocument(t))
 	f.registerVersion(cut, 1)
 	f.registerVersion(before, 1)
 	f.registerVersion(after, 2)
--- a/pkg/gateway/path_bench_test.go
+++ b/pkg/gateway/path_bench_test.go
@@ -28,12 +28,12 @@
 	})
 	f := newFixture(b, serviceconfig.Stream, true, s)
 	g := f.gateway
-	g.askStager = func(context.Context, string, reservation.Ask) (reservation.Answer, error) {
-		return reservation.NewAnswer(true, 100*time.Millisecond, feed.NewLoad("menu", "", "menu", 1, 3, 0, 1, false, false)), nil
+	g.askStager = func(context.Context, string, reservation.Request) (reservation.Response, error) {
+		return reservation.NewResponse(true, 100*time.Millisecond, feed.NewLoad("menu", "", "menu", 1, 3, 0, 1, false, false)), nil
 	}
 	route := serviceconfig.NewRoute("r", "menus.example", "/draft/", serviceconfig.Stream, 3*time.Second, 400*time.Millisecond, 400*time.Millisecond, 1,
 		[]serviceconfig.Target{serviceconfig.NewTarget("menu", 1)}, 2, false, true)
-	g.index.Raise(serviceconfig.NewDocument(2, []serviceconfig.Route{route},
+	g.index.Advance(serviceconfig.NewDocument(2, []serviceconfig.Route{route},
 		[]serviceconfig.Service{serviceconfig.NewService("menu", "", 0, "", testEngine(), true)},
 		[]serviceconfig.Organisation{serviceconfig.NewOrganisation("larder", []string{"k1"}, 0, false)}, serviceconfig.Limits{}))
 	for i := range engines {
--- a/pkg/gateway/reachability.go
+++ b/pkg/gateway/reachability.go
@@ -47,7 +47,7 @@
 	startedAt := time.Now()
 	for g.runContext.Err() == nil && !b.hasLeft() {
 		dialed := time.Now()
-		if b.pool.Reaches(g.runContext, dialTimeout) {
+		if b.pool.AnswersDial(g.runContext, dialTimeout) {
 			b.setUnreachable(false)
 			b.recordDial(dialed, time.Since(dialed))
 			return
--- a/pkg/gateway/reachability_test.go
+++ b/pkg/gateway/reachability_test.go
@@ -59,11 +59,11 @@
 		t.Fatal(err)
 	}
 	address := l.Addr().String()
-	if !upstream.NewPool(address).Reaches(context.Background(), time.Second) {
+	if !upstream.NewPool(address).AnswersDial(context.Background(), time.Second) {
 		t.Fatal("a listener counts as unreachable")
 	}
 	_ = l.Close()
-	if !upstream.NewPool(address).Reaches(context.Background(), time.Second) {
+	if !upstream.NewPool(address).AnswersDial(context.Background(), time.Second) {
 		t.Fatal("a port that refuses connections counts as unreachable")
 	}
 }
--- a/pkg/gateway/request.go
+++ b/pkg/gateway/request.go
@@ -133,7 +133,7 @@
 	if answer == 0 {
 		answer = e.UsualAnswer()
 	}
-	q.prefill = e.Reading(prompt)
+	q.prefill = e.PrefillTime(prompt)
 	q.maxRun = time.Duration(loadSlowdown * float64(q.prefill+time.Duration(answer)*e.Step()))
 	if q.head.ExpectedTokens > 0 {
 		answer = min(answer, q.head.ExpectedTokens)
--- a/pkg/gateway/reserve.go
+++ b/pkg/gateway/reserve.go
@@ -141,7 +141,7 @@
 		maxGap = 0
 	}
 	started := time.Now()
-	answer, err := g.askWithRetry(q, b, address, reservation.NewAsk(q.head.PromptTokens, within, maxGap), until)
+	answer, err := g.askWithRetry(q, b, address, reservation.NewRequest(q.head.PromptTokens, within, maxGap), until)
 	if err != nil {
 		if q.ctx.Err() == nil {
 			b.recordStagerTimeout(time.Now())
@@ -152,13 +152,13 @@
 	}
 	b.recordCurrentLoad(answer.Load())
 	g.metrics.reservations.WithLabelValues(string(reservationOutcomeOf(answer))).Inc()
-	return reservationOffer{backend: b, granted: answer.Granted(), startDelay: answer.Begins() + time.Since(started)}
+	return reservationOffer{backend: b, granted: answer.Granted(), startDelay: answer.FirstEventIn() + time.Since(started)}
 }
 
 // askWithRetry asks the stager of an engine, and asks once more if the link was silent and a new
 // link replaced it: then the stager works and must not get a backoff. A slot that was granted
 // over the silent link expires at the engine.
-func (g *Gateway) askWithRetry(q *request, b *backend, address string, a reservation.Ask, until time.Time) (reservation.Answer, error) {
+func (g *Gateway) askWithRetry(q *request, b *backend, address string, a reservation.Request, until time.Time) (reservation.Response, error) {
 	asked, timeout := time.Now(), b.reservationTimeout(time.Now())
 	answer, err := g.askWithTimeout(q.ctx, timeout, address, a)
 	if err == nil || q.ctx.Err() != nil {
@@ -187,7 +187,7 @@
 	return answer, err
 }
 
-func (g *Gateway) askWithTimeout(ctx context.Context, timeout time.Duration, address string, a reservation.Ask) (reservation.Answer, error) {
+func (g *Gateway) askWithTimeout(ctx context.Context, timeout time.Duration, address string, a reservation.Request) (reservation.Response, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	return g.askStager(ctx, address, a)
@@ -209,7 +209,7 @@
 	reservationUnanswered reservationOutcome = "unanswered"
 )
 
-func reservationOutcomeOf(a reservation.Answer) reservationOutcome {
+func reservationOutcomeOf(a reservation.Response) reservationOutcome {
 	if a.Granted() {
 		return reservationGranted
 	}
@@ -217,8 +217,8 @@
 }
 
 // callStager sends a reservation request to a stager over a link.
-func (g *Gateway) callStager(ctx context.Context, address string, a reservation.Ask) (reservation.Answer, error) {
-	var answer reservation.Answer
+func (g *Gateway) callStager(ctx context.Context, address string, a reservation.Request) (reservation.Response, error) {
+	var answer reservation.Response
 	err := g.process.Endpoint.Call(ctx, address, link.KindReserve, a, &answer)
 	return answer, err
 }
--- a/pkg/gateway/reserve_test.go
+++ b/pkg/gateway/reserve_test.go
@@ -20,15 +20,15 @@
 	within    []time.Duration
 }
 
-func (s *fakeStager) ask(_ context.Context, address string, a reservation.Ask) (reservation.Answer, error) {
+func (s *fakeStager) ask(_ context.Context, address string, a reservation.Request) (reservation.Response, error) {
 	s.asked = append(s.asked, address)
-	s.within = append(s.within, a.Within())
+	s.within = append(s.within, a.FirstEventWithin())
 	delay, found := s.delays[address]
 	if !found {
-		return reservation.Answer{}, errors.New("no answer")
+		return reservation.Response{}, errors.New("no answer")
 	}
-	granted := delay <= max(a.Within(), s.idleDelay)
-	return reservation.NewAnswer(granted, delay, feed.NewLoad("menu", "", "menu", 1, 3, 0, 1, false, false)), nil
+	granted := delay <= max(a.FirstEventWithin(), s.idleDelay)
+	return reservation.NewResponse(granted, delay, feed.NewLoad("menu", "", "menu", 1, 3, 0, 1, false, false)), nil
 }
 
 // newReservingGateway returns a gateway with three engines in its failure domain, and a request
@@ -161,7 +161,7 @@
 func TestReservationsEndAfterShareOfObjective(t *testing.T) {
 	s := &fakeStager{delays: map[string]time.Duration{}}
 	g, q := newReservingGateway(t, s)
-	slow := func(ctx context.Context, address string, a reservation.Ask) (reservation.Answer, error) {
+	slow := func(ctx context.Context, address string, a reservation.Request) (reservation.Response, error) {
 		<-ctx.Done()
 		return s.ask(ctx, address, a)
 	}
--- a/pkg/gateway/resume_test.go
+++ b/pkg/gateway/resume_test.go
@@ -14,7 +14,7 @@
 func newFixtureWithBrokenStream(t *testing.T, others ...*fakeBackend) *fixture {
 	t.Helper()
 	f := newFixture(t, serviceconfig.Stream, true)
-	f.gateway.index.Raise(engineDocument(t))
+	f.gateway.index.Advance(engineDocument(t))
 	f.gateway.protocol.StreamIdleTimeout = func(time.Duration, time.Duration) time.Duration { return 4 * time.Second }
 	breaking := newFakeBackend(t, "i-cut", func(w *bufio.Writer, r *http.Request) bool {
 		writeEvents(w, r, 1, 1)
@@ -58,7 +58,7 @@
 // A stream that waits for a server must hold no retry, since others may need it.
 func TestStreamWaitingForServerHoldsNoRetry(t *testing.T) {
 	f := newFixture(t, serviceconfig.Stream, true)
-	f.gateway.index.Raise(engineDocument(t))
+	f.gateway.index.Advance(engineDocument(t))
 	f.gateway.protocol.StreamIdleTimeout = func(time.Duration, time.Duration) time.Duration { return 20 * yieldRetryInterval }
 	f.registerVersion(newFakeBackend(t, "i-gone", func(w *bufio.Writer, r *http.Request) bool {
 		writeEvents(w, r, 1, 1)
--- a/pkg/gateway/silence_actions.go
+++ b/pkg/gateway/silence_actions.go
@@ -82,7 +82,7 @@
 // closeSilentIdle closes the idle connections to a backend server that received nothing since a
 // moment.
 func (g *Gateway) closeSilentIdle(b *backend, since, now time.Time, e evidence) {
-	closed := b.pool.Distrust(since)
+	closed := b.pool.CloseUnusedSince(since)
 	if closed == 0 {
 		return
 	}
--- a/pkg/gateway/silence_test.go
+++ b/pkg/gateway/silence_test.go
@@ -355,7 +355,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(t, serviceconfig.Stream, true)
-			f.gateway.index.Raise(engineDocument(t))
+			f.gateway.index.Advance(engineDocument(t))
 			own := newFakeBackend(t, "i-own", closeWithoutResponse)
 			f.registerVersion(own, 1)
 			f.registerVersion(newFakeBackend(t, "i-other", closeWithoutResponse), 1)
--- a/pkg/gateway/silent_links_test.go
+++ b/pkg/gateway/silent_links_test.go
@@ -56,12 +56,12 @@
 		KeepAlive: time.Hour, Unanswered: time.Hour,
 	})
 	stager.Handle(link.KindReserve, func(_ context.Context, stream *link.Stream) error {
-		var request reservation.Ask
+		var request reservation.Request
 		if err := stream.Receive(&request); err != nil {
 			return err
 		}
 		s.reservations.Add(1)
-		return stream.Send(reservation.NewAnswer(true, 0, feed.NewLoad("menu", "", "menu", 1, 3, 0, 1, false, false)))
+		return stream.Send(reservation.NewResponse(true, 0, feed.NewLoad("menu", "", "menu", 1, 3, 0, 1, false, false)))
 	})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/pkg/gateway/slot_share.go
+++ b/pkg/gateway/slot_share.go
@@ -63,7 +63,7 @@
 func (t reportedLoad) freeSlots(e serviceconfig.Engine, now time.Time) float64 {
 	free := e.Slots() + queuedPerEngine - t.load.Running() - t.load.Queued()
 	queuedPrompts := min(t.load.Queued(), e.Slots()-t.load.Running())
-	if prefill := e.UsualReading(); prefill > 0 {
+	if prefill := e.UsualPrefillTime(); prefill > 0 {
 		// An engine whose prefill takes longer for a single prompt gets one prompt at a time.
 		free = min(free, max(int(maxQueuedPrefill/prefill), 1)-queuedPrompts)
 	}
@@ -73,7 +73,7 @@
 // finishedSince is how many requests a full engine has finished since the report, or 0 if the
 // time of a request is not known.
 func (t reportedLoad) finishedSince(e serviceconfig.Engine, now time.Time) float64 {
-	requestTime := float64(e.Turn()) * max(t.load.StepTimeRatio(), 1)
+	requestTime := float64(e.SlotInterval()) * max(t.load.StepTimeRatio(), 1)
 	if requestTime <= 0 {
 		return 0
 	}
--- a/pkg/gateway/slot_share_test.go
+++ b/pkg/gateway/slot_share_test.go
@@ -52,7 +52,7 @@
 // second on prefill while no request gets a token.
 func TestEmptyEngineIsFilledAtPrefillRate(t *testing.T) {
 	now := time.Now()
-	most := int(maxQueuedPrefill / testEngine().UsualReading())
+	most := int(maxQueuedPrefill / testEngine().UsualPrefillTime())
 	if sent := sentByAllGateways(9, 0, 0, now); sent > most {
 		t.Fatalf("%d prompts for an empty engine whose prefill handles %d in %s", sent, most, maxQueuedPrefill)
 	}
@@ -80,7 +80,7 @@
 	if reported.hasSlot(testEngine(), 1, now) {
 		t.Fatal("a full engine has a free slot")
 	}
-	if !reported.hasSlot(testEngine(), 1, now.Add(2*testEngine().Turn())) {
+	if !reported.hasSlot(testEngine(), 1, now.Add(2*testEngine().SlotInterval())) {
 		t.Fatal("no free slot after two requests ended")
 	}
 }
--- a/pkg/gateway/stall_test.go
+++ b/pkg/gateway/stall_test.go
@@ -14,7 +14,7 @@
 func newStalledStream(t *testing.T, silent time.Duration) (f *fixture, x *exchange) {
 	t.Helper()
 	f = newFixture(t, serviceconfig.Stream, true)
-	f.gateway.index.Raise(engineDocument(t))
+	f.gateway.index.Advance(engineDocument(t))
 	own, other := newFakeBackend(t, "i-own", closeWithoutResponse), newFakeBackend(t, "i-other", closeWithoutResponse)
 	f.registerVersion(own, 1)
 	f.registerVersion(other, 1)
@@ -65,9 +65,9 @@
 		t.Run(name, func(t *testing.T) {
 			f, x := newStalledStream(t, maxEventGap+watchdogInterval/2)
 			asked := 0
-			f.gateway.askStager = func(context.Context, string, reservation.Ask) (reservation.Answer, error) {
+			f.gateway.askStager = func(context.Context, string, reservation.Request) (reservation.Response, error) {
 				asked++
-				return reservation.NewAnswer(granted, idleStartDelay, feed.NewLoad("menu", "", "menu", 1, 1, 0, 1, false, false)), nil
+				return reservation.NewResponse(granted, idleStartDelay, feed.NewLoad("menu", "", "menu", 1, 1, 0, 1, false, false)), nil
 			}
 			if moves := x.mayInterrupt(interruptStall, stageStreaming, time.Now()); moves != granted || asked != 1 {
 				t.Fatalf("moved: %t, after %d reservation requests", moves, asked)
--- a/pkg/gateway/stream_engine_test.go
+++ b/pkg/gateway/stream_engine_test.go
@@ -65,7 +65,7 @@
 type simEngine struct {
 	sim             *streamSim
 	address, domain string
-	reservations    reservation.Book
+	reservations    reservation.Controller
 	wake            chan struct{}
 
 	mu              sync.Mutex
@@ -120,7 +120,7 @@
 	for len(e.queued) > 0 && len(e.running) < simEngineConfig.Slots() {
 		r := e.queued[0]
 		e.queued = e.queued[1:]
-		readTime += simEngineConfig.Reading(r.prompt)
+		readTime += simEngineConfig.PrefillTime(r.prompt)
 		e.running = append(e.running, r)
 		r.started = true
 		e.sim.runStarted(r, e.version)
@@ -217,13 +217,13 @@
 }
 
 // answerReservation is the stager's answer to a reservation request.
-func (e *simEngine) answerReservation(a reservation.Ask) reservation.Answer {
+func (e *simEngine) answerReservation(a reservation.Request) reservation.Response {
 	l := e.load()
 	if l.Busy() {
-		return reservation.NewAnswer(false, time.Second, l)
+		return reservation.NewResponse(false, time.Second, l)
 	}
-	granted, begins, _ := e.reservations.Decide(time.Now(), simEngineConfig, reservation.Work{Running: l.Running(), Queued: l.Queued(), Pace: 1}, a)
-	return reservation.NewAnswer(granted, begins, l)
+	granted, begins, _ := e.reservations.Decide(time.Now(), simEngineConfig, reservation.Work{Running: l.Running(), Queued: l.Queued(), StepTimeRatio: 1}, a)
+	return reservation.NewResponse(granted, begins, l)
 }
 
 // dial opens a connection to the engine.
--- a/pkg/gateway/stream_interrupt_test.go
+++ b/pkg/gateway/stream_interrupt_test.go
@@ -64,7 +64,7 @@
 func newOldVersionFixture(t *testing.T, first, second *fakeBackend) *fixture {
 	t.Helper()
 	f := newFixture(t, serviceconfig.Stream, true)
-	f.gateway.index.Raise(engineDocument(t))
+	f.gateway.index.Advance(engineDocument(t))
 	f.registerVersion(first, 1)
 	f.registerVersion(second, 1)
 	f.prefer(first, second)
@@ -99,7 +99,7 @@
 		return writeRest(w, 2, 3)
 	}
 	f := newFixture(t, serviceconfig.Stream, true)
-	f.gateway.index.Raise(engineDocument(t))
+	f.gateway.index.Advance(engineDocument(t))
 	for incarnation, domain := range map[string]string{"i-near": "hall-a", "i-far": "hall-b"} {
 		f.addEngineIn(newFakeBackend(t, incarnation, stalls), domain)
 	}
@@ -143,7 +143,7 @@
 		return false
 	}
 	f := newFixture(t, serviceconfig.Stream, true)
-	f.gateway.index.Raise(engineDocument(t))
+	f.gateway.index.Advance(engineDocument(t))
 	f.addEngineIn(newFakeBackend(t, "i-near", stalled), "hall-a")
 	f.addEngineIn(newFakeBackend(t, "i-next", stalled), "hall-a")
 	f.addEngineIn(newFakeBackend(t, "i-far", streamAfter(1)), "hall-b")
@@ -214,7 +214,7 @@
 			})
 			second := newFakeBackend(t, "i-second", streamAfter(1))
 			f := newFixture(t, serviceconfig.Stream, true)
-			f.gateway.index.Raise(engineDocument(t))
+			f.gateway.index.Advance(engineDocument(t))
 			f.addEngineIn(first, "hall-a")
 			f.addEngineIn(second, "hall-b")
 			f.setNamedVersion(left)
@@ -243,7 +243,7 @@
 	})
 	second := newFakeBackend(t, "i-second", respondWith("503 Service Unavailable", "full"))
 	f := newFixture(t, serviceconfig.Stream, true)
-	f.gateway.index.Raise(engineDocument(t))
+	f.gateway.index.Advance(engineDocument(t))
 	f.addEngineIn(first, "hall-a")
 	f.addEngineIn(second, "hall-b")
 	over := make(chan bool)
--- a/pkg/gateway/stream_sim_test.go
+++ b/pkg/gateway/stream_sim_test.go
@@ -174,7 +174,7 @@
 	return contract.RepeatAnswer{}, errUnreachable
 }
 
-func (s *streamSim) askStager(_ context.Context, address string, a reservation.Ask) (reservation.Answer, error) {
+func (s *streamSim) askStager(_ context.Context, address string, a reservation.Request) (reservation.Response, error) {
 	host, _, _ := strings.Cut(address, ":")
 	i := slices.IndexFunc(s.engines, func(e *simEngine) bool { return strings.HasPrefix(e.address, host+":") })
 	s.networkDelay()
@@ -255,14 +255,14 @@
 	if first {
 		g.budget.started = g.budget.started.Add(-g.settings.RetryWindow())
 	}
-	g.index.Raise(documentOf(s.t, simEngineConfig, true))
+	g.index.Advance(documentOf(s.t, simEngineConfig, true))
 	for i, e := range s.engines {
 		id := fmt.Sprintf("e-%d", i+1)
 		g.backends.applyRegistration(registry.NewRegistration(id, "menu", e.address, e.domain, "v1", simEngineConfig.Slots(), registry.Ready, 0,
 			[]registry.Holding{registry.NewHolding("menu", 1, 0, 1)}, 1, 0))
 		for _, b := range g.backends.forService("menu") {
 			if b.latestRegistration().Incarnation() == id {
-				b.pool = upstream.NewPoolOver(e.address, e.dial)
+				b.pool = upstream.NewPoolWithDial(e.address, e.dial)
 			}
 		}
 		g.backends.applyLoadReport(e.load())
--- a/pkg/gateway/suspended_test.go
+++ b/pkg/gateway/suspended_test.go
@@ -18,11 +18,11 @@
 func newSuspendableGateway(t *testing.T) (g *Gateway, suspend func(time.Duration)) {
 	g = newGateway(t, testSettings)
 	var bootTime time.Duration
-	g.suspension = suspension.NewOn(func() time.Duration { return 0 }, func() time.Duration { return bootTime })
+	g.suspension = suspension.NewWithClocks(func() time.Duration { return 0 }, func() time.Duration { return bootTime })
 	g.suspension.OnResume(g.onResume)
 	return g, func(d time.Duration) {
 		bootTime += d
-		g.suspension.Look()
+		g.suspension.Check()
 	}
 }
 
--- a/pkg/gateway/version_expiry_test.go
+++ b/pkg/gateway/version_expiry_test.go
@@ -31,7 +31,7 @@
 func newExpiringFixtureOf(t *testing.T, old, next *fakeBackend) *fixture {
 	t.Helper()
 	f := newFixture(t, serviceconfig.Stream, true)
-	f.gateway.index.Raise(engineDocument(t))
+	f.gateway.index.Advance(engineDocument(t))
 	f.registerVersion(old, 1)
 	f.registerVersion(next, 2)
 	for _, b := range f.gateway.backends.forService("menu") {
@@ -304,7 +304,7 @@
 func (f *fixture) disableResume(t *testing.T) {
 	t.Helper()
 	d := documentOf(t, testEngine(), false)
-	f.gateway.index.Raise(serviceconfig.NewDocument(d.Number()+1, d.Routes(), d.Services(), d.Organisations(), d.Limits()))
+	f.gateway.index.Advance(serviceconfig.NewDocument(d.Number()+1, d.Routes(), d.Services(), d.Organisations(), d.Limits()))
 }
 
 // A started stream runs past the expiry of its version at its server, even if it takes longer
--- a/pkg/gateway/waiting_requests_test.go
+++ b/pkg/gateway/waiting_requests_test.go
@@ -54,9 +54,9 @@
 	if !w.exceedsWait(b.load(now)) {
 		t.Fatal("an engine with four queued requests has a free slot")
 	}
-	later := b.load(now.Add(5 * e.Turn()))
+	later := b.load(now.Add(5 * e.SlotInterval()))
 	if !later.fresh || w.exceedsWait(later) {
-		t.Fatalf("still full %s after its load report: predicted wait %s", 5*e.Turn(), w.waitAt(later))
+		t.Fatalf("still full %s after its load report: predicted wait %s", 5*e.SlotInterval(), w.waitAt(later))
 	}
 }
 
--- a/pkg/membership/view.go
+++ b/pkg/membership/view.go
@@ -26,8 +26,8 @@
 // Agent is what is known of one agent. It is a copy; changing it changes
 // nothing.
 type Agent struct {
-	Beat     contract.Heartbeat
-	Received time.Time
+	LastHeartbeat contract.Heartbeat
+	Received      time.Time
 	// Leaving says why the agent gets no new work; empty when it does.
 	Leaving string
 	// FirstSeen is when this life of the VM was first heard of.
@@ -41,7 +41,7 @@
 const (
 	Unchanged Change = iota
 	Seen
-	Left
+	StartedLeaving
 	Lost
 )
 
@@ -70,26 +70,26 @@
 	return v.shards[xxhash.Sum64String(string(id))%shardCount]
 }
 
-// Heard takes a heartbeat in. One that is older than what is known, of the
+// RecordHeartbeat takes a heartbeat in. One that is older than what is known, of the
 // same life, is ignored: heartbeats of a new stream may overtake the last ones
 // of the old.
-func (v *View) Heard(b contract.Heartbeat, now time.Time) Change {
+func (v *View) RecordHeartbeat(b contract.Heartbeat, now time.Time) Change {
 	s := v.shard(b.From().ID())
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	old := s.agents[b.From().ID()]
-	if old == nil || !old.Beat.From().SameLife(b.From()) {
-		a := &Agent{Beat: b, Received: now, FirstSeen: now, Leaving: leavingReason(b)}
+	if old == nil || !old.LastHeartbeat.From().SameIncarnation(b.From()) {
+		a := &Agent{LastHeartbeat: b, Received: now, FirstSeen: now, Leaving: leavingReason(b)}
 		s.agents[b.From().ID()] = a
 		return Seen
 	}
-	if b.Sequence() <= old.Beat.Sequence() {
+	if b.Sequence() <= old.LastHeartbeat.Sequence() {
 		return Unchanged
 	}
-	old.Beat, old.Received = b, now
+	old.LastHeartbeat, old.Received = b, now
 	if old.Leaving == "" && b.Draining() {
 		old.Leaving = leavingReason(b)
-		return Left
+		return StartedLeaving
 	}
 	return Unchanged
 }
@@ -153,7 +153,7 @@
 		}
 		s.mu.RUnlock()
 	}
-	sort.Slice(agents, func(i, j int) bool { return agents[i].Beat.From().ID() < agents[j].Beat.From().ID() })
+	sort.Slice(agents, func(i, j int) bool { return agents[i].LastHeartbeat.From().ID() < agents[j].LastHeartbeat.From().ID() })
 	return agents
 }
 
@@ -168,10 +168,10 @@
 	return usable
 }
 
-// ReadyModel returns the digests that the agent serves of a model.
-func (a Agent) ReadyModel(model string) []contract.Digest {
+// ReadyDigests returns the digests that the agent serves of a model.
+func (a Agent) ReadyDigests(model string) []contract.Digest {
 	var digests []contract.Digest
-	for _, c := range a.Beat.Copies() {
+	for _, c := range a.LastHeartbeat.Copies() {
 		if c.Model() == model && c.Phase() == contract.PhaseReady {
 			digests = append(digests, c.Digest())
 		}
@@ -179,9 +179,9 @@
 	return digests
 }
 
-// FrontsService tells whether the agent fronts a plain service.
-func (a Agent) FrontsService(name string) bool {
-	for _, s := range a.Beat.Services() {
+// HasService tells whether the agent fronts a plain service.
+func (a Agent) HasService(name string) bool {
+	for _, s := range a.LastHeartbeat.Services() {
 		if s == name {
 			return true
 		}
--- a/pkg/membership/view_test.go
+++ b/pkg/membership/view_test.go
@@ -8,7 +8,7 @@
 	"github.com/tidepost/tidepost/pkg/vm"
 )
 
-func beat(incarnation, sequence, revision uint64, draining bool) contract.Heartbeat {
+func newHeartbeat(incarnation, sequence, revision uint64, draining bool) contract.Heartbeat {
 	return contract.NewHeartbeat(vm.NewIdentity("agent-1", incarnation, "r", "d", "agent-1:1"), sequence, revision, nil, nil, nil,
 		contract.Load{}, draining, 0, 0)
 }
@@ -18,20 +18,20 @@
 func TestLateHeartbeatIsIgnored(t *testing.T) {
 	now := time.Unix(1000, 0)
 	v := NewView(time.Second)
-	if c := v.Heard(beat(1, 5, 7, false), now); c != Seen {
+	if c := v.RecordHeartbeat(newHeartbeat(1, 5, 7, false), now); c != Seen {
 		t.Fatalf("first: %d", c)
 	}
-	v.Heard(beat(1, 4, 6, false), now)
-	if a, _ := v.Find("agent-1"); a.Beat.Revision() != 7 {
-		t.Errorf("revision %d after a late heartbeat", a.Beat.Revision())
+	v.RecordHeartbeat(newHeartbeat(1, 4, 6, false), now)
+	if a, _ := v.Find("agent-1"); a.LastHeartbeat.Revision() != 7 {
+		t.Errorf("revision %d after a late heartbeat", a.LastHeartbeat.Revision())
 	}
-	if c := v.Heard(beat(1, 6, 7, true), now); c != Left {
+	if c := v.RecordHeartbeat(newHeartbeat(1, 6, 7, true), now); c != StartedLeaving {
 		t.Errorf("draining: %d", c)
 	}
 	if n := len(v.Usable(now)); n != 0 {
 		t.Errorf("%d usable", n)
 	}
-	if c := v.Heard(beat(2, 1, 0, false), now); c != Seen || len(v.Usable(now)) != 1 {
+	if c := v.RecordHeartbeat(newHeartbeat(2, 1, 0, false), now); c != Seen || len(v.Usable(now)) != 1 {
 		t.Errorf("the next life: %d, %d usable", c, len(v.Usable(now)))
 	}
 }
@@ -39,7 +39,7 @@
 func TestSilentAgentIsLost(t *testing.T) {
 	now := time.Unix(1000, 0)
 	v := NewView(time.Second)
-	v.Heard(beat(1, 1, 1, false), now)
+	v.RecordHeartbeat(newHeartbeat(1, 1, 1, false), now)
 	if n := len(v.Usable(now.Add(2 * time.Second))); n != 0 {
 		t.Errorf("%d usable after the timeout", n)
 	}
--- a/pkg/operator/command.go
+++ b/pkg/operator/command.go
@@ -198,7 +198,7 @@
 		return nil, err
 	}
 	s.endpoint = link.NewEndpoint(link.Config{
-		Own:    vm.NewIdentity(vm.ID("operator-"+operatorName()), vm.FreshIncarnation(), "", "", ""),
+		Own:    vm.NewIdentity(vm.ID("operator-"+operatorName()), vm.NewIncarnation(), "", "", ""),
 		Key:    key,
 		TLS:    tlsConfig,
 		Clock:  event.NewClock(time.Now),
--- a/pkg/reservation/forecast.go
+++ b/pkg/reservation/forecast.go
@@ -25,38 +25,38 @@
 	// Running and Queued count its requests; those whose prompt is not read yet are
 	// among the queued.
 	Running, Queued int
-	// Unread is the number of prompt tokens of the queued ones.
-	Unread int
-	// Pace is its time for a step over the usual one; 0 when not known.
-	Pace float64
+	// PrefillTokens is the number of prompt tokens of the queued ones.
+	PrefillTokens int
+	// StepTimeRatio is its time for a step over the usual one; 0 when not known.
+	StepTimeRatio float64
 }
 
 // forecast is when a request begins.
 type forecast struct {
-	// alone is how long its first event takes if nobody is before it.
-	alone time.Duration
-	// begins is how long it takes behind what is there.
-	begins time.Duration
+	// unqueued is how long its first event takes if nobody is before it.
+	unqueued time.Duration
+	// firstEvent is how long it takes behind what is there.
+	firstEvent time.Duration
 	// pass is how long the pass takes that reads it, which is the pause of all who
 	// write then.
 	pass time.Duration
 }
 
-// forecastOf forecasts a request with a prompt of some tokens.
-func forecastOf(e serviceconfig.Engine, w Work, prompt int) forecast {
-	pace := max(w.Pace, 1)
-	steps := time.Duration(float64(passOf(e, w.Running)) * pace)
-	own := time.Duration(float64(e.Reading(prompt)) * pace)
-	before := time.Duration(float64(e.Reading(w.Unread)) * pace)
-	f := forecast{alone: steps + steps/2 + own, pass: steps + before + own}
-	f.begins = f.alone + before
+// newForecast forecasts a request with a prompt of some tokens.
+func newForecast(e serviceconfig.Engine, w Work, prompt int) forecast {
+	pace := max(w.StepTimeRatio, 1)
+	steps := time.Duration(float64(decodePassTime(e, w.Running)) * pace)
+	own := time.Duration(float64(e.PrefillTime(prompt)) * pace)
+	before := time.Duration(float64(e.PrefillTime(w.PrefillTokens)) * pace)
+	f := forecast{unqueued: steps + steps/2 + own, pass: steps + before + own}
+	f.firstEvent = f.unqueued + before
 	if waiting := w.Running + w.Queued + 1 - e.Slots(); waiting > 0 {
-		f.begins += time.Duration(float64(waiting) * float64(e.Turn()) * pace)
+		f.firstEvent += time.Duration(float64(waiting) * float64(e.SlotInterval()) * pace)
 	}
 	return f
 }
 
-// passOf is how long a pass takes that reads nothing.
-func passOf(e serviceconfig.Engine, running int) time.Duration {
+// decodePassTime is how long a pass takes that reads nothing.
+func decodePassTime(e serviceconfig.Engine, running int) time.Duration {
 	return time.Duration(max(e.Stride(), 1)) * (e.Step() + time.Duration(running)*e.PerSequence())
 }
--- a/pkg/reservation/messages.go
+++ b/pkg/reservation/messages.go
@@ -28,28 +28,28 @@
 	"github.com/tidepost/tidepost/pkg/feed"
 )
 
-// Ask asks for a place at an engine.
+// Request asks for a place at an engine.
 //
 //wire:generate
-type Ask struct {
-	// prompt is the number of tokens that the engine has to read first; 0 when it
+type Request struct {
+	// promptTokens is the number of tokens that the engine has to read first; 0 when it
 	// is not known.
-	prompt int
-	// within is how soon the first event has to come.
-	within time.Duration
-	// pause is the longest pause between events that callers of the engine bear;
+	promptTokens int
+	// firstEventWithin is how soon the first event has to come.
+	firstEventWithin time.Duration
+	// maxGap is the longest pause between events that callers of the engine bear;
 	// 0 is any.
-	pause time.Duration
+	maxGap time.Duration
 }
 
-// Answer answers an Ask.
+// Response answers an Ask.
 //
 //wire:generate
-type Answer struct {
+type Response struct {
 	// granted says that the request may be sent.
 	granted bool
-	// begins is how long the first event is expected to take.
-	begins time.Duration
+	// firstEventIn is how long the first event is expected to take.
+	firstEventIn time.Duration
 	// load is the engine's, with what was granted before and has not come yet.
 	load feed.Load
 }
--- a/pkg/reservation/wire_generated.go
+++ b/pkg/reservation/wire_generated.go
@@ -10,35 +10,37 @@
 	"github.com/tidepost/tidepost/pkg/feed"
 )
 
-// NewAnswer returns a Answer with the given fields.
-func NewAnswer(granted bool, begins time.Duration, load feed.Load) Answer {
-	return Answer{granted: granted, begins: begins, load: load}
+// NewRequest returns a Request with the given fields.
+func NewRequest(promptTokens int, firstEventWithin time.Duration, maxGap time.Duration) Request {
+	return Request{promptTokens: promptTokens, firstEventWithin: firstEventWithin, maxGap: maxGap}
 }
 
-// Granted says that the request may be sent.
-func (a Answer) Granted() bool { return a.granted }
+// PromptTokens is the number of tokens that the engine has to read first; 0 when it
+// is not known.
+func (r Request) PromptTokens() int { return r.promptTokens }
 
-// Begins is how long the first event is expected to take.
-func (a Answer) Begins() time.Duration { return a.begins }
+// FirstEventWithin is how soon the first event has to come.
+func (r Request) FirstEventWithin() time.Duration { return r.firstEventWithin }
 
-// Load is the engine's, with what was granted before and has not come yet.
-func (a Answer) Load() feed.Load { return a.load }
+// MaxGap is the longest pause between events that callers of the engine bear;
+// 0 is any.
+func (r Request) MaxGap() time.Duration { return r.maxGap }
 
 // EncodeMsgpack writes the fields in order, as one array.
-func (a Answer) EncodeMsgpack(enc *msgpack.Encoder) error {
+func (r Request) EncodeMsgpack(enc *msgpack.Encoder) error {
 	if err := enc.EncodeArrayLen(3); err != nil {
 		return err
 	}
-	return enc.EncodeMulti(a.granted, a.begins, a.load)
+	return enc.EncodeMulti(r.promptTokens, r.firstEventWithin, r.maxGap)
 }
 
 // DecodeMsgpack reads what EncodeMsgpack wrote, of this version or another.
-func (a *Answer) DecodeMsgpack(dec *msgpack.Decoder) error {
+func (r *Request) DecodeMsgpack(dec *msgpack.Decoder) error {
 	count, err := dec.DecodeArrayLen()
 	if err != nil {
 		return err
 	}
-	fields := []any{&a.granted, &a.begins, &a.load}
+	fields := []any{&r.promptTokens, &r.firstEventWithin, &r.maxGap}
 	for i := 0; i < count; i++ {
 		if i >= len(fields) {
 			err = dec.Skip()
@@ -52,37 +54,35 @@
 	return nil
 }
 
-// NewAsk returns a Ask with the given fields.
-func NewAsk(prompt int, within time.Duration, pause time.Duration) Ask {
-	return Ask{prompt: prompt, within: within, pause: pause}
+// NewResponse returns a Response with the given fields.
+func NewResponse(granted bool, firstEventIn time.Duration, load feed.Load) Response {
+	return Response{granted: granted, firstEventIn: firstEventIn, load: load}
 }
 
-// Prompt is the number of tokens that the engine has to read first; 0 when it
-// is not known.
-func (a Ask) Prompt() int { return a.prompt }
+// Granted says that the request may be sent.
+func (r Response) Granted() bool { return r.granted }
 
-// Within is how soon the first event has to come.
-func (a Ask) Within() time.Duration { return a.within }
+// FirstEventIn is how long the first event is expected to take.
+func (r Response) FirstEventIn() time.Duration { return r.firstEventIn }
 
-// Pause is the longest pause between events that callers of the engine bear;
-// 0 is any.
-func (a Ask) Pause() time.Duration { return a.pause }
+// Load is the engine's, with what was granted before and has not come yet.
+func (r Response) Load() feed.Load { return r.load }
 
 // EncodeMsgpack writes the fields in order, as one array.
-func (a Ask) EncodeMsgpack(enc *msgpack.Encoder) error {
+func (r Response) EncodeMsgpack(enc *msgpack.Encoder) error {
 	if err := enc.EncodeArrayLen(3); err != nil {
 		return err
 	}
-	return enc.EncodeMulti(a.prompt, a.within, a.pause)
+	return enc.EncodeMulti(r.granted, r.firstEventIn, r.load)
 }
 
 // DecodeMsgpack reads what EncodeMsgpack wrote, of this version or another.
-func (a *Ask) DecodeMsgpack(dec *msgpack.Decoder) error {
+func (r *Response) DecodeMsgpack(dec *msgpack.Decoder) error {
 	count, err := dec.DecodeArrayLen()
 	if err != nil {
 		return err
 	}
-	fields := []any{&a.prompt, &a.within, &a.pause}
+	fields := []any{&r.granted, &r.firstEventIn, &r.load}
 	for i := 0; i < count; i++ {
 		if i >= len(fields) {
 			err = dec.Skip()
--- a/pkg/route/budget.go
+++ b/pkg/route/budget.go
@@ -7,32 +7,32 @@
 
 import "sync"
 
-// budgetReserve is how many retries may be saved up.
-const budgetReserve = 10
+// maxBalance is how many retries may be saved up.
+const maxBalance = 10
 
 // Budget allows a number of retries for every hundred requests; safe for use
 // by several goroutines.
 type Budget struct {
-	mu      sync.Mutex
-	balance float64
-	income  float64
+	mu         sync.Mutex
+	balance    float64
+	perRequest float64
 }
 
 // NewBudget returns a budget of retries for each hundred requests, with a full
 // reserve.
 func NewBudget(perHundred int) *Budget {
-	return &Budget{balance: budgetReserve, income: float64(perHundred) / 100}
+	return &Budget{balance: maxBalance, perRequest: float64(perHundred) / 100}
 }
 
-// Request notes a first attempt.
-func (b *Budget) Request() {
+// RecordRequest notes a first attempt.
+func (b *Budget) RecordRequest() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.balance = min(b.balance+b.income, budgetReserve)
+	b.balance = min(b.balance+b.perRequest, maxBalance)
 }
 
-// Retry takes one retry out, or returns false.
-func (b *Budget) Retry() bool {
+// TryRetry takes one retry out, or returns false.
+func (b *Budget) TryRetry() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.balance < 1 {
--- a/pkg/route/policy.go
+++ b/pkg/route/policy.go
@@ -45,7 +45,7 @@
 	RandomName:        chooseRandom,
 	RoundRobinName:    chooseRoundRobin,
 	LeastLoadedName:   chooseLeastLoaded,
-	TwoChoicesName:    chooseTwo,
+	TwoChoicesName:    chooseTwoChoices,
 	ScoreName:         chooseScore,
 	PrefixBoundedName: choosePrefixBounded,
 }
@@ -58,12 +58,12 @@
 
 // chooseLeastLoaded takes the least loaded, at random among equals.
 func chooseLeastLoaded(c Choice) *Replica {
-	return least(c, func(r *Replica) float64 { return r.Load() })
+	return lowestCost(c, func(r *Replica) float64 { return r.Load() })
 }
 
-// chooseTwo takes the less loaded of two at random, so that entries whose
+// chooseTwoChoices takes the less loaded of two at random, so that entries whose
 // reports are equally old do not all run to the same replica.
-func chooseTwo(c Choice) *Replica {
+func chooseTwoChoices(c Choice) *Replica {
 	a, b := chooseRandom(c), chooseRandom(c)
 	if b.cost(c.Now) < a.cost(c.Now) {
 		return b
@@ -72,12 +72,12 @@
 }
 
 // cost is the load in units of what a warm replica is offered.
-func (r *Replica) cost(now time.Time) float64 { return (r.Load() + 1) / r.warmth(now) }
+func (r *Replica) cost(now time.Time) float64 { return (r.Load() + 1) / r.slowStartShare(now) }
 
 // Constants of the score, as its authors give them.
 const (
-	scorePressure     = 2.0
-	scoreCriticalFree = 0.10
+	scoreCacheWeight  = 2.0
+	scoreMinCacheFree = 0.10
 )
 
 // chooseScore is the score of AIBrix ("Heterogeneous GPU Inference", section
@@ -87,21 +87,21 @@
 	mean := meanRate(c.Candidates)
 	var open []*Replica
 	for _, r := range c.Candidates {
-		if r.CacheFree() >= scoreCriticalFree {
+		if r.CacheFree() >= scoreMinCacheFree {
 			open = append(open, r)
 		}
 	}
 	if len(open) == 0 {
-		return least(c, func(r *Replica) float64 { return -r.CacheFree() })
+		return lowestCost(c, func(r *Replica) float64 { return -r.CacheFree() })
 	}
 	c.Candidates = open
-	return least(c, func(r *Replica) float64 {
+	return lowestCost(c, func(r *Replica) float64 {
 		capacity := r.Rate()
 		if capacity == 0 {
 			capacity = mean
 		}
 		used := 1 - r.CacheFree()
-		return r.Load() / capacity * (1 + scorePressure*used*used)
+		return r.Load() / capacity * (1 + scoreCacheWeight*used*used)
 	})
 }
 
@@ -119,7 +119,7 @@
 	return sum / float64(n)
 }
 
-func least(c Choice, cost func(*Replica) float64) *Replica {
+func lowestCost(c Choice, cost func(*Replica) float64) *Replica {
 	var best *Replica
 	bestCost, ties := 0.0, 0
 	for _, r := range c.Candidates {
@@ -151,7 +151,7 @@
 // bound around the mean: the cache is worth a little queueing and no more.
 func choosePrefixBounded(c Choice) *Replica {
 	if c.Prefix == "" {
-		return chooseTwo(c)
+		return chooseTwoChoices(c)
 	}
 	mean := 0.0
 	for _, r := range c.Candidates {
@@ -162,7 +162,7 @@
 	var best *Replica
 	var bestRank uint64
 	for _, r := range c.Candidates {
-		if r.Load()/r.warmth(c.Now) > bound {
+		if r.Load()/r.slowStartShare(c.Now) > bound {
 			continue
 		}
 		if rank := failuredomain.Rank(c.Prefix, string(r.ID())); best == nil || rank > bestRank {
@@ -170,7 +170,7 @@
 		}
 	}
 	if best == nil {
-		return chooseTwo(c)
+		return chooseTwoChoices(c)
 	}
 	return best
 }
--- a/pkg/route/replica.go
+++ b/pkg/route/replica.go
@@ -43,16 +43,16 @@
 type Replica struct {
 	id vm.ID
 
-	mu         sync.Mutex
-	report     Report
-	own        int
-	ownAtBeat  int
-	tokens     float64
-	rate       float64
-	rateSince  time.Time
-	failures   float64
-	failuresAt time.Time
-	readySince time.Time
+	mu          sync.Mutex
+	report      Report
+	ownInFlight int
+	ownAtReport int
+	tokens      float64
+	rate        float64
+	rateSince   time.Time
+	failures    float64
+	failuresAt  time.Time
+	readySince  time.Time
 }
 
 // NewReplica returns a replica that was made ready at a time.
@@ -63,37 +63,37 @@
 // ID returns the replica's VM.
 func (r *Replica) ID() vm.ID { return r.id }
 
-// Reported takes a report in.
-func (r *Replica) Reported(p Report) {
+// UpdateReport takes a report in.
+func (r *Replica) UpdateReport(p Report) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.report = p
-	r.ownAtBeat = r.own
+	r.ownAtReport = r.ownInFlight
 }
 
-// Sent says that this entry has sent a request there.
-func (r *Replica) Sent() {
+// RequestSent says that this entry has sent a request there.
+func (r *Replica) RequestSent() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.own++
+	r.ownInFlight++
 }
 
-// Ended says that a request of this entry has ended there.
-func (r *Replica) Ended(tokens int, failed bool, now time.Time) {
+// RequestEnded says that a request of this entry has ended there.
+func (r *Replica) RequestEnded(tokens int, failed bool, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.own--
+	r.ownInFlight--
 	r.tokens += float64(tokens)
-	r.learnRate(now)
+	r.updateRate(now)
 	if failed {
 		r.failures = r.decayedFailures(now) + 1
 		r.failuresAt = now
 	}
 }
 
-// learnRate turns the tokens since the last time into a smoothed rate. A time
+// updateRate turns the tokens since the last time into a smoothed rate. A time
 // without tokens says nothing: the replica was idle, not slow.
-func (r *Replica) learnRate(now time.Time) {
+func (r *Replica) updateRate(now time.Time) {
 	elapsed := now.Sub(r.rateSince)
 	if elapsed < time.Second || r.tokens == 0 {
 		return
@@ -123,7 +123,7 @@
 }
 
 func (r *Replica) load() float64 {
-	return math.Max(float64(r.own), float64(r.report.InFlight+r.own-r.ownAtBeat))
+	return math.Max(float64(r.ownInFlight), float64(r.report.InFlight+r.ownInFlight-r.ownAtReport))
 }
 
 // Full tells whether the replica has all that it takes at one time.
@@ -133,11 +133,11 @@
 	return r.report.Limit > 0 && r.load() >= float64(r.report.Limit)
 }
 
-// Own returns the requests of this entry that are in flight there.
-func (r *Replica) Own() int {
+// OwnInFlight returns the requests of this entry that are in flight there.
+func (r *Replica) OwnInFlight() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.own
+	return r.ownInFlight
 }
 
 // Rate returns the measured output rate in tokens a second; 0 if unknown.
@@ -162,9 +162,9 @@
 	return r.decayedFailures(now) >= outlierFailures
 }
 
-// warmth is the share of work that a replica just made ready is offered: it
+// slowStartShare is the share of work that a replica just made ready is offered: it
 // grows from a quarter to 1 within slowStart.
-func (r *Replica) warmth(now time.Time) float64 {
+func (r *Replica) slowStartShare(now time.Time) float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	age := now.Sub(r.readySince)
--- a/pkg/route/router.go
+++ b/pkg/route/router.go
@@ -44,8 +44,8 @@
 	return r
 }
 
-// Forget drops a replica that is gone.
-func (t *Router) Forget(id vm.ID) {
+// Remove drops a replica that is gone.
+func (t *Router) Remove(id vm.ID) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.replicas, id)
@@ -58,7 +58,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.turn++
-	open := withoutFull(withoutOutliers(candidates, now))
+	open := withoutFullReplicas(withoutOutliers(candidates, now))
 	if len(open) == 0 {
 		return nil
 	}
@@ -86,7 +86,7 @@
 	return good
 }
 
-func withoutFull(candidates []*Replica) []*Replica {
+func withoutFullReplicas(candidates []*Replica) []*Replica {
 	var open []*Replica
 	for _, r := range candidates {
 		if !r.Full() {
--- a/pkg/serviceconfig/check.go
+++ b/pkg/serviceconfig/check.go
@@ -16,7 +16,7 @@
 	services := map[string]bool{}
 	for _, s := range d.services {
 		if s.name == "" || services[s.name] {
-			return bad("service name %q is empty or stands twice", s.name)
+			return badDocument("service name %q is empty or stands twice", s.name)
 		}
 		services[s.name] = true
 	}
@@ -27,7 +27,7 @@
 		}
 		place := r.host + "\x00" + r.prefix
 		if places[place] {
-			return bad("two routes have host %q and prefix %q", r.host, r.prefix)
+			return badDocument("two routes have host %q and prefix %q", r.host, r.prefix)
 		}
 		places[place] = true
 	}
@@ -36,20 +36,20 @@
 
 func (r Route) check(services map[string]bool) error {
 	if !strings.HasPrefix(r.prefix, "/") || !strings.HasSuffix(r.prefix, "/") {
-		return bad("route %q: prefix %q does not begin and end with a slash", r.name, r.prefix)
+		return badDocument("route %q: prefix %q does not begin and end with a slash", r.name, r.prefix)
 	}
 	if r.timeout <= 0 {
-		return bad("route %q: its timeout is %s", r.name, r.timeout)
+		return badDocument("route %q: its timeout is %s", r.name, r.timeout)
 	}
 	var sum uint64
 	for _, t := range r.targets {
 		if !services[t.service] {
-			return bad("route %q leads to the unknown service %q", r.name, t.service)
+			return badDocument("route %q leads to the unknown service %q", r.name, t.service)
 		}
 		sum += uint64(t.weight)
 	}
 	if sum == 0 {
-		return bad("route %q: its weights add up to 0", r.name)
+		return badDocument("route %q: its weights add up to 0", r.name)
 	}
 	return nil
 }
@@ -59,7 +59,7 @@
 	for _, o := range organisations {
 		for _, key := range o.keys {
 			if holder, taken := holders[key]; taken && holder != o.name {
-				return bad("organisations %q and %q share a key", holder, o.name)
+				return badDocument("organisations %q and %q share a key", holder, o.name)
 			}
 			holders[key] = o.name
 		}
@@ -67,6 +67,6 @@
 	return nil
 }
 
-func bad(format string, arguments ...any) error {
+func badDocument(format string, arguments ...any) error {
 	return failure.New(failure.BadDocument, format, arguments...)
 }
--- a/pkg/serviceconfig/current.go
+++ b/pkg/serviceconfig/current.go
@@ -28,9 +28,9 @@
 	return 0
 }
 
-// Raise puts a document in force if its number is above the one in force, and
+// Advance puts a document in force if its number is above the one in force, and
 // tells whether it was.
-func (c *Current) Raise(d Document) bool {
+func (c *Current) Advance(d Document) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if index := c.Load(); index != nil && d.number <= index.Number() {
--- a/pkg/serviceconfig/document.go
+++ b/pkg/serviceconfig/document.go
@@ -136,8 +136,8 @@
 	// usualPrompt and usualAnswer are mean tokens of a request.
 	usualPrompt int
 	usualAnswer int
-	// warm is the time to take a whole staged copy.
-	warm time.Duration
+	// loadTime is the time to take a whole staged copy.
+	loadTime time.Duration
 	// stride is how many tokens it writes for each running request between two
 	// looks at what waits; 0 when not known.
 	stride int
@@ -198,19 +198,19 @@
 	return r.kind == Repeatable || (r.kind == Stream && r.resumable)
 }
 
-// Turn is the mean time after which a full engine has a place for the next
+// SlotInterval is the mean time after which a full engine has a place for the next
 // request: what a usual request takes of it.
-func (e Engine) Turn() time.Duration {
-	return time.Duration(e.usualAnswer)*e.step/time.Duration(max(e.slots, 1)) + e.UsualReading()
+func (e Engine) SlotInterval() time.Duration {
+	return time.Duration(e.usualAnswer)*e.step/time.Duration(max(e.slots, 1)) + e.UsualPrefillTime()
 }
 
-// UsualReading is how long an engine reads the prompt of a usual request; 0
+// UsualPrefillTime is how long an engine reads the prompt of a usual request; 0
 // when its rate is not known.
-func (e Engine) UsualReading() time.Duration { return e.Reading(e.usualPrompt) }
+func (e Engine) UsualPrefillTime() time.Duration { return e.PrefillTime(e.usualPrompt) }
 
-// Reading is how long an engine reads some prompt tokens; 0 when its rate is not
+// PrefillTime is how long an engine reads some prompt tokens; 0 when its rate is not
 // known.
-func (e Engine) Reading(tokens int) time.Duration {
+func (e Engine) PrefillTime(tokens int) time.Duration {
 	if e.prefillPerSecond <= 0 {
 		return 0
 	}
--- a/pkg/serviceconfig/index.go
+++ b/pkg/serviceconfig/index.go
@@ -13,21 +13,21 @@
 
 // Index is a document made ready for lookups. It is safe for concurrent use.
 type Index struct {
-	document      Document
-	byHost        map[string][]*Route
-	byKey         map[string]*Organisation
-	byName        map[string]*Service
-	serviceOfName map[string]string // model name to service name
+	document       Document
+	byHost         map[string][]*Route
+	byKey          map[string]*Organisation
+	serviceByName  map[string]*Service
+	serviceByModel map[string]string // model name to service name
 }
 
 // NewIndex returns the index of a checked document.
 func NewIndex(d Document) *Index {
 	x := &Index{
-		document:      d,
-		byHost:        map[string][]*Route{},
-		byKey:         map[string]*Organisation{},
-		byName:        map[string]*Service{},
-		serviceOfName: map[string]string{},
+		document:       d,
+		byHost:         map[string][]*Route{},
+		byKey:          map[string]*Organisation{},
+		serviceByName:  map[string]*Service{},
+		serviceByModel: map[string]string{},
 	}
 	for i := range d.routes {
 		r := &d.routes[i]
@@ -44,9 +44,9 @@
 	}
 	for i := range d.services {
 		s := &d.services[i]
-		x.byName[s.name] = s
+		x.serviceByName[s.name] = s
 		for _, model := range s.engine.models {
-			x.serviceOfName[model] = s.name
+			x.serviceByModel[model] = s.name
 		}
 	}
 	return x
@@ -75,8 +75,8 @@
 	return strings.ToLower(host)
 }
 
-// HoldsKeys tells whether callers have to name a key.
-func (x *Index) HoldsKeys() bool { return len(x.document.organisations) > 0 }
+// RequiresKey tells whether callers have to name a key.
+func (x *Index) RequiresKey() bool { return len(x.document.organisations) > 0 }
 
 // OrganisationOf returns the organisation that holds a key.
 func (x *Index) OrganisationOf(key string) (*Organisation, bool) {
@@ -86,13 +86,13 @@
 
 // Service returns a service by name.
 func (x *Index) Service(name string) (*Service, bool) {
-	s, ok := x.byName[name]
+	s, ok := x.serviceByName[name]
 	return s, ok
 }
 
 // ServiceOfModel returns the service whose engines serve a model.
 func (x *Index) ServiceOfModel(model string) (*Service, bool) {
-	return x.Service(x.serviceOfName[model])
+	return x.Service(x.serviceByModel[model])
 }
 
 // Origin returns the address of the weights origin, or "".
--- a/pkg/serviceconfig/json.go
+++ b/pkg/serviceconfig/json.go
@@ -26,18 +26,18 @@
 }
 
 type routeJSON struct {
-	Name      string       `json:"name"`
-	Host      string       `json:"host"`
-	Prefix    string       `json:"prefix"`
-	Kind      Kind         `json:"kind"`
-	Timeout   int64        `json:"timeout_ms"`
-	Objective int64        `json:"objective_ms"`
-	Gap       int64        `json:"gap_objective_ms"`
-	Priority  int          `json:"priority"`
-	Targets   []targetJSON `json:"targets"`
-	Attempts  int          `json:"attempts"`
-	Anonymous bool         `json:"anonymous"`
-	Resumable bool         `json:"resumable"`
+	Name         string       `json:"name"`
+	Host         string       `json:"host"`
+	Prefix       string       `json:"prefix"`
+	Kind         Kind         `json:"kind"`
+	Timeout      int64        `json:"timeout_ms"`
+	Objective    int64        `json:"objective_ms"`
+	GapObjective int64        `json:"gap_objective_ms"`
+	Priority     int          `json:"priority"`
+	Targets      []targetJSON `json:"targets"`
+	Attempts     int          `json:"attempts"`
+	Anonymous    bool         `json:"anonymous"`
+	Resumable    bool         `json:"resumable"`
 }
 
 type targetJSON struct {
@@ -84,10 +84,10 @@
 	decoder.DisallowUnknownFields()
 	var d documentJSON
 	if err := decoder.Decode(&d); err != nil {
-		return Document{}, bad("%v", err)
+		return Document{}, badDocument("%v", err)
 	}
 	if d.Number == nil {
-		return Document{}, bad("it has no number")
+		return Document{}, badDocument("it has no number")
 	}
 	out := Document{number: *d.Number, limits: Limits{
 		maxHeader: d.Limits.MaxHeader, maxBody: d.Limits.MaxBody,
@@ -116,7 +116,7 @@
 	}
 	return Route{
 		name: r.Name, host: r.Host, prefix: r.Prefix, kind: r.Kind,
-		timeout: milliseconds(r.Timeout), objective: milliseconds(r.Objective), gapObjective: milliseconds(r.Gap),
+		timeout: milliseconds(r.Timeout), objective: milliseconds(r.Objective), gapObjective: milliseconds(r.GapObjective),
 		priority: r.Priority, targets: targets, attempts: max(r.Attempts, 1), anonymous: r.Anonymous, resumable: r.Resumable,
 	}
 }
@@ -127,7 +127,7 @@
 	}
 	return Engine{
 		slots: e.Slots, models: e.Models, layers: e.Layers, chunks: e.Chunks, chunkBytes: e.ChunkBytes,
-		step: time.Duration(e.Step * float64(time.Millisecond)), prefillPerSecond: e.PrefillPerSecond, warm: milliseconds(e.Warm),
+		step: time.Duration(e.Step * float64(time.Millisecond)), prefillPerSecond: e.PrefillPerSecond, loadTime: milliseconds(e.Warm),
 	}
 }
 
--- a/pkg/serviceconfig/wire_generated.go
+++ b/pkg/serviceconfig/wire_generated.go
@@ -57,8 +57,8 @@
 }
 
 // NewEngine returns a Engine with the given fields.
-func NewEngine(slots int, models []string, layers int, chunks int, chunkBytes int, step time.Duration, perSequence time.Duration, prefillPerSecond float64, usualPrompt int, usualAnswer int, warm time.Duration, stride int) Engine {
-	return Engine{slots: slots, models: models, layers: layers, chunks: chunks, chunkBytes: chunkBytes, step: step, perSequence: perSequence, prefillPerSecond: prefillPerSecond, usualPrompt: usualPrompt, usualAnswer: usualAnswer, warm: warm, stride: stride}
+func NewEngine(slots int, models []string, layers int, chunks int, chunkBytes int, step time.Duration, perSequence time.Duration, prefillPerSecond float64, usualPrompt int, usualAnswer int, loadTime time.Duration, stride int) Engine {
+	return Engine{slots: slots, models: models, layers: layers, chunks: chunks, chunkBytes: chunkBytes, step: step, perSequence: perSequence, prefillPerSecond: prefillPerSecond, usualPrompt: usualPrompt, usualAnswer: usualAnswer, loadTime: loadTime, stride: stride}
 }
 
 // Slots is how many requests run at one time.
@@ -91,8 +91,8 @@
 // UsualAnswer returns the field of that name.
 func (e Engine) UsualAnswer() int { return e.usualAnswer }
 
-// Warm is the time to take a whole staged copy.
-func (e Engine) Warm() time.Duration { return e.warm }
+// LoadTime is the time to take a whole staged copy.
+func (e Engine) LoadTime() time.Duration { return e.loadTime }
 
 // Stride is how many tokens it writes for each running request between two
 // looks at what waits; 0 when not known.
@@ -103,7 +103,7 @@
 	if err := enc.EncodeArrayLen(12); err != nil {
 		return err
 	}
-	return enc.EncodeMulti(e.slots, e.models, e.layers, e.chunks, e.chunkBytes, e.step, e.perSequence, e.prefillPerSecond, e.usualPrompt, e.usualAnswer, e.warm, e.stride)
+	return enc.EncodeMulti(e.slots, e.models, e.layers, e.chunks, e.chunkBytes, e.step, e.perSequence, e.prefillPerSecond, e.usualPrompt, e.usualAnswer, e.loadTime, e.stride)
 }
 
 // DecodeMsgpack reads what EncodeMsgpack wrote, of this version or another.
@@ -112,7 +112,7 @@
 	if err != nil {
 		return err
 	}
-	fields := []any{&e.slots, &e.models, &e.layers, &e.chunks, &e.chunkBytes, &e.step, &e.perSequence, &e.prefillPerSecond, &e.usualPrompt, &e.usualAnswer, &e.warm, &e.stride}
+	fields := []any{&e.slots, &e.models, &e.layers, &e.chunks, &e.chunkBytes, &e.step, &e.perSequence, &e.prefillPerSecond, &e.usualPrompt, &e.usualAnswer, &e.loadTime, &e.stride}
 	for i := 0; i < count; i++ {
 		if i >= len(fields) {
 			err = dec.Skip()
--- a/pkg/source/source.go
+++ b/pkg/source/source.go
@@ -29,22 +29,22 @@
 )
 
 const (
-	// maxManifest bounds the JSON of a manifest, in bytes.
-	maxManifest = 4 << 20
-	// defaultPause is for a source that refuses and names no time.
-	defaultPause = time.Second
+	// maxManifestBytes bounds the JSON of a manifest, in bytes.
+	maxManifestBytes = 4 << 20
+	// defaultRetryAfter is for a source that refuses and names no time.
+	defaultRetryAfter = time.Second
 )
 
-// Document is a manifest as the sources publish it.
-type Document struct {
+// PublishedManifest is a manifest as the sources publish it.
+type PublishedManifest struct {
 	Size      int64    `json:"size"`
 	ChunkSize int64    `json:"chunk_size"`
 	Chunks    []string `json:"chunks"`
 }
 
-// DocumentOf returns the published form of a manifest.
-func DocumentOf(m contract.Manifest) Document {
-	d := Document{Size: m.Size(), ChunkSize: m.ChunkSize()}
+// NewPublishedManifest returns the published form of a manifest.
+func NewPublishedManifest(m contract.Manifest) PublishedManifest {
+	d := PublishedManifest{Size: m.Size(), ChunkSize: m.ChunkSize()}
 	for _, c := range m.Chunks() {
 		d.Chunks = append(d.Chunks, c.String())
 	}
@@ -52,7 +52,7 @@
 }
 
 // Manifest returns the manifest of a published form.
-func (d Document) Manifest() (contract.Manifest, error) {
+func (d PublishedManifest) Manifest() (contract.Manifest, error) {
 	digests := make([]contract.Digest, 0, len(d.Chunks))
 	for _, text := range d.Chunks {
 		digest, err := contract.ParseDigest(text)
@@ -67,13 +67,13 @@
 
 // Client reads from one source.
 type Client struct {
-	base string
-	http *http.Client
+	baseURL string
+	http    *http.Client
 }
 
 // NewClient returns a client of the source at a base URL.
 func NewClient(base string) *Client {
-	return &Client{base: base, http: &http.Client{}}
+	return &Client{baseURL: base, http: &http.Client{}}
 }
 
 // Manifest reads the manifest that a version name stands for now.
@@ -83,8 +83,8 @@
 		return contract.Manifest{}, err
 	}
 	defer response.Body.Close()
-	var d Document
-	if err := json.NewDecoder(io.LimitReader(response.Body, maxManifest)).Decode(&d); err != nil {
+	var d PublishedManifest
+	if err := json.NewDecoder(io.LimitReader(response.Body, maxManifestBytes)).Decode(&d); err != nil {
 		return contract.Manifest{}, failure.New(failure.SourceRefused, "manifest of %s %s: %v", model, version, err)
 	}
 	return d.Manifest()
@@ -110,7 +110,7 @@
 }
 
 func (c *Client) get(ctx context.Context, model, version, what, ranges string) (*http.Response, error) {
-	address := fmt.Sprintf("%s/models/%s/versions/%s/%s", c.base, url.PathEscape(model), url.PathEscape(version), what)
+	address := fmt.Sprintf("%s/models/%s/versions/%s/%s", c.baseURL, url.PathEscape(model), url.PathEscape(version), what)
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, address, nil)
 	if err != nil {
 		return nil, failure.New(failure.SourceRefused, "%s: %v", address, err)
@@ -126,16 +126,16 @@
 		return response, nil
 	}
 	defer response.Body.Close()
-	return nil, refused(address, response)
+	return nil, statusFailure(address, response)
 }
 
-func refused(address string, response *http.Response) error {
+func statusFailure(address string, response *http.Response) error {
 	f := failure.New(failure.SourceRefused, "%s answered %s", address, response.Status)
 	switch response.StatusCode {
 	case http.StatusNotFound:
 		return failure.New(failure.UnknownObject, "%s answered %s", address, response.Status)
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		return f.WithRetryAfter(RetryAfter(response.Header, defaultPause))
+		return f.WithRetryAfter(RetryAfter(response.Header, defaultRetryAfter))
 	default:
 		return f
 	}
--- a/pkg/spread/coordinator.go
+++ b/pkg/spread/coordinator.go
@@ -158,7 +158,7 @@
 func (c *Coordinator) update(r contract.SpreadReport, now time.Time) *member {
 	id := r.From().ID()
 	m := c.members[id]
-	if m != nil && !m.identity.SameLife(r.From()) {
+	if m != nil && !m.identity.SameIncarnation(r.From()) {
 		c.drop(id)
 		m = nil
 	}
--- a/pkg/spread/swarm.go
+++ b/pkg/spread/swarm.go
@@ -142,7 +142,7 @@
 	for _, identity := range identities {
 		wanted[identity.ID()] = true
 		old := s.neighbours[identity.ID()]
-		if old != nil && old.identity.SameLife(identity) {
+		if old != nil && old.identity.SameIncarnation(identity) {
 			continue
 		}
 		if old != nil {
--- a/pkg/staging/member.go
+++ b/pkg/staging/member.go
@@ -91,7 +91,7 @@
 	changes := m.versions.Merge(u.Versions(), time.Now())
 	feed.LogVersionChanges(m.process.Logger, changes, string(feed.RoleNode), address)
 	changed := feed.HasNewVersion(changes)
-	if d := u.Document(); d != nil && m.index.Raise(*d) {
+	if d := u.Document(); d != nil && m.index.Advance(*d) {
 		changed = true
 	}
 	if changed {
--- a/pkg/staging/reservations.go
+++ b/pkg/staging/reservations.go
@@ -53,7 +53,7 @@
 // serveReservation answers a reservation of a gateway.
 func (s *Stager) serveReservation(ctx context.Context, stream *link.Stream) error {
 	stream.SetDeadline(time.Now().Add(reservationTimeout))
-	var request reservation.Ask
+	var request reservation.Request
 	if err := stream.Receive(&request); err != nil {
 		return err
 	}
@@ -71,15 +71,15 @@
 }
 
 // decide grants or refuses a reservation.
-func (s *Stager) decide(request reservation.Ask, model string, service *serviceconfig.Service, report Report) reservation.Answer {
+func (s *Stager) decide(request reservation.Request, model string, service *serviceconfig.Service, report Report) reservation.Response {
 	version := completeVersion(report.Holdings, model, max(service.Engine().Layers(), 1))
 	busy := report.Busy || s.draining.Load()
-	work := reservation.Work{Running: report.Running, Queued: report.Queued, Pace: report.Pace}
+	work := reservation.Work{Running: report.Running, Queued: report.Queued, StepTimeRatio: report.Pace}
 	var granted bool
 	var startsIn time.Duration
 	if version > 0 && !busy {
 		granted, startsIn, work = s.reservations.Decide(time.Now(), service.Engine(), work, request)
 	}
-	load := feed.NewLoad(service.Name(), s.settings.Engine(), model, version, work.Running, work.Queued, work.Pace, busy, s.isExchanging())
-	return reservation.NewAnswer(granted, startsIn, load)
+	load := feed.NewLoad(service.Name(), s.settings.Engine(), model, version, work.Running, work.Queued, work.StepTimeRatio, busy, s.isExchanging())
+	return reservation.NewResponse(granted, startsIn, load)
 }
--- a/pkg/staging/stager.go
+++ b/pkg/staging/stager.go
@@ -61,14 +61,14 @@
 	suspension  *suspension.Watch
 	// reportCache and reservations serve the gateways' slot reservations.
 	reportCache  reportCache
-	reservations reservation.Book
+	reservations reservation.Controller
 }
 
 // New returns a stager that is not running yet. path is its settings file, which is read again on a
 // reload; it may be empty.
 func New(c settings.Staging, path string, protocol Protocol, seams daemon.Seams) (*Stager, error) {
 	debug.SetMemoryLimit(int64(float64(c.Memory()) * goMemoryShare))
-	process, err := daemon.New(c.Common(), vm.FreshIncarnation(), seams)
+	process, err := daemon.New(c.Common(), vm.NewIncarnation(), seams)
 	if err != nil {
 		return nil, err
 	}
--- a/pkg/suspension/suspension.go
+++ b/pkg/suspension/suspension.go
@@ -24,30 +24,30 @@
 )
 
 const (
-	// lookEvery is the time between two looks at the clocks: two system calls each.
-	lookEvery = 250 * time.Millisecond
-	// least is what counts as a suspension: the clocks are read one after the other, and a
+	// checkInterval is the time between two looks at the clocks: two system calls each.
+	checkInterval = 250 * time.Millisecond
+	// minSuspension is what counts as a suspension: the clocks are read one after the other, and a
 	// busy VM may hold a process up between.
-	least = 500 * time.Millisecond
+	minSuspension = 500 * time.Millisecond
 )
 
 // Watch counts suspensions. Its zero value is not valid; use New.
 type Watch struct {
-	steady, boot func() time.Duration
-	total        atomic.Int64
+	monotonic, boot func() time.Duration
+	total           atomic.Int64
 
-	mu      sync.Mutex
-	apart   time.Duration // the clocks were, at the last look
-	resumed []func(suspended time.Duration)
+	mu          sync.Mutex
+	offset      time.Duration // the clocks were, at the last look
+	resumeHooks []func(suspended time.Duration)
 }
 
 // New returns a watch on the clocks of the machine.
-func New() *Watch { return NewOn(clock(unix.CLOCK_MONOTONIC), clock(unix.CLOCK_BOOTTIME)) }
+func New() *Watch { return NewWithClocks(clock(unix.CLOCK_MONOTONIC), clock(unix.CLOCK_BOOTTIME)) }
 
-// NewOn returns a watch on a steady clock that stands still while suspended, and one that
+// NewWithClocks returns a watch on a steady clock that stands still while suspended, and one that
 // does not.
-func NewOn(steady, boot func() time.Duration) *Watch {
-	return &Watch{steady: steady, boot: boot, apart: boot() - steady()}
+func NewWithClocks(steady, boot func() time.Duration) *Watch {
+	return &Watch{monotonic: steady, boot: boot, offset: boot() - steady()}
 }
 
 // clock returns how to read a clock of the kernel.
@@ -64,27 +64,27 @@
 
 // OnResume has f called after each suspension, with how long it was. It is to be called
 // before Run.
-func (w *Watch) OnResume(f func(suspended time.Duration)) { w.resumed = append(w.resumed, f) }
+func (w *Watch) OnResume(f func(suspended time.Duration)) { w.resumeHooks = append(w.resumeHooks, f) }
 
 // Total returns how long the VM stood suspended in all, as seen by the last look.
 func (w *Watch) Total() time.Duration { return time.Duration(w.total.Load()) }
 
 // Run looks until the context ends.
-func (w *Watch) Run(ctx context.Context) error { return daemon.Every(ctx, lookEvery, w.Look) }
+func (w *Watch) Run(ctx context.Context) error { return daemon.Every(ctx, checkInterval, w.Check) }
 
-// Look looks at the clocks once.
-func (w *Watch) Look() {
+// Check looks at the clocks once.
+func (w *Watch) Check() {
 	w.mu.Lock()
-	apart := w.boot() - w.steady()
-	suspended := apart - w.apart
-	if suspended < least {
+	apart := w.boot() - w.monotonic()
+	suspended := apart - w.offset
+	if suspended < minSuspension {
 		w.mu.Unlock()
 		return
 	}
-	w.apart = apart
+	w.offset = apart
 	w.total.Add(int64(suspended))
 	w.mu.Unlock()
-	for _, f := range w.resumed {
+	for _, f := range w.resumeHooks {
 		f(suspended)
 	}
 }
--- a/pkg/upstream/acknowledged_test.go
+++ b/pkg/upstream/acknowledged_test.go
@@ -29,7 +29,7 @@
 			}
 			t.Cleanup(proxy.Close)
 			p := NewPool(proxy.Address())
-			_, finish := use(t, p)
+			_, finish := exchange(t, p)
 			finish()
 			kept, err := p.Get(t.Context(), time.Second)
 			if err != nil {
--- a/pkg/upstream/connection.go
+++ b/pkg/upstream/connection.go
@@ -27,13 +27,13 @@
 )
 
 const (
-	readBuffer = 4 << 10
-	// writeAtOnce is the largest request that is written before the answer is
+	readBufferSize = 4 << 10
+	// maxInlineWrite is the largest request that is written before the answer is
 	// looked at. A larger body is written beside the reading: a backend server
 	// may answer before it has read all.
-	writeAtOnce = 16 << 10
-	// maxInterim bounds the 1xx answers before the final one.
-	maxInterim = 8
+	maxInlineWrite = 16 << 10
+	// maxInterimResponses bounds the 1xx answers before the final one.
+	maxInterimResponses = 8
 )
 
 // Request is a request as it is sent.
@@ -48,27 +48,27 @@
 
 // Connection is a connection to a backend server.
 type Connection struct {
-	conn    net.Conn
-	reader  *bufio.Reader
-	pool    *Pool
-	made    time.Time // when it was dialed
-	heard   time.Time // when it came to rest after a whole answer
-	expires time.Time // when the other side may close it while it rests
-	unsent  atomic.Bool
-	closed  sync.Once
-
-	sending             sync.Mutex
-	sent                uint64 // bytes of the requests before the last one
-	last                uint64 // bytes of the last request
+	conn       net.Conn
+	reader     *bufio.Reader
+	pool       *Pool
+	dialedAt   time.Time // when it was dialed
+	idleSince  time.Time // when it came to rest after a whole answer
+	idleUntil  time.Time // when the other side may close it while it rests
+	bodyUnsent atomic.Bool
+	closeOnce  sync.Once
+
+	sendMu              sync.Mutex
+	earlierBytes        uint64 // bytes of the requests before the last one
+	lastBytes           uint64 // bytes of the last request
 	nothingAcknowledged bool   // of the last request, when the connection was aborted
 }
 
-// Made returns when the connection was dialed.
-func (c *Connection) Made() time.Time { return c.made }
+// DialedAt returns when the connection was dialed.
+func (c *Connection) DialedAt() time.Time { return c.dialedAt }
 
 // Close closes the connection.
 func (c *Connection) Close() {
-	c.closed.Do(func() {
+	c.closeOnce.Do(func() {
 		_ = c.conn.Close()
 		c.pool.open.Add(-1)
 	})
@@ -78,7 +78,7 @@
 // a request that was given up on is not begun later.
 func (c *Connection) Abort() {
 	if tcp, ok := c.conn.(*net.TCPConn); ok {
-		c.noteAcknowledged(tcp)
+		c.recordAcknowledged(tcp)
 		_ = tcp.SetLinger(0)
 	}
 	c.Close()
@@ -87,14 +87,14 @@
 // NothingAcknowledged tells whether the other side had acknowledged nothing of the last request when
 // the connection was aborted; false where that is not known.
 func (c *Connection) NothingAcknowledged() bool {
-	c.sending.Lock()
-	defer c.sending.Unlock()
+	c.sendMu.Lock()
+	defer c.sendMu.Unlock()
 	return c.nothingAcknowledged
 }
 
-// noteAcknowledged notes what is acknowledged of the last request. The kernel counts the bytes of a
+// recordAcknowledged notes what is acknowledged of the last request. The kernel counts the bytes of a
 // connection from its first packet on, which counts as one.
-func (c *Connection) noteAcknowledged(tcp *net.TCPConn) {
+func (c *Connection) recordAcknowledged(tcp *net.TCPConn) {
 	raw, err := tcp.SyscallConn()
 	if err != nil {
 		return
@@ -104,22 +104,22 @@
 	if controlled != nil || err != nil {
 		return // it is closed already
 	}
-	c.sending.Lock()
-	defer c.sending.Unlock()
+	c.sendMu.Lock()
+	defer c.sendMu.Unlock()
 	const firstPacket = 1
-	c.nothingAcknowledged = c.last > 0 && info.Bytes_acked == c.sent+firstPacket
+	c.nothingAcknowledged = c.lastBytes > 0 && info.Bytes_acked == c.earlierBytes+firstPacket
 }
 
-// noteSending notes that a request of so many bytes is about to be sent.
-func (c *Connection) noteSending(bytes int) {
-	c.sending.Lock()
-	defer c.sending.Unlock()
-	c.sent, c.last = c.sent+c.last, uint64(bytes)
+// recordRequestSize notes that a request of so many bytes is about to be sent.
+func (c *Connection) recordRequestSize(bytes int) {
+	c.sendMu.Lock()
+	defer c.sendMu.Unlock()
+	c.earlierBytes, c.lastBytes = c.earlierBytes+c.lastBytes, uint64(bytes)
 }
 
-// quiet tells whether nothing has come on a resting connection: neither its
+// nothingReceived tells whether nothing has come on a resting connection: neither its
 // end nor bytes that belong to no request.
-func (c *Connection) quiet() bool {
+func (c *Connection) nothingReceived() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
@@ -148,41 +148,41 @@
 	if err := c.conn.SetDeadline(deadline); err != nil {
 		return nil, err
 	}
-	buffer := heads.Get().(*[]byte)
+	buffer := headBuffers.Get().(*[]byte)
 	head := appendHead((*buffer)[:0], q)
-	c.noteSending(len(head) + len(q.Body))
+	c.recordRequestSize(len(head) + len(q.Body))
 	err := c.write(head, q.Body)
 	*buffer = head
-	heads.Put(buffer)
+	headBuffers.Put(buffer)
 	if err != nil {
 		return nil, err
 	}
 	return c.readHead(q.Method)
 }
 
-// heads holds the buffers that requests are put together in.
-var heads = sync.Pool{New: func() any { b := make([]byte, 0, readBuffer); return &b }}
+// headBuffers holds the buffers that requests are put together in.
+var headBuffers = sync.Pool{New: func() any { b := make([]byte, 0, readBufferSize); return &b }}
 
 func (c *Connection) write(head, body []byte) error {
-	if len(head)+len(body) <= writeAtOnce {
+	if len(head)+len(body) <= maxInlineWrite {
 		_, err := c.conn.Write(append(head, body...))
 		return err
 	}
-	c.unsent.Store(true)
+	c.bodyUnsent.Store(true)
 	if _, err := c.conn.Write(head); err != nil {
 		return err
 	}
 	go func() {
 		// A write that fails shows in the reading, or does not matter.
 		if _, err := c.conn.Write(body); err == nil {
-			c.unsent.Store(false)
+			c.bodyUnsent.Store(false)
 		}
 	}()
 	return nil
 }
 
 func (c *Connection) readHead(method string) (*http.Response, error) {
-	for range maxInterim {
+	for range maxInterimResponses {
 		answer, err := http.ReadResponse(c.reader, &http.Request{Method: method})
 		if err != nil {
 			return nil, err
@@ -191,7 +191,7 @@
 			return answer, nil
 		}
 	}
-	return nil, errors.Errorf("more than %d interim answers", maxInterim)
+	return nil, errors.Errorf("more than %d interim answers", maxInterimResponses)
 }
 
 // SetDeadline bounds every later read and write.
@@ -200,21 +200,21 @@
 // Finish ends an exchange whose body was read to its end. The connection is
 // kept when it can serve another request.
 func (c *Connection) Finish(answer *http.Response) {
-	if answer.Close || c.unsent.Load() || c.reader.Buffered() > 0 {
+	if answer.Close || c.bodyUnsent.Load() || c.reader.Buffered() > 0 {
 		c.Close()
 		return
 	}
-	c.pool.put(c, restTime(answer.Header))
+	c.pool.putIdle(c, idleTimeout(answer.Header))
 }
 
-// restTime returns how long a connection may rest, a second less than the
+// idleTimeout returns how long a connection may rest, a second less than the
 // other side says.
-func restTime(h http.Header) time.Duration {
-	rest := defaultRest
+func idleTimeout(h http.Header) time.Duration {
+	rest := defaultIdleTimeout
 	if seconds, ok := keepAliveSeconds(h.Get("Keep-Alive")); ok {
-		rest = time.Duration(seconds)*time.Second - restMargin
+		rest = time.Duration(seconds)*time.Second - idleTimeoutMargin
 	}
-	return min(rest, longestRest)
+	return min(rest, maxIdleTimeout)
 }
 
 func keepAliveSeconds(field string) (int, bool) {
--- a/pkg/upstream/head.go
+++ b/pkg/upstream/head.go
@@ -11,16 +11,16 @@
 	"strings"
 )
 
-// connectionFields concern one connection and are never passed on.
-var connectionFields = map[string]bool{
+// unforwardedFields concern one connection and are never passed on.
+var unforwardedFields = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Te": true, "Trailer": true,
 	"Transfer-Encoding": true, "Upgrade": true, "Proxy-Authenticate": true, "Proxy-Authorization": true,
 	"Content-Length": true, "Host": true, "Expect": true,
 }
 
-// PassedOn returns a copy of a header without the fields that concern one
+// ForwardedHeader returns a copy of a header without the fields that concern one
 // connection only, those that its Connection field names included.
-func PassedOn(h http.Header) http.Header {
+func ForwardedHeader(h http.Header) http.Header {
 	named := map[string]bool{}
 	for _, value := range h["Connection"] {
 		for _, name := range strings.Split(value, ",") {
@@ -29,7 +29,7 @@
 	}
 	rest := make(http.Header, len(h)+4)
 	for name, values := range h {
-		if !connectionFields[name] && !named[name] {
+		if !unforwardedFields[name] && !named[name] {
 			rest[name] = values
 		}
 	}
@@ -51,7 +51,7 @@
 			b = append(b, "\r\n"...)
 		}
 	}
-	if len(q.Body) > 0 || bodyExpected(q.Method) {
+	if len(q.Body) > 0 || expectsBody(q.Method) {
 		b = append(b, "Content-Length: "...)
 		b = strconv.AppendInt(b, int64(len(q.Body)), 10)
 		b = append(b, "\r\n"...)
@@ -59,6 +59,6 @@
 	return append(b, "\r\n"...)
 }
 
-func bodyExpected(method string) bool {
+func expectsBody(method string) bool {
 	return method == http.MethodPost || method == http.MethodPut || method == http.MethodPatch
 }
--- a/pkg/upstream/pool.go
+++ b/pkg/upstream/pool.go
@@ -19,18 +19,18 @@
 )
 
 const (
-	// defaultRest is how long a connection rests when the other side does not
+	// defaultIdleTimeout is how long a connection rests when the other side does not
 	// say, and longestRest when it says more.
-	defaultRest = 4 * time.Second
-	longestRest = 20 * time.Second
-	// restMargin is kept to what the other side says: a request must not cross
+	defaultIdleTimeout = 4 * time.Second
+	maxIdleTimeout     = 20 * time.Second
+	// idleTimeoutMargin is kept to what the other side says: a request must not cross
 	// its close.
-	restMargin = time.Second
+	idleTimeoutMargin = time.Second
 	// unackedTimeout is how long sent bytes may wait for their acknowledgement.
-	unackedTimeout = time.Second
-	probeIdle      = 1
-	probeInterval  = 1
-	probeCount     = 2
+	unackedTimeout           = time.Second
+	keepAliveIdleSeconds     = 1
+	keepAliveIntervalSeconds = 1
+	keepAliveProbes          = 2
 )
 
 // Dial makes a connection to an address, IP:PORT.
@@ -42,27 +42,27 @@
 	dial    Dial
 	open    atomic.Int64
 
-	mu      sync.Mutex
-	resting []*Connection
-	closed  bool
+	mu     sync.Mutex
+	idle   []*Connection
+	closed bool
 }
 
 // NewPool returns an empty pool of an address, IP:PORT, over TCP.
 func NewPool(address string) *Pool {
-	return NewPoolOver(address, (&net.Dialer{Control: control, KeepAlive: -1}).DialContext)
+	return NewPoolWithDial(address, (&net.Dialer{Control: setSocketOptions, KeepAlive: -1}).DialContext)
 }
 
-// NewPoolOver returns an empty pool of an address whose connections dial makes.
-func NewPoolOver(address string, dial Dial) *Pool { return &Pool{address: address, dial: dial} }
+// NewPoolWithDial returns an empty pool of an address whose connections dial makes.
+func NewPoolWithDial(address string, dial Dial) *Pool { return &Pool{address: address, dial: dial} }
 
-// control bounds the silence of a connection from its first packet on.
-func control(_, _ string, raw syscall.RawConn) error {
+// setSocketOptions bounds the silence of a connection from its first packet on.
+func setSocketOptions(_, _ string, raw syscall.RawConn) error {
 	return raw.Control(func(fd uintptr) {
 		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout.Milliseconds()))
 		_ = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_KEEPALIVE, 1)
-		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_KEEPIDLE, probeIdle)
-		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_KEEPINTVL, probeInterval)
-		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_KEEPCNT, probeCount)
+		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_KEEPIDLE, keepAliveIdleSeconds)
+		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_KEEPINTVL, keepAliveIntervalSeconds)
+		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_KEEPCNT, keepAliveProbes)
 	})
 }
 
@@ -73,11 +73,11 @@
 // means that nothing was sent.
 func (p *Pool) Get(ctx context.Context, dialTimeout time.Duration) (*Connection, error) {
 	for {
-		c := p.take()
+		c := p.takeIdle()
 		if c == nil {
 			break
 		}
-		if time.Now().Before(c.expires) && c.quiet() {
+		if time.Now().Before(c.idleUntil) && c.nothingReceived() {
 			return c, nil
 		}
 		c.Close()
@@ -89,13 +89,13 @@
 		return nil, err
 	}
 	p.open.Add(1)
-	return &Connection{conn: conn, reader: bufio.NewReaderSize(conn, readBuffer), pool: p, made: time.Now()}, nil
+	return &Connection{conn: conn, reader: bufio.NewReaderSize(conn, readBufferSize), pool: p, dialedAt: time.Now()}, nil
 }
 
-// Reaches tells whether anything answers a dial within dialTimeout; a refusal
+// AnswersDial tells whether anything answers a dial within dialTimeout; a refusal
 // does too: a backend server that is full resets new connections. A connection
 // is closed again: nothing is sent.
-func (p *Pool) Reaches(ctx context.Context, dialTimeout time.Duration) bool {
+func (p *Pool) AnswersDial(ctx context.Context, dialTimeout time.Duration) bool {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	conn, err := p.dial(ctx, "tcp", p.address)
@@ -107,9 +107,9 @@
 	return true
 }
 
-// Refuses tells whether a dial is refused within dialTimeout: nobody listens there. One
+// RefusesDial tells whether a dial is refused within dialTimeout: nobody listens there. One
 // that is not answered tells nothing.
-func (p *Pool) Refuses(ctx context.Context, dialTimeout time.Duration) bool {
+func (p *Pool) RefusesDial(ctx context.Context, dialTimeout time.Duration) bool {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	conn, err := p.dial(ctx, "tcp", p.address)
@@ -120,30 +120,30 @@
 	return false
 }
 
-func (p *Pool) take() *Connection {
+func (p *Pool) takeIdle() *Connection {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	n := len(p.resting)
+	n := len(p.idle)
 	if n == 0 {
 		return nil
 	}
-	c := p.resting[n-1]
-	p.resting = p.resting[:n-1]
+	c := p.idle[n-1]
+	p.idle = p.idle[:n-1]
 	return c
 }
 
-func (p *Pool) put(c *Connection, rest time.Duration) {
+func (p *Pool) putIdle(c *Connection, rest time.Duration) {
 	if rest <= 0 {
 		c.Close()
 		return
 	}
 	_ = c.conn.SetDeadline(time.Time{})
-	c.heard = time.Now()
-	c.expires = c.heard.Add(rest)
+	c.idleSince = time.Now()
+	c.idleUntil = c.idleSince.Add(rest)
 	p.mu.Lock()
 	kept := !p.closed
 	if kept {
-		p.resting = append(p.resting, c)
+		p.idle = append(p.idle, c)
 	}
 	p.mu.Unlock()
 	if !kept {
@@ -151,32 +151,32 @@
 	}
 }
 
-// CloseOld closes connections that rested too long.
-func (p *Pool) CloseOld() {
+// CloseExpired closes connections that rested too long.
+func (p *Pool) CloseExpired() {
 	now := time.Now()
-	p.closeResting(func(c *Connection) bool { return !now.Before(c.expires) })
+	p.closeIdle(func(c *Connection) bool { return !now.Before(c.idleUntil) })
 }
 
-// Distrust closes the resting connections that nothing has come on since before, and
+// CloseUnusedSince closes the resting connections that nothing has come on since before, and
 // returns how many. A connection may go silent for good without an end, which shows on
 // none that rests: where one is found so, the others of its time are as good as found.
 // One that was answered on later works, and is kept.
-func (p *Pool) Distrust(before time.Time) (closed int) {
-	return p.closeResting(func(c *Connection) bool { return c.heard.Before(before) })
+func (p *Pool) CloseUnusedSince(before time.Time) (closed int) {
+	return p.closeIdle(func(c *Connection) bool { return c.idleSince.Before(before) })
 }
 
-// closeResting closes the resting connections that some condition holds for.
-func (p *Pool) closeResting(holds func(*Connection) bool) int {
+// closeIdle closes the resting connections that some condition holds for.
+func (p *Pool) closeIdle(holds func(*Connection) bool) int {
 	p.mu.Lock()
 	var closed, kept []*Connection
-	for _, c := range p.resting {
+	for _, c := range p.idle {
 		if holds(c) {
 			closed = append(closed, c)
 		} else {
 			kept = append(kept, c)
 		}
 	}
-	p.resting = kept
+	p.idle = kept
 	p.mu.Unlock()
 	for _, c := range closed {
 		c.Close()
@@ -187,8 +187,8 @@
 // Close closes the resting connections; those in use close when they are done.
 func (p *Pool) Close() {
 	p.mu.Lock()
-	resting := p.resting
-	p.resting, p.closed = nil, true
+	resting := p.idle
+	p.idle, p.closed = nil, true
 	p.mu.Unlock()
 	for _, c := range resting {
 		c.Close()
--- a/pkg/upstream/pool_test.go
+++ b/pkg/upstream/pool_test.go
@@ -38,8 +38,8 @@
 	return l.Addr().String()
 }
 
-// use gets a connection and has a request answered over it.
-func use(t *testing.T, p *Pool) (c *Connection, finish func()) {
+// exchange gets a connection and has a request answered over it.
+func exchange(t *testing.T, p *Pool) (c *Connection, finish func()) {
 	t.Helper()
 	c, err := p.Get(t.Context(), time.Second)
 	if err != nil {
@@ -54,23 +54,23 @@
 
 // Connections that nothing has come on since a moment are closed and not handed out
 // again; one that was answered on later is kept, also where it was made before.
-func TestDistrustedConnectionsAreNotHandedOut(t *testing.T) {
+func TestCloseUnusedSinceKeepsUsedConnections(t *testing.T) {
 	p := NewPool(serveOK(t))
-	old, finishOld := use(t, p)
-	kept, finishKept := use(t, p)
+	old, finishOld := exchange(t, p)
+	kept, finishKept := exchange(t, p)
 	finishOld()
 	moment := time.Now()
 	finishKept()
-	if closed := p.Distrust(moment); closed != 1 || p.Open() != 1 {
+	if closed := p.CloseUnusedSince(moment); closed != 1 || p.Open() != 1 {
 		t.Fatalf("%d closed, %d are open", closed, p.Open())
 	}
-	first, finish := use(t, p)
-	second, _ := use(t, p)
-	if first != kept || second == old || !second.Made().After(moment) {
+	first, finish := exchange(t, p)
+	second, _ := exchange(t, p)
+	if first != kept || second == old || !second.DialedAt().After(moment) {
 		t.Fatal("handed out was another one than the one that is kept, and then a new one")
 	}
 	finish()
-	if closed := p.Distrust(moment); closed != 0 {
+	if closed := p.CloseUnusedSince(moment); closed != 0 {
 		t.Fatalf("%d closed that were answered on later", closed)
 	}
 }
--- a/pkg/vm/selector.go
+++ b/pkg/vm/selector.go
@@ -17,9 +17,9 @@
 
 // term is one condition; holds is picked once, when the selector is parsed.
 type term struct {
-	key   string
-	value string
-	holds func(labels Labels, key, value string) bool
+	key     string
+	value   string
+	matches func(labels Labels, key, value string) bool
 }
 
 // Selector is a parsed selector. The zero Selector matches nothing.
@@ -66,7 +66,7 @@
 // Matches tells whether every term holds for the labels.
 func (s Selector) Matches(labels Labels) bool {
 	for _, t := range s.terms {
-		if !t.holds(labels, t.key, t.value) {
+		if !t.matches(labels, t.key, t.value) {
 			return false
 		}
 	}
--- a/pkg/vm/vm.go
+++ b/pkg/vm/vm.go
@@ -57,13 +57,13 @@
 // String returns id and incarnation.
 func (i Identity) String() string { return fmt.Sprintf("%s/%x", i.id, i.incarnation) }
 
-// SameLife tells whether two identities are the same life of the same VM.
-func (i Identity) SameLife(o Identity) bool {
+// SameIncarnation tells whether two identities are the same life of the same VM.
+func (i Identity) SameIncarnation(o Identity) bool {
 	return i.id == o.id && i.incarnation == o.incarnation
 }
 
-// FreshIncarnation returns a random incarnation.
-func FreshIncarnation() uint64 {
+// NewIncarnation returns a random incarnation.
+func NewIncarnation() uint64 {
 	var b [8]byte
 	_, _ = rand.Read(b[:])
 	return binary.LittleEndian.Uint64(b[:])>>1 | 1
