--- a/bench/burst_test.go
+++ b/bench/burst_test.go
@@ -168,7 +168,7 @@
 
 func (b *burst) newCoordinator(d int) *spread.Coordinator {
 	return spread.NewCoordinator(spread.CoordinatorConfig{
-		Domain: domainName(d), Digest: digest, Total: chunks, Draws: b.draws,
+		Domain: domainName(d), Digest: digest, Total: chunks, OriginFetches: b.draws,
 		Random: rand.New(rand.NewPCG(b.seed, uint64(1000+d))),
 	}, time.Now())
 }
@@ -226,7 +226,7 @@
 			v.mu.Unlock()
 			return
 		}
-		for _, f := range v.swarm.Stalled(time.Now()) {
+		for _, f := range v.swarm.DropStalled(time.Now()) {
 			_ = f
 		}
 		v.mu.Unlock()
@@ -251,7 +251,7 @@
 func (v *burstVM) ask() {
 	for {
 		v.mu.Lock()
-		r := contract.NewSpreadReport(v.identity, digest, v.swarm.Held().Bytes(), v.drawn, !v.swarm.Done(), spread.HashOf(v.swarm.Neighbours()))
+		r := contract.NewSpreadReport(v.identity, digest, v.swarm.Held().Bytes(), v.drawn, !v.swarm.Done(), spread.NeighbourHash(v.swarm.Neighbours()))
 		v.drawn = nil
 		v.again = false
 		v.mu.Unlock()
@@ -299,7 +299,7 @@
 			fresh = append(fresh, i.ID())
 		}
 	}
-	for _, chunk := range plan.Draw() {
+	for _, chunk := range plan.OriginChunks() {
 		v.swarm.Lease(int(chunk), vm.Identity{})
 	}
 	for _, i := range plan.Imports() {
@@ -323,9 +323,9 @@
 	other.watches[v.identity.ID()] = true
 	held := other.swarm.Held()
 	other.mu.Unlock()
-	v.burst.count(contract.NewHave(digest, held.Bytes(), nil))
+	v.burst.count(contract.NewHeldChunks(digest, held.Bytes(), nil))
 	v.mu.Lock()
-	v.swarm.PeerHolds(id, held)
+	v.swarm.PeerHasChunks(id, held)
 	v.mu.Unlock()
 }
 
@@ -392,7 +392,7 @@
 			return false
 		}
 		if other != nil && other.stalled {
-			time.Sleep(spread.DefaultStall)
+			time.Sleep(spread.DefaultStallTimeout)
 			return false
 		}
 		// The second link is entered only when the first has passed the block:
@@ -415,7 +415,7 @@
 		v.mu.Unlock()
 		return
 	}
-	v.swarm.Lost(f.Chunk, f.Peer.ID(), kind, time.Now())
+	v.swarm.FetchFailed(f.Chunk, f.Peer.ID(), kind, time.Now())
 	if f.Peer.ID() == spread.Origin || f.Peer.Domain() != v.identity.Domain() {
 		v.drawn = append(v.drawn, uint32(f.Chunk))
 	}
@@ -430,7 +430,7 @@
 		return
 	}
 	fresh := !v.swarm.Held().Has(f.Chunk)
-	v.swarm.Got(f.Chunk, f.Peer.ID(), time.Now())
+	v.swarm.FetchSucceeded(f.Chunk, f.Peer.ID(), time.Now())
 	leased := other == nil || other.domain != v.domain
 	if leased {
 		v.drawn = append(v.drawn, uint32(f.Chunk))
@@ -473,11 +473,11 @@
 		other.mu.Lock()
 		idle := !other.dead && !other.swarm.Done()
 		if idle {
-			other.swarm.PeerHas(v.identity.ID(), chunk)
+			other.swarm.PeerHasChunk(v.identity.ID(), chunk)
 		}
 		other.mu.Unlock()
 		if idle {
-			v.burst.count(contract.NewHave(digest, nil, []uint32{uint32(chunk)}))
+			v.burst.count(contract.NewHeldChunks(digest, nil, []uint32{uint32(chunk)}))
 			other.advance()
 		}
 	}
@@ -497,7 +497,7 @@
 				}
 				other.mu.Lock()
 				if !cut && !other.cut {
-					other.coordinator.Heard(s, time.Now())
+					other.coordinator.UpdateRemote(s, time.Now())
 				}
 				other.mu.Unlock()
 			}
@@ -632,7 +632,7 @@
 func TestBurst(t *testing.T) {
 	for _, s := range sizes {
 		for _, together := range []bool{false, true} {
-			b := newBurst(s.n, s.domains, together, "", spread.DefaultDraws, 1)
+			b := newBurst(s.n, s.domains, together, "", spread.DefaultOriginFetches, 1)
 			play(t, b)
 			b.print("draw_once")
 			bound := fluidBound(s.n, together)
@@ -645,7 +645,7 @@
 func TestBurstFaults(t *testing.T) {
 	for _, fault := range []string{"withdraw_10%", "corrupt_1%", "coordinator_killed", "domain_cut", "stalled_5%"} {
 		for _, s := range faultSizes {
-			b := newBurst(s.n, s.domains, false, fault, spread.DefaultDraws, 1)
+			b := newBurst(s.n, s.domains, false, fault, spread.DefaultOriginFetches, 1)
 			play(t, b)
 			b.print("default")
 		}
@@ -670,7 +670,7 @@
 // TestBurstUploads looks for the number of uploads that a VM takes at once.
 func TestBurstUploads(t *testing.T) {
 	for _, uploads := range []int{4, 8, 12, 24} {
-		b := newBurst(100, 3, false, "", spread.DefaultDraws, 1)
+		b := newBurst(100, 3, false, "", spread.DefaultOriginFetches, 1)
 		b.uploads = uploads
 		play(t, b)
 		b.print(fmt.Sprintf("uploads_%d", uploads))
--- a/bench/capacity_test.go
+++ b/bench/capacity_test.go
@@ -176,7 +176,7 @@
 			for _, id := range ids {
 				for i := range total {
 					if rand.IntN(2) == 0 {
-						s.PeerHas(id.ID(), i)
+						s.PeerHasChunk(id.ID(), i)
 					}
 				}
 			}
@@ -187,7 +187,7 @@
 		now := time.Now()
 		next = append(next, point{float64(total), microseconds(perCall(func() {
 			for _, f := range s.Next(now) {
-				s.Lost(f.Chunk, f.Peer.ID(), "", now)
+				s.FetchFailed(f.Chunk, f.Peer.ID(), "", now)
 				now = now.Add(time.Minute)
 			}
 		}))})
--- a/pkg/agent/agent.go
+++ b/pkg/agent/agent.go
@@ -77,7 +77,7 @@
 	// Draw reads a chunk from a source.
 	Draw func(ctx context.Context, url string, a configstate.Assignment, chunk int) ([]byte, error)
 	// SendAnswer sends one part of an answer to an entry.
-	SendAnswer func(send func(contract.Answer) error, part contract.Answer) error
+	SendAnswer func(send func(contract.ResponsePart) error, part contract.ResponsePart) error
 	// Faults leave safeguards out.
 	Faults Faults
 }
@@ -98,7 +98,7 @@
 // New returns an agent that is not running yet.
 func New(s settings.Agent, seams Seams) (*Agent, error) {
 	if seams.SendAnswer == nil {
-		seams.SendAnswer = func(send func(contract.Answer) error, part contract.Answer) error { return send(part) }
+		seams.SendAnswer = func(send func(contract.ResponsePart) error, part contract.ResponsePart) error { return send(part) }
 	}
 	if seams.Draw == nil {
 		seams.Draw = drawOverHTTP
--- a/pkg/agent/chunks.go
+++ b/pkg/agent/chunks.go
@@ -101,7 +101,7 @@
 		return failure.New(failure.NotReady, "no copy of %s here", digest.Short())
 	}
 	told := c.Held()
-	if err := s.Send(contract.NewHave(digest, told.Bytes(), nil)); err != nil {
+	if err := s.Send(contract.NewHeldChunks(digest, told.Bytes(), nil)); err != nil {
 		return err
 	}
 	ticker := time.NewTicker(haveEvery)
@@ -116,7 +116,7 @@
 		if len(added) == 0 {
 			continue
 		}
-		if err := s.Send(contract.NewHave(digest, nil, added)); err != nil {
+		if err := s.Send(contract.NewHeldChunks(digest, nil, added)); err != nil {
 			return nil
 		}
 	}
--- a/pkg/agent/copier.go
+++ b/pkg/agent/copier.go
@@ -155,7 +155,7 @@
 }
 
 func (c *copier) onTimer(ctx context.Context) {
-	for _, f := range c.swarm.Stalled(time.Now()) {
+	for _, f := range c.swarm.DropStalled(time.Now()) {
 		c.cancel(f)
 	}
 	c.report(ctx)
@@ -183,7 +183,7 @@
 	c.reporting = true
 	c.reports++
 	report := contract.NewSpreadReport(c.agent.process.Identity, c.assignment.Digest,
-		c.swarm.Held().Bytes(), c.drawn, !c.swarm.Done(), spread.HashOf(c.swarm.Neighbours()))
+		c.swarm.Held().Bytes(), c.drawn, !c.swarm.Done(), spread.NeighbourHash(c.swarm.Neighbours()))
 	c.drawn = nil
 	go func() {
 		plan, ok := c.agent.askCoordinator(ctx, report)
@@ -226,7 +226,7 @@
 		c.swarm.SetNeighbours(plan.Peers())
 	}
 	c.listen(ctx, c.swarm.Neighbours())
-	for _, chunk := range plan.Draw() {
+	for _, chunk := range plan.OriginChunks() {
 		c.swarm.Lease(int(chunk), vm.Identity{})
 	}
 	for _, i := range plan.Imports() {
--- a/pkg/agent/copier_fetches.go
+++ b/pkg/agent/copier_fetches.go
@@ -57,7 +57,7 @@
 }
 
 func (c *copier) got(ctx context.Context, f spread.Fetch, now time.Time, size int64) {
-	for _, other := range c.swarm.Got(f.Chunk, f.Peer.ID(), now) {
+	for _, other := range c.swarm.FetchSucceeded(f.Chunk, f.Peer.ID(), now) {
 		c.cancel(other)
 	}
 	c.agent.traffic.add(f.Peer.ID() == spread.Origin, size)
@@ -76,7 +76,7 @@
 
 func (c *copier) lost(f spread.Fetch, err error, now time.Time) {
 	kind := failure.Of(err).Kind()
-	c.swarm.Lost(f.Chunk, f.Peer.ID(), kind, now)
+	c.swarm.FetchFailed(f.Chunk, f.Peer.ID(), kind, now)
 	if c.leased(f) {
 		c.drawn = append(c.drawn, uint32(f.Chunk))
 	}
--- a/pkg/agent/copier_neighbours.go
+++ b/pkg/agent/copier_neighbours.go
@@ -53,16 +53,16 @@
 		return
 	}
 	for {
-		var h contract.Have
+		var h contract.HeldChunks
 		if err := s.Receive(&h); err != nil {
 			return
 		}
 		c.post(ctx, func(time.Time) {
 			if len(h.Held()) > 0 {
-				c.swarm.PeerHolds(n.ID(), spread.BitmapOf(h.Held(), c.swarm.Total()))
+				c.swarm.PeerHasChunks(n.ID(), spread.BitmapOf(h.Held(), c.swarm.Total()))
 			}
 			for _, chunk := range h.Added() {
-				c.swarm.PeerHas(n.ID(), int(chunk))
+				c.swarm.PeerHasChunk(n.ID(), int(chunk))
 			}
 		})
 	}
--- a/pkg/agent/requests.go
+++ b/pkg/agent/requests.go
@@ -42,7 +42,7 @@
 	if r.Repeatable() {
 		// A caller that went away frees the engine. What may not be repeated
 		// runs to its end, so that its outcome is known.
-		s.OnGone(cancel)
+		s.OnPeerClosed(cancel)
 	}
 	err = a.execute(ctx, s, backend, r)
 	result := "answered"
@@ -119,9 +119,9 @@
 func (a *Agent) forward(s *link.Stream, r contract.Request, response *http.Response) error {
 	sequence := uint64(0)
 	send := func(status int, contentType string, body []byte, end bool) error {
-		part := contract.NewAnswer(r.Attempt(), sequence, status, contentType, body, end, nil, r.Digest())
+		part := contract.NewResponsePart(r.Attempt(), sequence, status, contentType, body, end, nil, r.Digest())
 		sequence++
-		return a.seams.SendAnswer(func(p contract.Answer) error { return s.Send(p) }, part)
+		return a.seams.SendAnswer(func(p contract.ResponsePart) error { return s.Send(p) }, part)
 	}
 	if err := send(response.StatusCode, response.Header.Get("Content-Type"), nil, false); err != nil {
 		return err
--- a/pkg/configstate/distribute.go
+++ b/pkg/configstate/distribute.go
@@ -65,7 +65,7 @@
 
 // Serve answers one follower until its stream breaks.
 func (d *Distributor) Serve(ctx context.Context, s *link.Stream) error {
-	var f contract.Follow
+	var f contract.DeltaRequest
 	if err := s.Receive(&f); err != nil {
 		return err
 	}
@@ -140,7 +140,7 @@
 		return false
 	}
 	defer s.Close()
-	if err := s.Send(contract.NewFollow(f.State.Revision())); err != nil {
+	if err := s.Send(contract.NewDeltaRequest(f.State.Revision())); err != nil {
 		return false
 	}
 	heard, behind := false, 0
--- a/pkg/contract/agent.go
+++ b/pkg/contract/agent.go
@@ -91,10 +91,10 @@
 	peerBytes int64
 }
 
-// EntryBeat is what an entry tells the other entries.
+// EntryHeartbeat is what an entry tells the other entries.
 //
 //wire:generate
-type EntryBeat struct {
+type EntryHeartbeat struct {
 	// from is the entry.
 	from vm.Identity
 	// revision is the configuration revision in force there.
@@ -148,11 +148,11 @@
 // DeadlineTime returns the deadline as a time.
 func (r Request) DeadlineTime() time.Time { return time.Unix(0, r.deadline) }
 
-// Answer is one part of an answer. The first part has the status, the last
+// ResponsePart is one part of an answer. The first part has the status, the last
 // part has end set, and parts are numbered so that none is lost or doubled.
 //
 //wire:generate
-type Answer struct {
+type ResponsePart struct {
 	// attempt is the request's, checked at the entry on every part.
 	attempt string
 	// sequence numbers the parts from 0.
@@ -202,10 +202,10 @@
 	digest Digest
 	// held has a bit for each verified chunk, lowest first.
 	held []byte
-	// drawn are the chunks of draw leases that are finished or given back.
-	drawn []uint32
-	// wants says that the agent still lacks chunks.
-	wants bool
+	// released are the chunks of draw leases that are finished or given back.
+	released []uint32
+	// incomplete says that the agent still lacks chunks.
+	incomplete bool
 	// neighbours is the hash of the neighbours that the agent has.
 	neighbours uint64
 }
@@ -219,8 +219,8 @@
 	peers []vm.Identity
 	// unchanged says that the agent keeps the neighbours that it has.
 	unchanged bool
-	// draw are the chunks that the agent is to draw from the origin.
-	draw []uint32
+	// originChunks are the chunks that the agent is to draw from the origin.
+	originChunks []uint32
 	// imports are the chunks that the agent is to fetch from another domain.
 	imports []Import
 }
@@ -244,8 +244,8 @@
 	digest Digest
 	// domain is the failure domain.
 	domain string
-	// wants says that an agent of the domain still lacks chunks.
-	wants bool
+	// incomplete says that an agent of the domain still lacks chunks.
+	incomplete bool
 	// agents are those named by holders.
 	agents []vm.Identity
 	// holders has, for each chunk, the place of one holder in agents plus
@@ -253,10 +253,10 @@
 	holders []uint16
 }
 
-// Have tells a neighbour which chunks an agent holds.
+// HeldChunks tells a neighbour which chunks an agent holds.
 //
 //wire:generate
-type Have struct {
+type HeldChunks struct {
 	// digest is the manifest digest.
 	digest Digest
 	// held is the whole set, on the first message; empty afterwards.
--- a/pkg/contract/change.go
+++ b/pkg/contract/change.go
@@ -77,10 +77,10 @@
 	refusal *failure.Failure
 }
 
-// Follow asks for all configuration after a revision.
+// DeltaRequest asks for all configuration after a revision.
 //
 //wire:generate
-type Follow struct {
+type DeltaRequest struct {
 	// revision is the highest one that the asking process has applied.
 	revision uint64
 }
@@ -161,8 +161,8 @@
 	known bool
 }
 
-// MaxStoredAnswer bounds the stored answer of a claimed request, in bytes.
-const MaxStoredAnswer = 16 << 10
+// MaxStoredBody bounds the stored answer of a claimed request, in bytes.
+const MaxStoredBody = 16 << 10
 
 // Settle ends a claim with its outcome, or gives it back unrun.
 //
@@ -183,7 +183,7 @@
 // Stored returns the outcome as it is stored: without the body when that is
 // over MaxStoredAnswer.
 func (o Outcome) Stored() Outcome {
-	if len(o.body) > MaxStoredAnswer {
+	if len(o.body) > MaxStoredBody {
 		o.body, o.truncated = nil, true
 	}
 	return o
--- a/pkg/contract/operator.go
+++ b/pkg/contract/operator.go
@@ -50,7 +50,7 @@
 	// agents are the agents of the entry's failure domain.
 	agents []AgentStatus
 	// entries are the other entries.
-	entries []EntryBeat
+	entries []EntryHeartbeat
 }
 
 // VoterStatus is one voter of the control log.
@@ -73,8 +73,8 @@
 //
 //wire:generate
 type AgentStatus struct {
-	// beat is its last heartbeat.
-	beat Heartbeat
+	// lastHeartbeat is its last heartbeat.
+	lastHeartbeat Heartbeat
 	// ageSeconds is how old the heartbeat is.
 	ageSeconds float64
 	// leaving says that it gets no new work, and why.
--- a/pkg/contract/repeat.go
+++ b/pkg/contract/repeat.go
@@ -4,18 +4,18 @@
 
 package contract
 
-// RepeatAsk asks another gateway for one repeat out of its budget.
+// RetryLoanRequest asks another gateway for one repeat out of its budget.
 //
 //wire:generate
-type RepeatAsk struct {
+type RetryLoanRequest struct {
 	// service is whose requests are repeated.
 	service string
 }
 
-// RepeatAnswer says whether the repeat may be sent: it counts at the lender.
+// RetryLoanResponse says whether the repeat may be sent: it counts at the lender.
 //
 //wire:generate
-type RepeatAnswer struct {
-	// lent says that it may.
-	lent bool
+type RetryLoanResponse struct {
+	// granted says that it may.
+	granted bool
 }
--- a/pkg/contract/wire_generated.go
+++ b/pkg/contract/wire_generated.go
@@ -47,12 +47,12 @@
 }
 
 // NewAgentStatus returns a AgentStatus with the given fields.
-func NewAgentStatus(beat Heartbeat, ageSeconds float64, leaving string) AgentStatus {
-	return AgentStatus{beat: beat, ageSeconds: ageSeconds, leaving: leaving}
+func NewAgentStatus(lastHeartbeat Heartbeat, ageSeconds float64, leaving string) AgentStatus {
+	return AgentStatus{lastHeartbeat: lastHeartbeat, ageSeconds: ageSeconds, leaving: leaving}
 }
 
-// Beat is its last heartbeat.
-func (a AgentStatus) Beat() Heartbeat { return a.beat }
+// LastHeartbeat is its last heartbeat.
+func (a AgentStatus) LastHeartbeat() Heartbeat { return a.lastHeartbeat }
 
 // AgeSeconds is how old the heartbeat is.
 func (a AgentStatus) AgeSeconds() float64 { return a.ageSeconds }
@@ -65,7 +65,7 @@
 	if err := enc.EncodeArrayLen(3); err != nil {
 		return err
 	}
-	return enc.EncodeMulti(a.beat, a.ageSeconds, a.leaving)
+	return enc.EncodeMulti(a.lastHeartbeat, a.ageSeconds, a.leaving)
 }
 
 // DecodeMsgpack reads what EncodeMsgpack wrote, of this version or another.
@@ -74,64 +74,7 @@
 	if err != nil {
 		return err
 	}
-	fields := []any{&a.beat, &a.ageSeconds, &a.leaving}
-	for i := 0; i < count; i++ {
-		if i >= len(fields) {
-			err = dec.Skip()
-		} else {
-			err = dec.Decode(fields[i])
-		}
-		if err != nil {
-			return err
-		}
-	}
-	return nil
-}
-
-// NewAnswer returns a Answer with the given fields.
-func NewAnswer(attempt string, sequence uint64, status int, contentType string, body []byte, end bool, failure *failure.Failure, digest Digest) Answer {
-	return Answer{attempt: attempt, sequence: sequence, status: status, contentType: contentType, body: body, end: end, failure: failure, digest: digest}
-}
-
-// Attempt is the request's, checked at the entry on every part.
-func (a Answer) Attempt() string { return a.attempt }
-
-// Sequence numbers the parts from 0.
-func (a Answer) Sequence() uint64 { return a.sequence }
-
-// Status is the HTTP status, on the first part.
-func (a Answer) Status() int { return a.status }
-
-// ContentType is the body's, on the first part.
-func (a Answer) ContentType() string { return a.contentType }
-
-// Body is this part of the body.
-func (a Answer) Body() []byte { return a.body }
-
-// End marks the last part of a whole answer.
-func (a Answer) End() bool { return a.end }
-
-// Failure ends the answer early.
-func (a Answer) Failure() *failure.Failure { return a.failure }
-
-// Digest is the version that answered.
-func (a Answer) Digest() Digest { return a.digest }
-
-// EncodeMsgpack writes the fields in order, as one array.
-func (a Answer) EncodeMsgpack(enc *msgpack.Encoder) error {
-	if err := enc.EncodeArrayLen(8); err != nil {
-		return err
-	}
-	return enc.EncodeMulti(a.attempt, a.sequence, a.status, a.contentType, a.body, a.end, a.failure, a.digest)
-}
-
-// DecodeMsgpack reads what EncodeMsgpack wrote, of this version or another.
-func (a *Answer) DecodeMsgpack(dec *msgpack.Decoder) error {
-	count, err := dec.DecodeArrayLen()
-	if err != nil {
-		return err
-	}
-	fields := []any{&a.attempt, &a.sequence, &a.status, &a.contentType, &a.body, &a.end, &a.failure, &a.digest}
+	fields := []any{&a.lastHeartbeat, &a.ageSeconds, &a.leaving}
 	for i := 0; i < count; i++ {
 		if i >= len(fields) {
 			err = dec.Skip()
@@ -531,9 +474,45 @@
 	return nil
 }
 
+// NewDeltaRequest returns a DeltaRequest with the given fields.
+func NewDeltaRequest(revision uint64) DeltaRequest {
+	return DeltaRequest{revision: revision}
+}
+
+// Revision is the highest one that the asking process has applied.
+func (d DeltaRequest) Revision() uint64 { return d.revision }
+
+// EncodeMsgpack writes the fields in order, as one array.
+func (d DeltaRequest) EncodeMsgpack(enc *msgpack.Encoder) error {
+	if err := enc.EncodeArrayLen(1); err != nil {
+		return err
+	}
+	return enc.EncodeMulti(d.revision)
+}
+
+// DecodeMsgpack reads what EncodeMsgpack wrote, of this version or another.
+func (d *DeltaRequest) DecodeMsgpack(dec *msgpack.Decoder) error {
+	count, err := dec.DecodeArrayLen()
+	if err != nil {
+		return err
+	}
+	fields := []any{&d.revision}
+	for i := 0; i < count; i++ {
+		if i >= len(fields) {
+			err = dec.Skip()
+		} else {
+			err = dec.Decode(fields[i])
+		}
+		if err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
 // NewDomainSources returns a DomainSources with the given fields.
-func NewDomainSources(digest Digest, domain string, wants bool, agents []vm.Identity, holders []uint16) DomainSources {
-	return DomainSources{digest: digest, domain: domain, wants: wants, agents: agents, holders: holders}
+func NewDomainSources(digest Digest, domain string, incomplete bool, agents []vm.Identity, holders []uint16) DomainSources {
+	return DomainSources{digest: digest, domain: domain, incomplete: incomplete, agents: agents, holders: holders}
 }
 
 // Digest is the manifest digest.
@@ -542,8 +521,8 @@
 // Domain is the failure domain.
 func (d DomainSources) Domain() string { return d.domain }
 
-// Wants says that an agent of the domain still lacks chunks.
-func (d DomainSources) Wants() bool { return d.wants }
+// Incomplete says that an agent of the domain still lacks chunks.
+func (d DomainSources) Incomplete() bool { return d.incomplete }
 
 // Agents are those named by holders.
 func (d DomainSources) Agents() []vm.Identity { return d.agents }
@@ -557,7 +536,7 @@
 	if err := enc.EncodeArrayLen(5); err != nil {
 		return err
 	}
-	return enc.EncodeMulti(d.digest, d.domain, d.wants, d.agents, d.holders)
+	return enc.EncodeMulti(d.digest, d.domain, d.incomplete, d.agents, d.holders)
 }
 
 // DecodeMsgpack reads what EncodeMsgpack wrote, of this version or another.
@@ -566,7 +545,7 @@
 	if err != nil {
 		return err
 	}
-	fields := []any{&d.digest, &d.domain, &d.wants, &d.agents, &d.holders}
+	fields := []any{&d.digest, &d.domain, &d.incomplete, &d.agents, &d.holders}
 	for i := 0; i < count; i++ {
 		if i >= len(fields) {
 			err = dec.Skip()
@@ -619,34 +598,34 @@
 	return nil
 }
 
-// NewEntryBeat returns a EntryBeat with the given fields.
-func NewEntryBeat(from vm.Identity, revision uint64, draining bool, ready []Digest, services []string, load Load, callersAddress string) EntryBeat {
-	return EntryBeat{from: from, revision: revision, draining: draining, ready: ready, services: services, load: load, callersAddress: callersAddress}
+// NewEntryHeartbeat returns a EntryHeartbeat with the given fields.
+func NewEntryHeartbeat(from vm.Identity, revision uint64, draining bool, ready []Digest, services []string, load Load, callersAddress string) EntryHeartbeat {
+	return EntryHeartbeat{from: from, revision: revision, draining: draining, ready: ready, services: services, load: load, callersAddress: callersAddress}
 }
 
 // From is the entry.
-func (e EntryBeat) From() vm.Identity { return e.from }
+func (e EntryHeartbeat) From() vm.Identity { return e.from }
 
 // Revision is the configuration revision in force there.
-func (e EntryBeat) Revision() uint64 { return e.revision }
+func (e EntryHeartbeat) Revision() uint64 { return e.revision }
 
 // Draining says that the entry is leaving.
-func (e EntryBeat) Draining() bool { return e.draining }
+func (e EntryHeartbeat) Draining() bool { return e.draining }
 
 // Ready are the digests that the failure domain has ready replicas of.
-func (e EntryBeat) Ready() []Digest { return e.ready }
+func (e EntryHeartbeat) Ready() []Digest { return e.ready }
 
 // Services are the plain services that the failure domain can reach.
-func (e EntryBeat) Services() []string { return e.services }
+func (e EntryHeartbeat) Services() []string { return e.services }
 
 // Load is the sum over the failure domain's agents.
-func (e EntryBeat) Load() Load { return e.load }
+func (e EntryHeartbeat) Load() Load { return e.load }
 
 // CallersAddress is where the entry takes callers, host:port.
-func (e EntryBeat) CallersAddress() string { return e.callersAddress }
+func (e EntryHeartbeat) CallersAddress() string { return e.callersAddress }
 
 // EncodeMsgpack writes the fields in order, as one array.
-func (e EntryBeat) EncodeMsgpack(enc *msgpack.Encoder) error {
+func (e EntryHeartbeat) EncodeMsgpack(enc *msgpack.Encoder) error {
 	if err := enc.EncodeArrayLen(7); err != nil {
 		return err
 	}
@@ -654,7 +633,7 @@
 }
 
 // DecodeMsgpack reads what EncodeMsgpack wrote, of this version or another.
-func (e *EntryBeat) DecodeMsgpack(dec *msgpack.Decoder) error {
+func (e *EntryHeartbeat) DecodeMsgpack(dec *msgpack.Decoder) error {
 	count, err := dec.DecodeArrayLen()
 	if err != nil {
 		return err
@@ -673,42 +652,6 @@
 	return nil
 }
 
-// NewFollow returns a Follow with the given fields.
-func NewFollow(revision uint64) Follow {
-	return Follow{revision: revision}
-}
-
-// Revision is the highest one that the asking process has applied.
-func (f Follow) Revision() uint64 { return f.revision }
-
-// EncodeMsgpack writes the fields in order, as one array.
-func (f Follow) EncodeMsgpack(enc *msgpack.Encoder) error {
-	if err := enc.EncodeArrayLen(1); err != nil {
-		return err
-	}
-	return enc.EncodeMulti(f.revision)
-}
-
-// DecodeMsgpack reads what EncodeMsgpack wrote, of this version or another.
-func (f *Follow) DecodeMsgpack(dec *msgpack.Decoder) error {
-	count, err := dec.DecodeArrayLen()
-	if err != nil {
-		return err
-	}
-	fields := []any{&f.revision}
-	for i := 0; i < count; i++ {
-		if i >= len(fields) {
-			err = dec.Skip()
-		} else {
-			err = dec.Decode(fields[i])
-		}
-		if err != nil {
-			return err
-		}
-	}
-	return nil
-}
-
 // NewGroup returns a Group with the given fields.
 func NewGroup(selector string, model string, version string, role Role) Group {
 	return Group{selector: selector, model: model, version: version, role: role}
@@ -754,48 +697,6 @@
 	return nil
 }
 
-// NewHave returns a Have with the given fields.
-func NewHave(digest Digest, held []byte, added []uint32) Have {
-	return Have{digest: digest, held: held, added: added}
-}
-
-// Digest is the manifest digest.
-func (h Have) Digest() Digest { return h.digest }
-
-// Held is the whole set, on the first message; empty afterwards.
-func (h Have) Held() []byte { return h.held }
-
-// Added are the chunks since the message before.
-func (h Have) Added() []uint32 { return h.added }
-
-// EncodeMsgpack writes the fields in order, as one array.
-func (h Have) EncodeMsgpack(enc *msgpack.Encoder) error {
-	if err := enc.EncodeArrayLen(3); err != nil {
-		return err
-	}
-	return enc.EncodeMulti(h.digest, h.held, h.added)
-}
-
-// DecodeMsgpack reads what EncodeMsgpack wrote, of this version or another.
-func (h *Have) DecodeMsgpack(dec *msgpack.Decoder) error {
-	count, err := dec.DecodeArrayLen()
-	if err != nil {
-		return err
-	}
-	fields := []any{&h.digest, &h.held, &h.added}
-	for i := 0; i < count; i++ {
-		if i >= len(fields) {
-			err = dec.Skip()
-		} else {
-			err = dec.Decode(fields[i])
-		}
-		if err != nil {
-			return err
-		}
-	}
-	return nil
-}
-
 // NewHeartbeat returns a Heartbeat with the given fields.
 func NewHeartbeat(from vm.Identity, sequence uint64, revision uint64, labels vm.Labels, copies []Copy, services []string, load Load, draining bool, originBytes int64, peerBytes int64) Heartbeat {
 	return Heartbeat{from: from, sequence: sequence, revision: revision, labels: labels, copies: copies, services: services, load: load, draining: draining, originBytes: originBytes, peerBytes: peerBytes}
@@ -859,6 +760,48 @@
 	return nil
 }
 
+// NewHeldChunks returns a HeldChunks with the given fields.
+func NewHeldChunks(digest Digest, held []byte, added []uint32) HeldChunks {
+	return HeldChunks{digest: digest, held: held, added: added}
+}
+
+// Digest is the manifest digest.
+func (h HeldChunks) Digest() Digest { return h.digest }
+
+// Held is the whole set, on the first message; empty afterwards.
+func (h HeldChunks) Held() []byte { return h.held }
+
+// Added are the chunks since the message before.
+func (h HeldChunks) Added() []uint32 { return h.added }
+
+// EncodeMsgpack writes the fields in order, as one array.
+func (h HeldChunks) EncodeMsgpack(enc *msgpack.Encoder) error {
+	if err := enc.EncodeArrayLen(3); err != nil {
+		return err
+	}
+	return enc.EncodeMulti(h.digest, h.held, h.added)
+}
+
+// DecodeMsgpack reads what EncodeMsgpack wrote, of this version or another.
+func (h *HeldChunks) DecodeMsgpack(dec *msgpack.Decoder) error {
+	count, err := dec.DecodeArrayLen()
+	if err != nil {
+		return err
+	}
+	fields := []any{&h.digest, &h.held, &h.added}
+	for i := 0; i < count; i++ {
+		if i >= len(fields) {
+			err = dec.Skip()
+		} else {
+			err = dec.Decode(fields[i])
+		}
+		if err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
 // NewImport returns a Import with the given fields.
 func NewImport(index uint32, holder vm.Identity) Import {
 	return Import{index: index, holder: holder}
@@ -1405,29 +1348,65 @@
 	return nil
 }
 
-// NewRepeatAnswer returns a RepeatAnswer with the given fields.
-func NewRepeatAnswer(lent bool) RepeatAnswer {
-	return RepeatAnswer{lent: lent}
+// NewRequest returns a Request with the given fields.
+func NewRequest(attempt string, organisation string, model string, digest Digest, service string, method string, path string, contentType string, body []byte, deadline int64, stream bool, repeatable bool, priority int) Request {
+	return Request{attempt: attempt, organisation: organisation, model: model, digest: digest, service: service, method: method, path: path, contentType: contentType, body: body, deadline: deadline, stream: stream, repeatable: repeatable, priority: priority}
 }
 
-// Lent says that it may.
-func (r RepeatAnswer) Lent() bool { return r.lent }
+// Attempt identifies this attempt; an agent runs it once at most.
+func (r Request) Attempt() string { return r.attempt }
+
+// Organisation is the caller's.
+func (r Request) Organisation() string { return r.organisation }
+
+// Model is the model's name; empty for a plain service.
+func (r Request) Model() string { return r.model }
+
+// Digest is the version that the request is pinned to.
+func (r Request) Digest() Digest { return r.digest }
+
+// Service is the plain service's name; empty for a model.
+func (r Request) Service() string { return r.service }
+
+// Method and path are those of the call to a plain service.
+func (r Request) Method() string { return r.method }
+
+// Path returns the field of that name.
+func (r Request) Path() string { return r.path }
+
+// ContentType is the body's.
+func (r Request) ContentType() string { return r.contentType }
+
+// Body is the request body.
+func (r Request) Body() []byte { return r.body }
+
+// Deadline is in nanoseconds since 1970.
+func (r Request) Deadline() int64 { return r.deadline }
+
+// Stream says that the caller reads server-sent events.
+func (r Request) Stream() bool { return r.stream }
+
+// Repeatable says that the request may run twice.
+func (r Request) Repeatable() bool { return r.repeatable }
+
+// Priority is handed on to the engine; higher runs first.
+func (r Request) Priority() int { return r.priority }
 
 // EncodeMsgpack writes the fields in order, as one array.
-func (r RepeatAnswer) EncodeMsgpack(enc *msgpack.Encoder) error {
-	if err := enc.EncodeArrayLen(1); err != nil {
+func (r Request) EncodeMsgpack(enc *msgpack.Encoder) error {
+	if err := enc.EncodeArrayLen(13); err != nil {
 		return err
 	}
-	return enc.EncodeMulti(r.lent)
+	return enc.EncodeMulti(r.attempt, r.organisation, r.model, r.digest, r.service, r.method, r.path, r.contentType, r.body, r.deadline, r.stream, r.repeatable, r.priority)
 }
 
 // DecodeMsgpack reads what EncodeMsgpack wrote, of this version or another.
-func (r *RepeatAnswer) DecodeMsgpack(dec *msgpack.Decoder) error {
+func (r *Request) DecodeMsgpack(dec *msgpack.Decoder) error {
 	count, err := dec.DecodeArrayLen()
 	if err != nil {
 		return err
 	}
-	fields := []any{&r.lent}
+	fields := []any{&r.attempt, &r.organisation, &r.model, &r.digest, &r.service, &r.method, &r.path, &r.contentType, &r.body, &r.deadline, &r.stream, &r.repeatable, &r.priority}
 	for i := 0; i < count; i++ {
 		if i >= len(fields) {
 			err = dec.Skip()
@@ -1441,29 +1420,50 @@
 	return nil
 }
 
-// NewRepeatAsk returns a RepeatAsk with the given fields.
-func NewRepeatAsk(service string) RepeatAsk {
-	return RepeatAsk{service: service}
+// NewResponsePart returns a ResponsePart with the given fields.
+func NewResponsePart(attempt string, sequence uint64, status int, contentType string, body []byte, end bool, failure *failure.Failure, digest Digest) ResponsePart {
+	return ResponsePart{attempt: attempt, sequence: sequence, status: status, contentType: contentType, body: body, end: end, failure: failure, digest: digest}
 }
 
-// Service is whose requests are repeated.
-func (r RepeatAsk) Service() string { return r.service }
+// Attempt is the request's, checked at the entry on every part.
+func (r ResponsePart) Attempt() string { return r.attempt }
+
+// Sequence numbers the parts from 0.
+func (r ResponsePart) Sequence() uint64 { return r.sequence }
+
+// Status is the HTTP status, on the first part.
+func (r ResponsePart) Status() int { return r.status }
+
+// ContentType is the body's, on the first part.
+func (r ResponsePart) ContentType() string { return r.contentType }
+
+// Body is this part of the body.
+func (r ResponsePart) Body() []byte { return r.body }
+
+// End marks the last part of a whole answer.
+func (r ResponsePart) End() bool { return r.end }
+
+// Failure ends the answer early.
+func (r ResponsePart) Failure() *failure.Failure { return r.failure }
+
+// Digest is the version that answered.
+func (r ResponsePart) Digest() Digest { return r.digest }
 
 // EncodeMsgpack writes the fields in order, as one array.
-func (r RepeatAsk) EncodeMsgpack(enc *msgpack.Encoder) error {
-	if err := enc.EncodeArrayLen(1); err != nil {
+func (r ResponsePart) EncodeMsgpack(enc *msgpack.Encoder) error {
+	if err := enc.EncodeArrayLen(8); err != nil {
 		return err
 	}
-	return enc.EncodeMulti(r.service)
+	return enc.EncodeMulti(r.attempt, r.sequence, r.status, r.contentType, r.body, r.end, r.failure, r.digest)
 }
 
 // DecodeMsgpack reads what EncodeMsgpack wrote, of this version or another.
-func (r *RepeatAsk) DecodeMsgpack(dec *msgpack.Decoder) error {
+func (r *ResponsePart) DecodeMsgpack(dec *msgpack.Decoder) error {
 	count, err := dec.DecodeArrayLen()
 	if err != nil {
 		return err
 	}
-	fields := []any{&r.service}
+	fields := []any{&r.attempt, &r.sequence, &r.status, &r.contentType, &r.body, &r.end, &r.failure, &r.digest}
 	for i := 0; i < count; i++ {
 		if i >= len(fields) {
 			err = dec.Skip()
@@ -1477,65 +1477,65 @@
 	return nil
 }
 
-// NewRequest returns a Request with the given fields.
-func NewRequest(attempt string, organisation string, model string, digest Digest, service string, method string, path string, contentType string, body []byte, deadline int64, stream bool, repeatable bool, priority int) Request {
-	return Request{attempt: attempt, organisation: organisation, model: model, digest: digest, service: service, method: method, path: path, contentType: contentType, body: body, deadline: deadline, stream: stream, repeatable: repeatable, priority: priority}
+// NewRetryLoanRequest returns a RetryLoanRequest with the given fields.
+func NewRetryLoanRequest(service string) RetryLoanRequest {
+	return RetryLoanRequest{service: service}
 }
 
-// Attempt identifies this attempt; an agent runs it once at most.
-func (r Request) Attempt() string { return r.attempt }
-
-// Organisation is the caller's.
-func (r Request) Organisation() string { return r.organisation }
-
-// Model is the model's name; empty for a plain service.
-func (r Request) Model() string { return r.model }
-
-// Digest is the version that the request is pinned to.
-func (r Request) Digest() Digest { return r.digest }
-
-// Service is the plain service's name; empty for a model.
-func (r Request) Service() string { return r.service }
-
-// Method and path are those of the call to a plain service.
-func (r Request) Method() string { return r.method }
-
-// Path returns the field of that name.
-func (r Request) Path() string { return r.path }
-
-// ContentType is the body's.
-func (r Request) ContentType() string { return r.contentType }
-
-// Body is the request body.
-func (r Request) Body() []byte { return r.body }
+// Service is whose requests are repeated.
+func (r RetryLoanRequest) Service() string { return r.service }
 
-// Deadline is in nanoseconds since 1970.
-func (r Request) Deadline() int64 { return r.deadline }
+// EncodeMsgpack writes the fields in order, as one array.
+func (r RetryLoanRequest) EncodeMsgpack(enc *msgpack.Encoder) error {
+	if err := enc.EncodeArrayLen(1); err != nil {
+		return err
+	}
+	return enc.EncodeMulti(r.service)
+}
 
-// Stream says that the caller reads server-sent events.
-func (r Request) Stream() bool { return r.stream }
+// DecodeMsgpack reads what EncodeMsgpack wrote, of this version or another.
+func (r *RetryLoanRequest) DecodeMsgpack(dec *msgpack.Decoder) error {
+	count, err := dec.DecodeArrayLen()
+	if err != nil {
+		return err
+	}
+	fields := []any{&r.service}
+	for i := 0; i < count; i++ {
+		if i >= len(fields) {
+			err = dec.Skip()
+		} else {
+			err = dec.Decode(fields[i])
+		}
+		if err != nil {
+			return err
+		}
+	}
+	return nil
+}
 
-// Repeatable says that the request may run twice.
-func (r Request) Repeatable() bool { return r.repeatable }
+// NewRetryLoanResponse returns a RetryLoanResponse with the given fields.
+func NewRetryLoanResponse(granted bool) RetryLoanResponse {
+	return RetryLoanResponse{granted: granted}
+}
 
-// Priority is handed on to the engine; higher runs first.
-func (r Request) Priority() int { return r.priority }
+// Granted says that it may.
+func (r RetryLoanResponse) Granted() bool { return r.granted }
 
 // EncodeMsgpack writes the fields in order, as one array.
-func (r Request) EncodeMsgpack(enc *msgpack.Encoder) error {
-	if err := enc.EncodeArrayLen(13); err != nil {
+func (r RetryLoanResponse) EncodeMsgpack(enc *msgpack.Encoder) error {
+	if err := enc.EncodeArrayLen(1); err != nil {
 		return err
 	}
-	return enc.EncodeMulti(r.attempt, r.organisation, r.model, r.digest, r.service, r.method, r.path, r.contentType, r.body, r.deadline, r.stream, r.repeatable, r.priority)
+	return enc.EncodeMulti(r.granted)
 }
 
 // DecodeMsgpack reads what EncodeMsgpack wrote, of this version or another.
-func (r *Request) DecodeMsgpack(dec *msgpack.Decoder) error {
+func (r *RetryLoanResponse) DecodeMsgpack(dec *msgpack.Decoder) error {
 	count, err := dec.DecodeArrayLen()
 	if err != nil {
 		return err
 	}
-	fields := []any{&r.attempt, &r.organisation, &r.model, &r.digest, &r.service, &r.method, &r.path, &r.contentType, &r.body, &r.deadline, &r.stream, &r.repeatable, &r.priority}
+	fields := []any{&r.granted}
 	for i := 0; i < count; i++ {
 		if i >= len(fields) {
 			err = dec.Skip()
@@ -1676,8 +1676,8 @@
 }
 
 // NewSpreadPlan returns a SpreadPlan with the given fields.
-func NewSpreadPlan(peers []vm.Identity, unchanged bool, draw []uint32, imports []Import) SpreadPlan {
-	return SpreadPlan{peers: peers, unchanged: unchanged, draw: draw, imports: imports}
+func NewSpreadPlan(peers []vm.Identity, unchanged bool, originChunks []uint32, imports []Import) SpreadPlan {
+	return SpreadPlan{peers: peers, unchanged: unchanged, originChunks: originChunks, imports: imports}
 }
 
 // Peers are agents of the same failure domain to fetch from; empty when
@@ -1687,8 +1687,8 @@
 // Unchanged says that the agent keeps the neighbours that it has.
 func (s SpreadPlan) Unchanged() bool { return s.unchanged }
 
-// Draw are the chunks that the agent is to draw from the origin.
-func (s SpreadPlan) Draw() []uint32 { return s.draw }
+// OriginChunks are the chunks that the agent is to draw from the origin.
+func (s SpreadPlan) OriginChunks() []uint32 { return s.originChunks }
 
 // Imports are the chunks that the agent is to fetch from another domain.
 func (s SpreadPlan) Imports() []Import { return s.imports }
@@ -1698,7 +1698,7 @@
 	if err := enc.EncodeArrayLen(4); err != nil {
 		return err
 	}
-	return enc.EncodeMulti(s.peers, s.unchanged, s.draw, s.imports)
+	return enc.EncodeMulti(s.peers, s.unchanged, s.originChunks, s.imports)
 }
 
 // DecodeMsgpack reads what EncodeMsgpack wrote, of this version or another.
@@ -1707,7 +1707,7 @@
 	if err != nil {
 		return err
 	}
-	fields := []any{&s.peers, &s.unchanged, &s.draw, &s.imports}
+	fields := []any{&s.peers, &s.unchanged, &s.originChunks, &s.imports}
 	for i := 0; i < count; i++ {
 		if i >= len(fields) {
 			err = dec.Skip()
@@ -1722,8 +1722,8 @@
 }
 
 // NewSpreadReport returns a SpreadReport with the given fields.
-func NewSpreadReport(from vm.Identity, digest Digest, held []byte, drawn []uint32, wants bool, neighbours uint64) SpreadReport {
-	return SpreadReport{from: from, digest: digest, held: held, drawn: drawn, wants: wants, neighbours: neighbours}
+func NewSpreadReport(from vm.Identity, digest Digest, held []byte, released []uint32, incomplete bool, neighbours uint64) SpreadReport {
+	return SpreadReport{from: from, digest: digest, held: held, released: released, incomplete: incomplete, neighbours: neighbours}
 }
 
 // From is the agent.
@@ -1735,11 +1735,11 @@
 // Held has a bit for each verified chunk, lowest first.
 func (s SpreadReport) Held() []byte { return s.held }
 
-// Drawn are the chunks of draw leases that are finished or given back.
-func (s SpreadReport) Drawn() []uint32 { return s.drawn }
+// Released are the chunks of draw leases that are finished or given back.
+func (s SpreadReport) Released() []uint32 { return s.released }
 
-// Wants says that the agent still lacks chunks.
-func (s SpreadReport) Wants() bool { return s.wants }
+// Incomplete says that the agent still lacks chunks.
+func (s SpreadReport) Incomplete() bool { return s.incomplete }
 
 // Neighbours is the hash of the neighbours that the agent has.
 func (s SpreadReport) Neighbours() uint64 { return s.neighbours }
@@ -1749,7 +1749,7 @@
 	if err := enc.EncodeArrayLen(6); err != nil {
 		return err
 	}
-	return enc.EncodeMulti(s.from, s.digest, s.held, s.drawn, s.wants, s.neighbours)
+	return enc.EncodeMulti(s.from, s.digest, s.held, s.released, s.incomplete, s.neighbours)
 }
 
 // DecodeMsgpack reads what EncodeMsgpack wrote, of this version or another.
@@ -1758,7 +1758,7 @@
 	if err != nil {
 		return err
 	}
-	fields := []any{&s.from, &s.digest, &s.held, &s.drawn, &s.wants, &s.neighbours}
+	fields := []any{&s.from, &s.digest, &s.held, &s.released, &s.incomplete, &s.neighbours}
 	for i := 0; i < count; i++ {
 		if i >= len(fields) {
 			err = dec.Skip()
@@ -1773,7 +1773,7 @@
 }
 
 // NewStatus returns a Status with the given fields.
-func NewStatus(entry vm.Identity, revision uint64, leader string, term uint64, voters []VoterStatus, agents []AgentStatus, entries []EntryBeat) Status {
+func NewStatus(entry vm.Identity, revision uint64, leader string, term uint64, voters []VoterStatus, agents []AgentStatus, entries []EntryHeartbeat) Status {
 	return Status{entry: entry, revision: revision, leader: leader, term: term, voters: voters, agents: agents, entries: entries}
 }
 
@@ -1796,7 +1796,7 @@
 func (s Status) Agents() []AgentStatus { return s.agents }
 
 // Entries are the other entries.
-func (s Status) Entries() []EntryBeat { return s.entries }
+func (s Status) Entries() []EntryHeartbeat { return s.entries }
 
 // EncodeMsgpack writes the fields in order, as one array.
 func (s Status) EncodeMsgpack(enc *msgpack.Encoder) error {
--- a/pkg/control/links.go
+++ b/pkg/control/links.go
@@ -48,7 +48,7 @@
 			quiet = state.TicksSinceResponse[v.MemberID()] >= quietTicks
 		}
 		if quiet {
-			m.config.endpoint.Doubt(v.Address(), now)
+			m.config.endpoint.Probe(v.Address(), now)
 		}
 	}
 }
--- a/pkg/control/member.go
+++ b/pkg/control/member.go
@@ -156,7 +156,7 @@
 
 // serveMessages takes the messages of another member.
 func (m *member) serveMessages(_ context.Context, s *link.Stream) error {
-	m.peers.Learn(string(s.Peer().ID()), s.Peer().Address())
+	m.peers.SetAddress(string(s.Peer().ID()), s.Peer().Address())
 	for {
 		var message controllog.Message
 		if err := s.Receive(&message); err != nil {
--- a/pkg/daemon/daemon.go
+++ b/pkg/daemon/daemon.go
@@ -115,7 +115,7 @@
 		Logger: logger, Registry: registry, lines: lines, Clock: clock, Recorder: recorder, Bus: b, Identity: identity,
 		Endpoint: link.NewEndpoint(link.Config{
 			Own: identity, Key: key, TLS: tlsConfig, Clock: clock, Logger: logger, Dial: seams.Dial,
-			Doubted: func(f link.Finding) { doubts.WithLabelValues(string(f)).Inc() },
+			OnProbe: func(f link.ProbeResult) { doubts.WithLabelValues(string(f)).Inc() },
 		}),
 		Listen:        seams.Listen,
 		observeListen: c.ObserveListen(),
--- a/pkg/entry/answer_check.go
+++ b/pkg/entry/answer_check.go
@@ -14,7 +14,7 @@
 // checkPart refuses a part of another attempt, of another version, or out of
 // order. An answer forwarded by an entry of another domain has that entry's
 // attempt, which begins with ours.
-func checkPart(part contract.Answer, r contract.Request, sequence uint64) error {
+func checkPart(part contract.ResponsePart, r contract.Request, sequence uint64) error {
 	own := part.Attempt() == r.Attempt() || strings.HasPrefix(part.Attempt(), r.Attempt()+"/")
 	if err := invariant.Check(own, "answer_of_other_request", "%s got a part of %s", r.Attempt(), part.Attempt()); err != nil {
 		return err
--- a/pkg/entry/beats.go
+++ b/pkg/entry/beats.go
@@ -110,23 +110,23 @@
 
 // heardBeat is a beat and when it came.
 type heardBeat struct {
-	beat contract.EntryBeat
+	beat contract.EntryHeartbeat
 	at   time.Time
 }
 
 func newEntryTable() *entryTable { return &entryTable{beats: map[vm.ID]heardBeat{}} }
 
-func (t *entryTable) heard(b contract.EntryBeat, now time.Time) {
+func (t *entryTable) heard(b contract.EntryHeartbeat, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.beats[b.From().ID()] = heardBeat{b, now}
 }
 
 // all returns the beats that are not too old, by name.
-func (t *entryTable) all(now time.Time) []contract.EntryBeat {
+func (t *entryTable) all(now time.Time) []contract.EntryHeartbeat {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
-	var beats []contract.EntryBeat
+	var beats []contract.EntryHeartbeat
 	for _, h := range t.beats {
 		if now.Sub(h.at) <= entryTimeout {
 			beats = append(beats, h.beat)
@@ -136,7 +136,7 @@
 	return beats
 }
 
-func (e *Entry) heardEntry(b contract.EntryBeat) { e.entries.heard(b, time.Now()) }
+func (e *Entry) heardEntry(b contract.EntryHeartbeat) { e.entries.heard(b, time.Now()) }
 
 // sendBeats tells every other entry what this failure domain can serve.
 func (e *Entry) sendBeats(ctx context.Context) error {
@@ -164,7 +164,7 @@
 	}
 }
 
-func (e *Entry) beat() contract.EntryBeat {
+func (e *Entry) beat() contract.EntryHeartbeat {
 	digests := map[contract.Digest]bool{}
 	services := map[string]bool{}
 	inFlight, queued := uint32(0), uint32(0)
@@ -181,7 +181,7 @@
 		queued += a.LastHeartbeat.Load().Queued()
 	}
 	load := contract.NewLoad(inFlight, queued, 0, 0, 0)
-	return contract.NewEntryBeat(e.process.Identity, e.state.Revision(), e.draining.Load(),
+	return contract.NewEntryHeartbeat(e.process.Identity, e.state.Revision(), e.draining.Load(),
 		sortedDigests(digests), sortedNames(services), load, e.settings.CallersListen())
 }
 
--- a/pkg/entry/callers.go
+++ b/pkg/entry/callers.go
@@ -230,7 +230,7 @@
 // stream passes an answer to the caller as it comes.
 func (e *Entry) stream(w http.ResponseWriter) *sink {
 	controller := http.NewResponseController(w)
-	return &sink{take: func(part contract.Answer) error {
+	return &sink{take: func(part contract.ResponsePart) error {
 		if part.Status() != 0 {
 			w.Header().Set("Content-Type", part.ContentType())
 			w.Header().Set(HeaderRan, failure.RanYes.String())
--- a/pkg/entry/claims.go
+++ b/pkg/entry/claims.go
@@ -60,7 +60,7 @@
 	}
 	if o.Truncated() {
 		return o, failure.New(failure.OutcomeUnknown, "the request with key %q ran; its answer was longer than the %d bytes that are stored",
-			key, contract.MaxStoredAnswer).WithRan(failure.RanYes)
+			key, contract.MaxStoredBody).WithRan(failure.RanYes)
 	}
 	return o, nil
 }
@@ -104,7 +104,7 @@
 }
 
 func (c *collector) sink() *sink {
-	return &sink{take: func(part contract.Answer) error {
+	return &sink{take: func(part contract.ResponsePart) error {
 		if part.Status() != 0 {
 			c.status, c.contentType = part.Status(), part.ContentType()
 		}
--- a/pkg/entry/control.go
+++ b/pkg/entry/control.go
@@ -83,7 +83,7 @@
 	if e.runner == nil {
 		return failure.New(failure.BadRequest, "this entry keeps no control log")
 	}
-	e.peers.Learn(string(s.Peer().ID()), s.Peer().Address())
+	e.peers.SetAddress(string(s.Peer().ID()), s.Peer().Address())
 	for {
 		var m controllog.Message
 		if err := s.Receive(&m); err != nil {
--- a/pkg/entry/execute.go
+++ b/pkg/entry/execute.go
@@ -44,7 +44,7 @@
 // sink takes the parts of an answer. started says whether any part has gone
 // out to the caller.
 type sink struct {
-	take    func(contract.Answer) error
+	take    func(contract.ResponsePart) error
 	started bool
 }
 
@@ -216,7 +216,7 @@
 // chooseEntry picks the least loaded entry of another domain that can serve.
 func (e *Entry) chooseEntry(w *work, now time.Time) (target, bool) {
 	served, _ := e.state.View().ServedDigests(w.request.Model())
-	var best contract.EntryBeat
+	var best contract.EntryHeartbeat
 	found := false
 	for _, b := range e.entries.all(now) {
 		if b.Draining() || b.From().Domain() == e.process.Identity.Domain() || w.tried[b.From().Address()] {
@@ -232,7 +232,7 @@
 	return target{address: best.From().Address(), kind: link.KindRequest}, found
 }
 
-func offers(b contract.EntryBeat, service string, served []contract.Digest) bool {
+func offers(b contract.EntryHeartbeat, service string, served []contract.Digest) bool {
 	for _, s := range b.Services() {
 		if service != "" && s == service {
 			return true
@@ -273,7 +273,7 @@
 
 func (e *Entry) receive(ctx context.Context, s *link.Stream, r contract.Request, out *sink) error {
 	for sequence := uint64(0); ; sequence++ {
-		var part contract.Answer
+		var part contract.ResponsePart
 		if err := s.Receive(&part); err != nil {
 			return e.broken(ctx, failure.Of(err), r)
 		}
--- a/pkg/entry/forwarded.go
+++ b/pkg/entry/forwarded.go
@@ -28,9 +28,9 @@
 	ctx, cancel := context.WithDeadline(ctx, r.DeadlineTime())
 	defer cancel()
 	if r.Repeatable() {
-		s.OnGone(cancel)
+		s.OnPeerClosed(cancel)
 	}
 	e.metrics.forwarded.Inc()
-	out := &sink{take: func(part contract.Answer) error { return s.Send(part) }}
+	out := &sink{take: func(part contract.ResponsePart) error { return s.Send(part) }}
 	return e.execute(ctx, &work{request: r, forwarded: true}, out)
 }
--- a/pkg/entry/spread.go
+++ b/pkg/entry/spread.go
@@ -49,7 +49,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	young := now.Sub(c.started) < firstExchanges
-	if !c.coordinator.Wants() || !young && now.Sub(c.exchanged) < exchangeEvery {
+	if !c.coordinator.Incomplete() || !young && now.Sub(c.exchanged) < exchangeEvery {
 		return false
 	}
 	c.exchanged = now
@@ -81,11 +81,11 @@
 	}
 	domain := c.entry.process.Identity.Domain()
 	created := &coordinated{coordinator: spread.NewCoordinator(spread.CoordinatorConfig{
-		Domain: domain,
-		Digest: digest,
-		Total:  len(model.Manifest().Chunks()),
-		Draws:  c.entry.settings.OriginDraws(),
-		Random: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
+		Domain:        domain,
+		Digest:        digest,
+		Total:         len(model.Manifest().Chunks()),
+		OriginFetches: c.entry.settings.OriginDraws(),
+		Random:        rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	}, time.Now()), started: time.Now(), reported: time.Now()}
 	c.byDigest[digest] = created
 	c.entry.process.Recorder.Record(event.CoordinatorChosen, digest.Short(), "coordinates "+domain)
@@ -123,7 +123,7 @@
 		return s.Send(contract.DomainSources{})
 	}
 	found.mu.Lock()
-	found.coordinator.Heard(theirs, time.Now())
+	found.coordinator.UpdateRemote(theirs, time.Now())
 	ours := found.coordinator.Sources(time.Now())
 	found.mu.Unlock()
 	return s.Send(ours)
@@ -178,7 +178,7 @@
 			}
 			found.mu.Lock()
 			defer found.mu.Unlock()
-			found.coordinator.Heard(theirs, time.Now())
+			found.coordinator.UpdateRemote(theirs, time.Now())
 		}(beat.From().Address())
 	}
 }
--- a/pkg/feed/follower.go
+++ b/pkg/feed/follower.go
@@ -296,7 +296,7 @@
 	if f.isRestarted(address, stream) {
 		f.markLost(ctx, address)
 	}
-	linkCheck := time.AfterFunc(linkCheckDelay, func() { f.Endpoint.Doubt(address, time.Now()) })
+	linkCheck := time.AfterFunc(linkCheckDelay, func() { f.Endpoint.Probe(address, time.Now()) })
 	defer linkCheck.Stop()
 	stream.SetDeadline(time.Now().Add(nodeTimeout))
 	hello := f.Hello
--- a/pkg/feed/link_silence_test.go
+++ b/pkg/feed/link_silence_test.go
@@ -35,7 +35,7 @@
 	identity := vm.NewIdentity("gateway", 1, "", "hall-0", "gateway:7700")
 	e := link.NewEndpoint(link.Config{
 		Own: identity, Clock: event.NewClock(time.Now), Logger: log.NewNopLogger(),
-		KeepAlive: time.Hour, Unanswered: time.Hour, Dial: links.dial,
+		PingInterval: time.Hour, PingTimeout: time.Hour, Dial: links.dial,
 	})
 	c.t.Cleanup(e.Close)
 	f := &Follower{
--- a/pkg/gateway/budget_lending.go
+++ b/pkg/gateway/budget_lending.go
@@ -37,9 +37,9 @@
 	}
 	for _, address := range g.lenders() {
 		ctx, cancel := context.WithTimeout(q.ctx, lendTimeout)
-		answer, err := g.askLender(ctx, address, contract.NewRepeatAsk(q.service.Name()))
+		answer, err := g.askLender(ctx, address, contract.NewRetryLoanRequest(q.service.Name()))
 		cancel()
-		if err == nil && answer.Lent() {
+		if err == nil && answer.Granted() {
 			q.borrowed = true
 			g.metrics.borrowed.Inc()
 			return true
@@ -68,11 +68,11 @@
 // serveRetryLoan answers another gateway's request for a retry.
 func (g *Gateway) serveRetryLoan(_ context.Context, stream *link.Stream) error {
 	stream.SetDeadline(time.Now().Add(lendTimeout))
-	var a contract.RepeatAsk
+	var a contract.RetryLoanRequest
 	if err := stream.Receive(&a); err != nil {
 		return err
 	}
-	return stream.Send(contract.NewRepeatAnswer(g.lendRetry(a.Service())))
+	return stream.Send(contract.NewRetryLoanResponse(g.lendRetry(a.Service())))
 }
 
 // lendRetry takes a retry from this gateway's budget for another gateway.
@@ -81,8 +81,8 @@
 }
 
 // callLender asks another gateway for a retry over a link.
-func (g *Gateway) callLender(ctx context.Context, address string, a contract.RepeatAsk) (contract.RepeatAnswer, error) {
-	var answer contract.RepeatAnswer
-	err := g.process.Endpoint.Call(ctx, address, link.KindRepeat, a, &answer)
+func (g *Gateway) callLender(ctx context.Context, address string, a contract.RetryLoanRequest) (contract.RetryLoanResponse, error) {
+	var answer contract.RetryLoanResponse
+	err := g.process.Endpoint.Call(ctx, address, link.KindRetryLoan, a, &answer)
 	return answer, err
 }
--- a/pkg/gateway/budget_lending_test.go
+++ b/pkg/gateway/budget_lending_test.go
@@ -27,8 +27,8 @@
 	f.gateway.limitOwners.listed = func() map[string]feed.Peer {
 		return map[string]feed.Peer{"10.0.0.2:7700": feed.NewPeer("10.0.0.2:7700", "hall-b", "", "", false, true)}
 	}
-	f.gateway.askLender = func(_ context.Context, _ string, a contract.RepeatAsk) (contract.RepeatAnswer, error) {
-		return contract.NewRepeatAnswer(lender.lendRetry(a.Service())), nil
+	f.gateway.askLender = func(_ context.Context, _ string, a contract.RetryLoanRequest) (contract.RetryLoanResponse, error) {
+		return contract.NewRetryLoanResponse(lender.lendRetry(a.Service())), nil
 	}
 	status, _, body, err := f.do(t, f.request(t, http.MethodPost, "a", "draft"))
 	if status != http.StatusOK || body != events(1, 3) || err != nil {
--- a/pkg/gateway/gateway.go
+++ b/pkg/gateway/gateway.go
@@ -87,7 +87,7 @@
 	askStager func(ctx context.Context, address string, a reservation.Request) (reservation.Response, error)
 	// askLender asks the gateway at a link address for a retry from its budget, and nextBorrow
 	// is the earliest time to ask again.
-	askLender  func(ctx context.Context, address string, a contract.RepeatAsk) (contract.RepeatAnswer, error)
+	askLender  func(ctx context.Context, address string, a contract.RetryLoanRequest) (contract.RetryLoanResponse, error)
 	nextBorrow atomicTime
 	metrics    *metrics
 	suspension *suspension.Watch
@@ -139,7 +139,7 @@
 	g.limitOwners = g.newOwners()
 	process.Endpoint.Handle(link.KindPermit, g.servePermit)
 	process.Endpoint.Handle(link.KindPermitReport, g.servePermitReport)
-	process.Endpoint.Handle(link.KindRepeat, g.serveRetryLoan)
+	process.Endpoint.Handle(link.KindRetryLoan, g.serveRetryLoan)
 	return g, nil
 }
 
--- a/pkg/gateway/reserve.go
+++ b/pkg/gateway/reserve.go
@@ -164,7 +164,7 @@
 	if err == nil || q.ctx.Err() != nil {
 		return answer, err
 	}
-	linkCheck := g.process.Endpoint.Doubt(address, asked)
+	linkCheck := g.process.Endpoint.Probe(address, asked)
 	wait := timeout
 	if timeout == transferReserveTimeout {
 		// Chunk transfers on the link delay the answer, and would delay a second one too.
@@ -172,14 +172,14 @@
 	}
 	ctx, cancel := context.WithDeadline(q.ctx, earlier(until, time.Now().Add(wait)))
 	defer cancel()
-	if linkCheck.Await(ctx) == link.Replaced {
+	if linkCheck.Await(ctx) == link.ProbeReplaced {
 		return g.askWithTimeout(q.ctx, timeout, address, a)
 	}
 	if ctx.Err() != nil {
 		// Whether a new link replaces the silent one matters to other requests. This one has no
 		// time left to wait for it, so a goroutine does.
 		go func() {
-			if linkCheck.Await(g.runContext) == link.Replaced {
+			if linkCheck.Await(g.runContext) == link.ProbeReplaced {
 				b.resetStagerBackoff()
 			}
 		}()
--- a/pkg/gateway/silent_links_test.go
+++ b/pkg/gateway/silent_links_test.go
@@ -53,7 +53,7 @@
 	stager := link.NewEndpoint(link.Config{
 		Own: vm.NewIdentity("stager", 1, "", "", ""), Clock: clocks.NewClock(time.Now), Logger: log.NewNopLogger(),
 		// Pings come too late to detect the silence, here and below.
-		KeepAlive: time.Hour, Unanswered: time.Hour,
+		PingInterval: time.Hour, PingTimeout: time.Hour,
 	})
 	stager.Handle(link.KindReserve, func(_ context.Context, stream *link.Stream) error {
 		var request reservation.Request
@@ -71,7 +71,7 @@
 	go func() { _ = stager.Serve(ctx, l) }()
 	g.process.Endpoint = link.NewEndpoint(link.Config{
 		Own: g.process.Identity, Clock: clocks.NewClock(time.Now), Logger: log.NewNopLogger(),
-		KeepAlive: time.Hour, Unanswered: time.Hour,
+		PingInterval: time.Hour, PingTimeout: time.Hour,
 		Dial: func(ctx context.Context, _ string) (net.Conn, error) {
 			s.mu.Lock()
 			dialsHang := s.dialsHang
--- a/pkg/gateway/stream_sim_test.go
+++ b/pkg/gateway/stream_sim_test.go
@@ -164,14 +164,14 @@
 	return all
 }
 
-func (s *streamSim) askLender(_ context.Context, address string, a contract.RepeatAsk) (contract.RepeatAnswer, error) {
+func (s *streamSim) askLender(_ context.Context, address string, a contract.RetryLoanRequest) (contract.RetryLoanResponse, error) {
 	s.networkDelay()
 	for _, m := range s.gateways {
 		if g := m.process(); g.process.Identity.Address() == address {
-			return contract.NewRepeatAnswer(g.lendRetry(a.Service())), nil
+			return contract.NewRetryLoanResponse(g.lendRetry(a.Service())), nil
 		}
 	}
-	return contract.RepeatAnswer{}, errUnreachable
+	return contract.RetryLoanResponse{}, errUnreachable
 }
 
 func (s *streamSim) askStager(_ context.Context, address string, a reservation.Request) (reservation.Response, error) {
--- a/pkg/link/accept.go
+++ b/pkg/link/accept.go
@@ -18,10 +18,10 @@
 	"github.com/tidepost/tidepost/pkg/failure"
 )
 
-// supersededPatience is how long a connection may stay silent after a newer one came
+// supersededTimeout is how long a connection may stay silent after a newer one came
 // from the same process. Its answer to a ping waits behind what is under way on a stream,
 // which takes 2.3 s on a link of 0.9 Mbit/s.
-const supersededPatience = 3 * time.Second
+const supersededTimeout = 3 * time.Second
 
 // Serve accepts connections until the listener is closed.
 func (e *Endpoint) Serve(ctx context.Context, l net.Listener) error {
@@ -46,9 +46,9 @@
 func (e *Endpoint) serveConnection(ctx context.Context, conn net.Conn) {
 	defer func() { <-e.slots }()
 	defer conn.Close()
-	boundSilence(conn)
-	heard := newLastHeard()
-	conn = heardConn{conn, heard}
+	applyTCPKeepAlive(conn)
+	heard := newReceiveTime()
+	conn = timedConn{conn, heard}
 	if e.config.TLS != nil {
 		conn = tls.Server(conn, e.config.TLS)
 	}
@@ -62,10 +62,10 @@
 		return
 	}
 	c := &connection{session, peer, heard}
-	if !e.keepAccepted(c) {
+	if !e.addAccepted(c) {
 		return
 	}
-	defer e.dropAccepted(c)
+	defer e.removeAccepted(c)
 	for {
 		conn, err := session.AcceptStream()
 		if err != nil {
@@ -75,10 +75,10 @@
 	}
 }
 
-// keepAccepted keeps a connection, and looks at older ones of the same process: it may
+// addAccepted keeps a connection, and looks at older ones of the same process: it may
 // have come to replace one of them. Its slot and whoever waits on its streams are
 // needed before the ping of the connection finds out.
-func (e *Endpoint) keepAccepted(c *connection) bool {
+func (e *Endpoint) addAccepted(c *connection) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.closed {
@@ -87,21 +87,21 @@
 	}
 	for older := range e.accepted {
 		if older.peer == c.peer {
-			go closeSilent(older)
+			go closeIfSilent(older)
 		}
 	}
 	e.accepted[c] = true
 	return true
 }
 
-// closeSilent closes a connection that brings nothing for a while though it is asked.
-func closeSilent(c *connection) {
-	if !c.speaks(supersededPatience) {
+// closeIfSilent closes a connection that brings nothing for a while though it is asked.
+func closeIfSilent(c *connection) {
+	if !c.respondsWithin(supersededTimeout) {
 		_ = c.session.Close()
 	}
 }
 
-func (e *Endpoint) dropAccepted(c *connection) {
+func (e *Endpoint) removeAccepted(c *connection) {
 	_ = c.session.Close()
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/pkg/link/connection.go
+++ b/pkg/link/connection.go
@@ -18,45 +18,45 @@
 
 // connection is an authenticated connection with its streams.
 type connection struct {
-	session *yamux.Session
-	peer    vm.Identity
-	heard   *lastHeard
+	session  *yamux.Session
+	peer     vm.Identity
+	received *receiveTime
 }
 
-// lastHeard is when bytes last came. It is kept as the time since it was made, which
+// receiveTime is when bytes last came. It is kept as the time since it was made, which
 // a step of the clock does not move.
-type lastHeard struct {
-	made time.Time
-	at   atomic.Int64
+type receiveTime struct {
+	created time.Time
+	offset  atomic.Int64
 }
 
-func newLastHeard() *lastHeard { return &lastHeard{made: time.Now()} }
+func newReceiveTime() *receiveTime { return &receiveTime{created: time.Now()} }
 
-func (h *lastHeard) note() { h.at.Store(int64(time.Since(h.made))) }
+func (h *receiveTime) record() { h.offset.Store(int64(time.Since(h.created))) }
 
 // time returns when bytes last came; when it was made, if none did.
-func (h *lastHeard) time() time.Time { return h.made.Add(time.Duration(h.at.Load())) }
+func (h *receiveTime) time() time.Time { return h.created.Add(time.Duration(h.offset.Load())) }
 
-// heardConn notes when bytes come.
-type heardConn struct {
+// timedConn notes when bytes come.
+type timedConn struct {
 	net.Conn
-	heard *lastHeard
+	received *receiveTime
 }
 
-func (c heardConn) Read(b []byte) (int, error) {
+func (c timedConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if n > 0 {
-		c.heard.note()
+		c.received.record()
 	}
 	return n, err
 }
 
-// isHeardSince tells whether bytes came after a moment.
-func (c *connection) isHeardSince(t time.Time) bool { return c.heard.time().After(t) }
+// receivedSince tells whether bytes came after a moment.
+func (c *connection) receivedSince(t time.Time) bool { return c.received.time().After(t) }
 
-// ask pings the connection. The channel is closed when the answer has come, and never
+// startPing pings the connection. The channel is closed when the answer has come, and never
 // if none does: the ping that everybody sends now and then ends the connection then.
-func (c *connection) ask() <-chan struct{} {
+func (c *connection) startPing() <-chan struct{} {
 	answered := make(chan struct{})
 	go func() {
 		if _, err := c.session.Ping(); err == nil {
@@ -66,17 +66,17 @@
 	return answered
 }
 
-// speaks pings the connection and tells whether anything comes within a time.
-func (c *connection) speaks(within time.Duration) bool {
+// respondsWithin pings the connection and tells whether anything comes within a time.
+func (c *connection) respondsWithin(within time.Duration) bool {
 	asked := time.Now()
 	timer := time.NewTimer(within)
 	defer timer.Stop()
 	select {
-	case <-c.ask():
+	case <-c.startPing():
 		return true
 	case <-c.session.CloseChan():
 		return false
 	case <-timer.C:
-		return c.isHeardSince(asked)
+		return c.receivedSince(asked)
 	}
 }
--- a/pkg/link/dial.go
+++ b/pkg/link/dial.go
@@ -24,14 +24,14 @@
 	}
 	conn, err := d.session.OpenStream()
 	if err != nil {
-		e.forget(d)
+		e.dropConn(d)
 		return nil, unreachable(address, err)
 	}
-	s := &Stream{conn: conn, clock: e.config.Clock, peer: d.peer, over: d}
+	s := &Stream{conn: conn, clock: e.config.Clock, peer: d.peer, dialed: d}
 	if deadline, ok := ctx.Deadline(); ok {
 		s.SetDeadline(deadline)
 	}
-	s.closeOn(ctx)
+	s.closeOnDone(ctx)
 	if err := s.Send(newOpening(kind, topic)); err != nil {
 		s.Close()
 		return nil, unreachable(address, err)
@@ -49,7 +49,7 @@
 		return err
 	}
 	defer s.Close()
-	defer e.doubtDuring(ctx, address).Stop()
+	defer e.probeDuringCall(ctx, address).Stop()
 	defer s.OnReplaced(func() { s.SetDeadline(time.Unix(1, 0)) })()
 	if err := s.Send(request); err != nil {
 		return failure.Of(unreachable(address, err)).WithRan(failure.RanUnknown)
@@ -58,12 +58,12 @@
 	if err != nil && s.IsReplaced() && failure.Of(err).Kind() == failure.Internal {
 		return failure.New(failure.Unreachable, "%s: the connection was silent and another one took its place", address).WithRan(failure.RanUnknown)
 	}
-	return brokenOff(address, err)
+	return callError(address, err)
 }
 
-// brokenOff types the error of a read: a failure stays what it is, anything
+// callError types the error of a read: a failure stays what it is, anything
 // else says that the outcome is unknown.
-func brokenOff(address string, err error) error {
+func callError(address string, err error) error {
 	if err == nil {
 		return nil
 	}
@@ -83,7 +83,7 @@
 
 // session returns the session to an address, dialing it when there is none.
 // Callers that come while it is being dialed wait for the same dial.
-func (e *Endpoint) session(ctx context.Context, address string) (*dialed, error) {
+func (e *Endpoint) session(ctx context.Context, address string) (*dialedConn, error) {
 	e.mu.Lock()
 	if e.closed {
 		e.mu.Unlock()
@@ -94,7 +94,7 @@
 		d = nil
 	}
 	if d == nil {
-		d = newDialing(address)
+		d = newPendingConn(address)
 		e.sessions[address] = d
 		go e.dial(d)
 	}
@@ -107,12 +107,12 @@
 	}
 }
 
-func (e *Endpoint) dial(d *dialed) {
+func (e *Endpoint) dial(d *dialedConn) {
 	ctx, cancel := context.WithTimeout(context.Background(), dialTimeout+handshakeTimeout)
 	defer cancel()
 	c, err := e.connect(ctx, d.address)
 	e.mu.Lock()
-	d.connection, d.began = c, time.Now()
+	d.connection, d.established = c, time.Now()
 	if err != nil {
 		d.err = unreachable(d.address, err)
 		delete(e.sessions, d.address)
@@ -131,8 +131,8 @@
 	if err != nil {
 		return connection{}, err
 	}
-	heard := newLastHeard()
-	conn = heardConn{conn, heard}
+	heard := newReceiveTime()
+	conn = timedConn{conn, heard}
 	if e.config.TLS != nil {
 		conn = tls.Client(conn, e.config.TLS)
 	}
@@ -156,12 +156,12 @@
 // Drop closes the connection of a stream; the next call dials anew unless another one
 // took its place. It is for callers that find a peer silent.
 func (e *Endpoint) Drop(s *Stream) {
-	if s.over != nil {
-		e.forget(s.over)
+	if s.dialed != nil {
+		e.dropConn(s.dialed)
 	}
 }
 
-func (e *Endpoint) forget(d *dialed) {
+func (e *Endpoint) dropConn(d *dialedConn) {
 	_ = d.session.Close()
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/pkg/link/doubt_test.go
+++ b/pkg/link/doubt_test.go
@@ -21,25 +21,25 @@
 )
 
 const (
-	// patience ends a test that waits for what does not come; it is no bound on how
+	// testTimeout ends a test that waits for what does not come; it is no bound on how
 	// long things may take.
-	patience = 20 * time.Second
-	// callTime is what a call of these tests may take.
-	callTime = 200 * time.Millisecond
+	testTimeout = 20 * time.Second
+	// callTimeout is what a call of these tests may take.
+	callTimeout = 200 * time.Millisecond
 )
 
-// silencer dials connections and can silence those that are open, both ways. It may
+// silencingDialer dials connections and can silence those that are open, both ways. It may
 // be told to lose new ones too.
-type silencer struct {
+type silencingDialer struct {
 	silenced.Conns
 	mu     sync.Mutex
 	dials  map[string]int
 	silent bool // what is dialed from now on does not come up
 }
 
-func newSilencer() *silencer { return &silencer{dials: map[string]int{}} }
+func newSilencingDialer() *silencingDialer { return &silencingDialer{dials: map[string]int{}} }
 
-func (s *silencer) dial(ctx context.Context, address string) (net.Conn, error) {
+func (s *silencingDialer) dial(ctx context.Context, address string) (net.Conn, error) {
 	s.mu.Lock()
 	s.dials[address]++
 	lost := s.silent
@@ -55,35 +55,35 @@
 	return s.Wrap(conn), nil
 }
 
-// loseDials has what is dialed from now on not come up.
-func (s *silencer) loseDials() {
+// blockDials has what is dialed from now on not come up.
+func (s *silencingDialer) blockDials() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.silent = true
 }
 
-func (s *silencer) dialsTo(address string) int {
+func (s *silencingDialer) dialsTo(address string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.dials[address]
 }
 
-// unpinged returns a client of a silencer whose pings come too late to help.
-func unpinged(t *testing.T, s *silencer) *Endpoint {
+// newClientWithoutPings returns a client of a silencer whose pings come too late to help.
+func newClientWithoutPings(t *testing.T, s *silencingDialer) *Endpoint {
 	t.Helper()
 	client := testEndpoint("client", "", 0)
-	client.config.KeepAlive, client.config.Unanswered = time.Hour, time.Hour
+	client.config.PingInterval, client.config.PingTimeout = time.Hour, time.Hour
 	client.config.Dial = s.dial
 	t.Cleanup(client.Close)
 	return client
 }
 
-// echoing returns a server that answers each call with what came, but for "wait", which
+// newEchoServer returns a server that answers each call with what came, but for "wait", which
 // it answers when the test ends, and sends what comes one-way to the channel.
-func echoing(t *testing.T) (server *Endpoint, came chan string) {
+func newEchoServer(t *testing.T) (server *Endpoint, came chan string) {
 	t.Helper()
 	server, came = testEndpoint("server", "", 0), make(chan string, 1024)
-	server.config.KeepAlive, server.config.Unanswered = time.Hour, time.Hour
+	server.config.PingInterval, server.config.PingTimeout = time.Hour, time.Hour
 	server.Handle(KindQuery, func(ctx context.Context, s *Stream) error {
 		var text string
 		if err := s.Receive(&text); err != nil {
@@ -107,8 +107,8 @@
 	return server, came
 }
 
-func callIn(t *testing.T, client *Endpoint, address, text string) error {
-	ctx, cancel := context.WithTimeout(t.Context(), callTime)
+func callWithTimeout(t *testing.T, client *Endpoint, address, text string) error {
+	ctx, cancel := context.WithTimeout(t.Context(), callTimeout)
 	defer cancel()
 	var answer string
 	return client.Call(ctx, address, KindQuery, text, &answer)
@@ -117,46 +117,46 @@
 // eventually tries until do holds.
 func eventually(t *testing.T, what string, do func() bool) {
 	t.Helper()
-	late := time.After(patience)
+	late := time.After(testTimeout)
 	for !do() {
 		select {
 		case <-late:
-			t.Fatalf("not within %s: %s", patience, what)
+			t.Fatalf("not within %s: %s", testTimeout, what)
 		case <-time.After(5 * time.Millisecond):
 		}
 	}
 }
 
-func within(t *testing.T, what string, done <-chan error) error {
+func receiveInTime(t *testing.T, what string, done <-chan error) error {
 	t.Helper()
 	select {
 	case err := <-done:
 		return err
-	case <-time.After(patience):
-		t.Fatalf("not within %s: %s", patience, what)
+	case <-time.After(testTimeout):
+		t.Fatalf("not within %s: %s", testTimeout, what)
 		return nil
 	}
 }
 
 // At rest: the next calls find out, and are answered over another connection.
-func TestCallsGoOnOverAnotherConnection(t *testing.T) {
-	server, _ := echoing(t)
-	address, s := serveEndpoint(t, server), newSilencer()
-	client := unpinged(t, s)
+func TestCallsContinueOverReplacementConnection(t *testing.T) {
+	server, _ := newEchoServer(t)
+	address, s := serveEndpoint(t, server), newSilencingDialer()
+	client := newClientWithoutPings(t, s)
 	for range 2 {
-		if err := callIn(t, client, address, "hello"); err != nil {
+		if err := callWithTimeout(t, client, address, "hello"); err != nil {
 			t.Fatal(err)
 		}
 		s.Silence()
-		eventually(t, "a call is answered", func() bool { return callIn(t, client, address, "hello") == nil })
+		eventually(t, "a call is answered", func() bool { return callWithTimeout(t, client, address, "hello") == nil })
 	}
 }
 
 // In the middle of a call that has long to wait: it is not kept waiting.
-func TestCallOverASilentConnectionIsNotKeptWaiting(t *testing.T) {
-	server, came := echoing(t)
-	address, s := serveEndpoint(t, server), newSilencer()
-	client := unpinged(t, s)
+func TestCallOverSilentConnectionEndsEarly(t *testing.T) {
+	server, came := newEchoServer(t)
+	address, s := serveEndpoint(t, server), newSilencingDialer()
+	client := newClientWithoutPings(t, s)
 	ended := make(chan error, 1)
 	go func() {
 		var answer string
@@ -164,27 +164,27 @@
 	}()
 	<-came
 	s.Silence()
-	if within(t, "the call ends", ended) == nil {
+	if receiveInTime(t, "the call ends", ended) == nil {
 		t.Error("a call was answered over a silent connection")
 	}
-	if err := callIn(t, client, address, "hello"); err != nil {
+	if err := callWithTimeout(t, client, address, "hello"); err != nil {
 		t.Errorf("the next call: %v", err)
 	}
 }
 
 // One-way messages bring no answer that could be missed: they follow the calls to the
 // new connection.
-func TestMessagesGoOnOverAnotherConnection(t *testing.T) {
-	server, came := echoing(t)
-	address, s := serveEndpoint(t, server), newSilencer()
-	client := unpinged(t, s)
+func TestMessagesContinueOverReplacementConnection(t *testing.T) {
+	server, came := newEchoServer(t)
+	address, s := serveEndpoint(t, server), newSilencingDialer()
+	client := newClientWithoutPings(t, s)
 	m := NewMessenger[string](client, KindControlLog)
 	defer m.Close()
 	m.Send("server", address, "before")
 	<-came
 	s.Silence()
 	eventually(t, "a message arrives", func() bool {
-		_ = callIn(t, client, address, "hello")
+		_ = callWithTimeout(t, client, address, "hello")
 		m.Send("server", address, "after")
 		select {
 		case text := <-came:
@@ -196,10 +196,10 @@
 }
 
 // A stream that only reads learns that its connection was given up.
-func TestLongStreamEndsWithItsSilentConnection(t *testing.T) {
-	server, came := echoing(t)
-	address, s := serveEndpoint(t, server), newSilencer()
-	client := unpinged(t, s)
+func TestReceivingStreamEndsWhenItsConnectionIsReplaced(t *testing.T) {
+	server, came := newEchoServer(t)
+	address, s := serveEndpoint(t, server), newSilencingDialer()
+	client := newClientWithoutPings(t, s)
 	stream, err := client.Open(t.Context(), address, KindQuery, "")
 	if err != nil {
 		t.Fatal(err)
@@ -215,40 +215,40 @@
 		var text string
 		ended <- stream.Receive(&text)
 	}()
-	_ = callIn(t, client, address, "hello")
-	if within(t, "the stream ends", ended) == nil {
+	_ = callWithTimeout(t, client, address, "hello")
+	if receiveInTime(t, "the stream ends", ended) == nil {
 		t.Error("a message came over a silent connection")
 	}
 }
 
 // Where one connection was silent the others are looked at before they are needed.
-func TestOtherConnectionsAreLookedAtToo(t *testing.T) {
-	first, _ := echoing(t)
-	second, _ := echoing(t)
-	used, idle, s := serveEndpoint(t, first), serveEndpoint(t, second), newSilencer()
-	client := unpinged(t, s)
+func TestOtherConnectionsAreProbed(t *testing.T) {
+	first, _ := newEchoServer(t)
+	second, _ := newEchoServer(t)
+	used, idle, s := serveEndpoint(t, first), serveEndpoint(t, second), newSilencingDialer()
+	client := newClientWithoutPings(t, s)
 	for _, address := range []string{used, idle} {
-		if err := callIn(t, client, address, "hello"); err != nil {
+		if err := callWithTimeout(t, client, address, "hello"); err != nil {
 			t.Fatal(err)
 		}
 	}
 	s.Silence()
-	eventually(t, "a call is answered", func() bool { return callIn(t, client, used, "hello") == nil })
+	eventually(t, "a call is answered", func() bool { return callWithTimeout(t, client, used, "hello") == nil })
 	eventually(t, "the idle connection is replaced", func() bool { return s.dialsTo(idle) == 2 })
 }
 
 // A peer that is only slow keeps its connection, and the streams on it.
 func TestSlowPeerKeepsItsConnection(t *testing.T) {
-	server, came := echoing(t)
-	address, s := serveEndpoint(t, server), newSilencer()
-	client := unpinged(t, s)
+	server, came := newEchoServer(t)
+	address, s := serveEndpoint(t, server), newSilencingDialer()
+	client := newClientWithoutPings(t, s)
 	for range 3 {
-		if callIn(t, client, address, "wait") == nil {
+		if callWithTimeout(t, client, address, "wait") == nil {
 			t.Fatal("a slow peer answered")
 		}
 		<-came
 	}
-	if err := callIn(t, client, address, "hello"); err != nil {
+	if err := callWithTimeout(t, client, address, "hello"); err != nil {
 		t.Fatal(err)
 	}
 	server.mu.Lock()
@@ -261,16 +261,16 @@
 
 // The accepting side gives up what a newer connection of the same process replaced: it
 // would hold a place of the bounded number until its own ping finds out.
-func TestReplacedConnectionIsGivenUpOnBothSides(t *testing.T) {
-	server, _ := echoing(t)
-	address, s := serveEndpoint(t, server), newSilencer()
-	client := unpinged(t, s)
-	if err := callIn(t, client, address, "hello"); err != nil {
+func TestReplacedConnectionIsClosedOnBothSides(t *testing.T) {
+	server, _ := newEchoServer(t)
+	address, s := serveEndpoint(t, server), newSilencingDialer()
+	client := newClientWithoutPings(t, s)
+	if err := callWithTimeout(t, client, address, "hello"); err != nil {
 		t.Fatal(err)
 	}
 	old := client.sessions[address].session
 	s.Silence()
-	eventually(t, "a call is answered", func() bool { return callIn(t, client, address, "hello") == nil })
+	eventually(t, "a call is answered", func() bool { return callWithTimeout(t, client, address, "hello") == nil })
 	eventually(t, "one connection is left", func() bool {
 		server.mu.Lock()
 		defer server.mu.Unlock()
@@ -280,17 +280,17 @@
 
 // A dead peer is told from a silent connection, and is not dialed again at once however
 // often it is doubted.
-func TestDeadPeerIsFoundSoAndLeftAlone(t *testing.T) {
-	server, _ := echoing(t)
-	address, s := serveEndpoint(t, server), newSilencer()
-	client := unpinged(t, s)
-	if err := callIn(t, client, address, "hello"); err != nil {
+func TestUnreachablePeerIsNotRedialedAtOnce(t *testing.T) {
+	server, _ := newEchoServer(t)
+	address, s := serveEndpoint(t, server), newSilencingDialer()
+	client := newClientWithoutPings(t, s)
+	if err := callWithTimeout(t, client, address, "hello"); err != nil {
 		t.Fatal(err)
 	}
 	s.Silence()
-	s.loseDials()
+	s.blockDials()
 	for range 100 {
-		if found := client.Doubt(address, time.Now()).Await(t.Context()); found != Unreached {
+		if found := client.Probe(address, time.Now()).Await(t.Context()); found != ProbeUnreachable {
 			t.Fatalf("found %s", found)
 		}
 	}
@@ -305,10 +305,10 @@
 
 // A peer that wakes while a second connection is dialed keeps the first one: its streams
 // go on, and the second one is given up.
-func TestPeerThatSpeaksMeanwhileKeepsItsConnection(t *testing.T) {
-	server, came := echoing(t)
-	address, s := serveEndpoint(t, server), newSilencer()
-	client := unpinged(t, s)
+func TestPeerThatRespondsDuringRedialKeepsItsConnection(t *testing.T) {
+	server, came := newEchoServer(t)
+	address, s := serveEndpoint(t, server), newSilencingDialer()
+	client := newClientWithoutPings(t, s)
 	stream, err := client.Open(t.Context(), address, KindControlLog, "")
 	if err != nil {
 		t.Fatal(err)
@@ -328,7 +328,7 @@
 		}
 		return dial(ctx, address)
 	}
-	if found := client.Doubt(address, time.Now()).Await(t.Context()); found != Speaks {
+	if found := client.Probe(address, time.Now()).Await(t.Context()); found != ProbeResponsive {
 		t.Fatalf("found %s", found)
 	}
 	if client.sessions[address].session != old || stream.IsReplaced() {
@@ -346,20 +346,20 @@
 
 // The rests of a peer that was dialed in vain double up to a bound, and begin anew after
 // a while without.
-func TestRestsDouble(t *testing.T) {
-	var s doubts
-	for want := firstRest; want < 4*longestRest; want *= 2 {
-		s.end(Unreached, true)
-		if s.rest != min(want, longestRest) {
-			t.Errorf("rests for %s, not %s", s.rest, min(want, longestRest))
+func TestProbeBackoffDoubles(t *testing.T) {
+	var s probeState
+	for want := minProbeBackoff; want < 4*maxProbeBackoff; want *= 2 {
+		s.finish(ProbeUnreachable, true)
+		if s.backoff != min(want, maxProbeBackoff) {
+			t.Errorf("rests for %s, not %s", s.backoff, min(want, maxProbeBackoff))
 		}
 	}
-	s.end(Speaks, false)
-	if s.rest != longestRest {
+	s.finish(ProbeResponsive, false)
+	if s.backoff != maxProbeBackoff {
 		t.Error("an answer to a ping changes the rest")
 	}
-	s.restUntil = time.Now().Add(-2 * longestRest)
-	if s.end(Unreached, true); s.rest != firstRest {
-		t.Errorf("rests for %s after a long time", s.rest)
+	s.backoffUntil = time.Now().Add(-2 * maxProbeBackoff)
+	if s.finish(ProbeUnreachable, true); s.backoff != minProbeBackoff {
+		t.Errorf("rests for %s after a long time", s.backoff)
 	}
 }
--- a/pkg/link/endpoint.go
+++ b/pkg/link/endpoint.go
@@ -25,12 +25,12 @@
 
 const (
 	dialTimeout = 1500 * time.Millisecond
-	// keepAliveInterval lies between two pings of a connection, and writeTimeout is
+	// pingInterval lies between two pings of a connection, and writeTimeout is
 	// how long one may stay unanswered: a connection that went silent without a reset
 	// and that nobody uses is dropped after 4 s at the most. One in use is found out by
 	// its callers, see Doubt. A ping costs some ten microseconds.
-	keepAliveInterval = 2 * time.Second
-	writeTimeout      = 2 * time.Second
+	pingInterval = 2 * time.Second
+	pingTimeout  = 2 * time.Second
 	// streamWindow is what may be in transit on one stream, in bytes. The
 	// smallest that yamux takes; more would only let chunks queue up.
 	streamWindow = 256 << 10
@@ -53,11 +53,11 @@
 	Dial func(ctx context.Context, address string) (net.Conn, error)
 	// MaxConnections bounds the incoming connections.
 	MaxConnections int
-	// KeepAlive is how often a connection is pinged, and how long a ping may stay
+	// PingInterval is how often a connection is pinged, and how long a ping may stay
 	// unanswered; a seam for tests, zero is keepAliveInterval and writeTimeout.
-	KeepAlive, Unanswered time.Duration
-	// Doubted is told what came of each look at a connection in doubt; may be nil.
-	Doubted func(Finding)
+	PingInterval, PingTimeout time.Duration
+	// OnProbe is told what came of each look at a connection in doubt; may be nil.
+	OnProbe func(ProbeResult)
 }
 
 // Endpoint is one process's end of its links.
@@ -68,35 +68,35 @@
 	slots    chan struct{}
 
 	mu       sync.Mutex
-	sessions map[string]*dialed
-	retired  map[*dialed]bool // replaced, and not closed yet
+	sessions map[string]*dialedConn
+	replaced map[*dialedConn]bool // replaced, and not closed yet
 	accepted map[*connection]bool
 	closed   bool
 }
 
-// dialed is the connection to one address; ready is closed once it is known
+// dialedConn is the connection to one address; ready is closed once it is known
 // whether the dial succeeded.
-type dialed struct {
+type dialedConn struct {
 	connection
-	address  string
-	ready    chan struct{}
-	err      error
-	began    time.Time
-	replaces bool // it took the place of a silent one
-	doubts   doubts
+	address       string
+	ready         chan struct{}
+	err           error
+	established   time.Time
+	isReplacement bool // it took the place of a silent one
+	probes        probeState
 	// inUse ends when another connection takes the place of this one.
-	inUse  context.Context
-	giveUp func()
+	inUse        context.Context
+	markReplaced func()
 }
 
-func newDialing(address string) *dialed {
-	d := &dialed{address: address, ready: make(chan struct{})}
-	d.inUse, d.giveUp = context.WithCancel(context.Background())
+func newPendingConn(address string) *dialedConn {
+	d := &dialedConn{address: address, ready: make(chan struct{})}
+	d.inUse, d.markReplaced = context.WithCancel(context.Background())
 	return d
 }
 
-func newDialed(address string, c connection) *dialed {
-	d := newDialing(address)
+func newReadyConn(address string, c connection) *dialedConn {
+	d := newPendingConn(address)
 	d.connection = c
 	close(d.ready)
 	return d
@@ -110,16 +110,16 @@
 	if c.MaxConnections == 0 {
 		c.MaxConnections = DefaultMaxConnections
 	}
-	if c.KeepAlive == 0 {
-		c.KeepAlive, c.Unanswered = keepAliveInterval, writeTimeout
+	if c.PingInterval == 0 {
+		c.PingInterval, c.PingTimeout = pingInterval, pingTimeout
 	}
 	return &Endpoint{
 		config:   c,
 		handlers: map[Kind]Handler{},
 		topics:   map[string]Handler{},
 		slots:    make(chan struct{}, c.MaxConnections),
-		sessions: map[string]*dialed{},
-		retired:  map[*dialed]bool{},
+		sessions: map[string]*dialedConn{},
+		replaced: map[*dialedConn]bool{},
 		accepted: map[*connection]bool{},
 	}
 }
@@ -148,7 +148,7 @@
 			_ = d.session.Close()
 		}
 	}
-	for d := range e.retired {
+	for d := range e.replaced {
 		_ = d.session.Close()
 	}
 	for c := range e.accepted {
@@ -159,8 +159,8 @@
 func (e *Endpoint) sessionConfig() *yamux.Config {
 	c := yamux.DefaultConfig()
 	c.LogOutput = io.Discard
-	c.KeepAliveInterval = e.config.KeepAlive
-	c.ConnectionWriteTimeout = e.config.Unanswered
+	c.KeepAliveInterval = e.config.PingInterval
+	c.ConnectionWriteTimeout = e.config.PingTimeout
 	c.MaxStreamWindowSize = streamWindow
 	return c
 }
--- a/pkg/link/endpoint_test.go
+++ b/pkg/link/endpoint_test.go
@@ -72,9 +72,9 @@
 	}
 }
 
-// TestBrokenStreamIsNoWholeAnswer shows that an answer without its end is told
+// TestTruncatedStreamIsNotACompleteResponse shows that an answer without its end is told
 // from a whole one.
-func TestBrokenStreamIsNoWholeAnswer(t *testing.T) {
+func TestTruncatedStreamIsNotACompleteResponse(t *testing.T) {
 	server := testEndpoint("server", "", 0)
 	server.Handle(KindChunk, func(_ context.Context, s *Stream) error {
 		if err := s.Send("part"); err != nil {
--- a/pkg/link/frame.go
+++ b/pkg/link/frame.go
@@ -36,14 +36,14 @@
 	frameMessage frameType = iota + 1
 	frameFailure
 	frameEnd
-	framePacked
+	frameCompressed
 )
 
 const (
 	lengthSize = 4
 	headerSize = 1 + 8 + 4
-	// packAbove is the size in bytes from which a body is worth packing.
-	packAbove = 512
+	// compressThreshold is the size in bytes from which a body is worth packing.
+	compressThreshold = 512
 
 	// MaxFrame bounds a frame in bytes. The largest message is a full copy of
 	// the configuration, whose largest object is a manifest of 544 KiB.
@@ -57,21 +57,21 @@
 	body  []byte
 }
 
-// packed returns the frame with its body packed where that gains enough.
-func (f frame) packed() frame {
-	if f.typ != frameMessage || len(f.body) < packAbove {
+// compressed returns the frame with its body packed where that gains enough.
+func (f frame) compressed() frame {
+	if f.typ != frameMessage || len(f.body) < compressThreshold {
 		return f
 	}
 	body := s2.Encode(nil, f.body)
 	if len(body) > len(f.body)/8*7 {
 		return f
 	}
-	return frame{framePacked, f.stamp, body}
+	return frame{frameCompressed, f.stamp, body}
 }
 
-// unpacked returns the frame with its body as it was before packed.
-func (f frame) unpacked() (frame, error) {
-	if f.typ != framePacked {
+// decompressed returns the frame with its body as it was before packed.
+func (f frame) decompressed() (frame, error) {
+	if f.typ != frameCompressed {
 		return f, nil
 	}
 	if length, err := s2.DecodedLen(f.body); err != nil || length > MaxFrame {
@@ -89,7 +89,7 @@
 	if len(f.body)+headerSize > MaxFrame {
 		return failure.New(failure.TooLarge, "a frame of %d bytes; the bound is %d", len(f.body)+headerSize, MaxFrame)
 	}
-	f = f.packed()
+	f = f.compressed()
 	raw := make([]byte, lengthSize+headerSize, lengthSize+headerSize+len(f.body))
 	binary.BigEndian.PutUint32(raw, uint32(headerSize+len(f.body)))
 	raw[lengthSize] = byte(f.typ)
@@ -121,14 +121,14 @@
 			int64(binary.BigEndian.Uint64(prefix[lengthSize+1:])),
 			binary.BigEndian.Uint32(prefix[lengthSize+9:])),
 	}
-	if f.typ < frameMessage || f.typ > framePacked {
+	if f.typ < frameMessage || f.typ > frameCompressed {
 		return frame{}, failure.New(failure.BadRequest, "a frame of unknown type %d", f.typ).WithRan(failure.RanUnknown)
 	}
 	f.body = make([]byte, length-headerSize)
 	if _, err := io.ReadFull(r, f.body); err != nil {
 		return frame{}, io.ErrUnexpectedEOF
 	}
-	return f.unpacked()
+	return f.decompressed()
 }
 
 // decodeBody reads a frame's message into v. What cannot be read says nothing
--- a/pkg/link/frame_test.go
+++ b/pkg/link/frame_test.go
@@ -54,9 +54,9 @@
 	}
 }
 
-// TestUnreadableFrameIsNotCalledNotRun shows that damage on the way back never
+// TestUnreadableFrameHasUnknownOutcome shows that damage on the way back never
 // becomes a claim that nothing ran.
-func TestUnreadableFrameIsNotCalledNotRun(t *testing.T) {
+func TestUnreadableFrameHasUnknownOutcome(t *testing.T) {
 	for _, data := range [][]byte{{0x7f, 0, 0, 0}, {0, 0, 0, 13, 9, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0}} {
 		_, err := readFrame(bytes.NewReader(data))
 		if failure.Of(err).Ran() == failure.NotRun {
--- a/pkg/link/kinds.go
+++ b/pkg/link/kinds.go
@@ -35,12 +35,12 @@
 	KindFeed
 	KindControlCall
 	KindJoin
-	KindChunkOf
-	KindChunkNotice
+	KindStagerChunk
+	KindStagerNotice
 	KindReserve
 	KindPermit
 	KindPermitReport
-	KindRepeat
+	KindRetryLoan
 )
 
 // opening is the first frame of a stream.
--- a/pkg/link/messenger.go
+++ b/pkg/link/messenger.go
@@ -43,9 +43,9 @@
 // Close ends the sending goroutines.
 func (m *Messenger[T]) Close() { close(m.done) }
 
-// Learn remembers where a peer speaks from, for answers to one whose address
+// SetAddress remembers where a peer speaks from, for answers to one whose address
 // the sender does not know.
-func (m *Messenger[T]) Learn(peer, address string) {
+func (m *Messenger[T]) SetAddress(peer, address string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.addresses[peer] = address
@@ -66,7 +66,7 @@
 	if outbox == nil {
 		outbox = make(chan T, outboxSize)
 		m.outboxes[address] = outbox
-		go m.pump(address, outbox)
+		go m.sendLoop(address, outbox)
 	}
 	select {
 	case outbox <- message:
@@ -74,8 +74,8 @@
 	}
 }
 
-// pump keeps one stream to an address.
-func (m *Messenger[T]) pump(address string, outbox <-chan T) {
+// sendLoop keeps one stream to an address.
+func (m *Messenger[T]) sendLoop(address string, outbox <-chan T) {
 	var s *Stream
 	for {
 		var message T
@@ -91,7 +91,7 @@
 		}
 		if s == nil {
 			if s = m.dial(address); s == nil {
-				drain(outbox)
+				discardQueued(outbox)
 				continue
 			}
 		}
@@ -115,8 +115,8 @@
 	return nil
 }
 
-// drain drops what waited for a peer that could not be dialed: it is old.
-func drain[T any](outbox <-chan T) {
+// discardQueued drops what waited for a peer that could not be dialed: it is old.
+func discardQueued[T any](outbox <-chan T) {
 	for {
 		select {
 		case <-outbox:
--- a/pkg/link/packed_test.go
+++ b/pkg/link/packed_test.go
@@ -13,7 +13,7 @@
 
 // A large body that repeats itself crosses the link in few bytes and arrives as
 // it was.
-func TestLargeBodiesArePacked(t *testing.T) {
+func TestLargeBodiesAreCompressed(t *testing.T) {
 	body := []byte(strings.Repeat("a route that looks like the others; ", 500))
 	var wire bytes.Buffer
 	if err := writeFrame(&wire, frame{typ: frameMessage, stamp: event.NewStamp(7, 1), body: body}); err != nil {
@@ -29,17 +29,17 @@
 }
 
 // A body that says it unpacks to more than a frame may hold takes no memory.
-func TestPackedBodyIsBounded(t *testing.T) {
+func TestDecompressedBodyIsBounded(t *testing.T) {
 	var wire bytes.Buffer
 	bomb := s2.Encode(nil, make([]byte, MaxFrame+1))
-	if err := writeFrame(&wire, frame{typ: framePacked, stamp: event.NewStamp(7, 1), body: bomb}); err != nil {
+	if err := writeFrame(&wire, frame{typ: frameCompressed, stamp: event.NewStamp(7, 1), body: bomb}); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := readFrame(&wire); !failure.Is(err, failure.TooLarge) {
 		t.Fatalf("%v", err)
 	}
 	wire.Reset()
-	if err := writeFrame(&wire, frame{typ: framePacked, stamp: event.NewStamp(7, 1), body: []byte("no packed body")}); err != nil {
+	if err := writeFrame(&wire, frame{typ: frameCompressed, stamp: event.NewStamp(7, 1), body: []byte("no packed body")}); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := readFrame(&wire); err == nil {
--- a/pkg/link/pubsub.go
+++ b/pkg/link/pubsub.go
@@ -104,7 +104,7 @@
 func (s *Subscriber) Subscribe(ctx context.Context, topic string) (<-chan *message.Message, error) {
 	n := &subscription{out: make(chan *message.Message, subscriberBuffer)}
 	s.endpoint.HandleTopic(KindPublish, topic, func(_ context.Context, stream *Stream) error {
-		return s.pump(stream, n)
+		return s.receiveLoop(stream, n)
 	})
 	go func() {
 		select {
@@ -125,8 +125,8 @@
 	}
 }
 
-// pump feeds the subscription from one stream.
-func (s *Subscriber) pump(stream *Stream, n *subscription) error {
+// receiveLoop feeds the subscription from one stream.
+func (s *Subscriber) receiveLoop(stream *Stream, n *subscription) error {
 	for {
 		var payload []byte
 		err := stream.Receive(&payload)
--- a/pkg/link/silence_test.go
+++ b/pkg/link/silence_test.go
@@ -8,26 +8,26 @@
 	"time"
 )
 
-// silencedConn loses what is written to it once it is silenced, without an error.
-type silencedConn struct {
+// discardingConn loses what is written to it once it is silenced, without an error.
+type discardingConn struct {
 	net.Conn
 	silenced *atomic.Bool
 }
 
-func (c silencedConn) Write(b []byte) (int, error) {
+func (c discardingConn) Write(b []byte) (int, error) {
 	if c.silenced.Load() {
 		return len(b), nil
 	}
 	return c.Conn.Write(b)
 }
 
-// noticedWithin is how long a connection may be silent until it is dropped: the
+// maxSilence is how long a connection may be silent until it is dropped: the
 // users call a VM in touch again 4 s after its connections were reset.
-const noticedWithin = 4 * time.Second
+const maxSilence = 4 * time.Second
 
-func TestSilenceIsNoticedInTime(t *testing.T) {
+func TestUnansweredPingClosesConnectionInTime(t *testing.T) {
 	c := testEndpoint("client", "", 0).sessionConfig()
-	if within := c.KeepAliveInterval + c.ConnectionWriteTimeout; !c.EnableKeepAlive || within > noticedWithin {
+	if within := c.KeepAliveInterval + c.ConnectionWriteTimeout; !c.EnableKeepAlive || within > maxSilence {
 		t.Fatalf("a silent connection is dropped after %s", within)
 	}
 }
@@ -35,13 +35,13 @@
 // A connection may go silent for good without a reset while new ones work. It is
 // found out by a ping of our own, at rest and in the middle of an exchange, and the
 // next call dials anew.
-func TestSilentConnectionsAreDropped(t *testing.T) {
+func TestSilentConnectionsAreClosedByPings(t *testing.T) {
 	for name, waits := range map[string]bool{"at rest": false, "in the middle of an exchange": true} {
-		t.Run(name, func(t *testing.T) { testSilence(t, waits) })
+		t.Run(name, func(t *testing.T) { testSilentConnection(t, waits) })
 	}
 }
 
-func testSilence(t *testing.T, waits bool) {
+func testSilentConnection(t *testing.T, waits bool) {
 	server := testEndpoint("server", "", 0)
 	came := make(chan bool, 2)
 	server.Handle(KindQuery, func(ctx context.Context, s *Stream) error {
@@ -58,13 +58,13 @@
 	address := serveEndpoint(t, server)
 	client := testEndpoint("client", "", 0)
 	t.Cleanup(client.Close)
-	client.config.KeepAlive, client.config.Unanswered = 20*time.Millisecond, 200*time.Millisecond
+	client.config.PingInterval, client.config.PingTimeout = 20*time.Millisecond, 200*time.Millisecond
 	var silenced atomic.Bool
 	dialed := make(chan bool, 2)
 	client.config.Dial = func(ctx context.Context, address string) (net.Conn, error) {
 		conn, err := dialTCP(ctx, address)
 		if len(dialed) == 0 {
-			conn = silencedConn{conn, &silenced}
+			conn = discardingConn{conn, &silenced}
 		}
 		dialed <- true
 		return conn, err
--- a/pkg/link/stream.go
+++ b/pkg/link/stream.go
@@ -22,10 +22,10 @@
 
 // Stream is one exchange. One goroutine may send while another receives.
 type Stream struct {
-	conn  net.Conn
-	clock *event.Clock
-	peer  vm.Identity
-	over  *dialed // nil on the accepting side
+	conn   net.Conn
+	clock  *event.Clock
+	peer   vm.Identity
+	dialed *dialedConn // nil on the accepting side
 
 	mu sync.Mutex
 }
@@ -86,10 +86,10 @@
 	}
 }
 
-// OnGone calls f, from a goroutine of its own, once the other side has closed
+// OnPeerClosed calls f, from a goroutine of its own, once the other side has closed
 // the stream or the stream broke. It is for a side that expects no more
 // messages: whatever comes ends the wait too.
-func (s *Stream) OnGone(f func()) {
+func (s *Stream) OnPeerClosed(f func()) {
 	go func() {
 		_, _ = readFrame(s.conn)
 		f()
@@ -100,14 +100,14 @@
 // and another one takes its place; call stop when done. On the accepting side it never
 // does.
 func (s *Stream) OnReplaced(f func()) (stop func() bool) {
-	if s.over == nil {
+	if s.dialed == nil {
 		return func() bool { return true }
 	}
-	return context.AfterFunc(s.over.inUse, f)
+	return context.AfterFunc(s.dialed.inUse, f)
 }
 
 // IsReplaced tells whether another connection took the place of this stream's.
-func (s *Stream) IsReplaced() bool { return s.over != nil && s.over.inUse.Err() != nil }
+func (s *Stream) IsReplaced() bool { return s.dialed != nil && s.dialed.inUse.Err() != nil }
 
 // SetDeadline bounds every later read and write.
 func (s *Stream) SetDeadline(t time.Time) { _ = s.conn.SetDeadline(t) }
@@ -115,8 +115,8 @@
 // Close closes the stream in both directions.
 func (s *Stream) Close() { _ = s.conn.Close() }
 
-// closeOn closes the stream when the context ends; call stop when done.
-func (s *Stream) closeOn(ctx context.Context) (stop func() bool) {
+// closeOnDone closes the stream when the context ends; call stop when done.
+func (s *Stream) closeOnDone(ctx context.Context) (stop func() bool) {
 	return context.AfterFunc(ctx, func() {
 		_ = s.conn.SetDeadline(time.Unix(1, 0))
 		_ = s.conn.Close()
--- a/pkg/link/tcp.go
+++ b/pkg/link/tcp.go
@@ -21,28 +21,28 @@
 const (
 	// unackedTimeout is how long sent bytes may wait for their acknowledgement.
 	unackedTimeout = 2 * time.Second
-	// probeIdle and probeInterval, in seconds, and probeCount are the TCP
+	// tcpKeepAliveIdle and probeInterval, in seconds, and probeCount are the TCP
 	// keep-alive of connections that say nothing.
-	probeIdle     = 2
-	probeInterval = 1
-	probeCount    = 3
+	tcpKeepAliveIdle     = 2
+	tcpKeepAliveInterval = 1
+	tcpKeepAliveCount    = 3
 )
 
-// firstTry is how long the first try of a dial may take; each further one may
+// firstDialTimeout is how long the first try of a dial may take; each further one may
 // take twice as long. Ways between the users' VMs take 6 ms there and back.
-const firstTry = 150 * time.Millisecond
+const firstDialTimeout = 150 * time.Millisecond
 
 // dialTCP opens a connection that breaks when the other side falls silent.
 func dialTCP(ctx context.Context, address string) (net.Conn, error) {
-	d := net.Dialer{Timeout: dialTimeout, Control: silenceControl, KeepAlive: -1}
-	return dialInTries(ctx, firstTry, func(ctx context.Context) (net.Conn, error) { return d.DialContext(ctx, "tcp", address) })
+	d := net.Dialer{Timeout: dialTimeout, Control: tcpKeepAliveControl, KeepAlive: -1}
+	return dialWithRetries(ctx, firstDialTimeout, func(ctx context.Context) (net.Conn, error) { return d.DialContext(ctx, "tcp", address) })
 }
 
-// dialInTries dials anew while nobody answers. The kernel sends an opening
+// dialWithRetries dials anew while nobody answers. The kernel sends an opening
 // packet that was lost again after a second; VMs that got their power back
 // together found each other a second late, since the first packets went to VMs
 // that were not up yet.
-func dialInTries(ctx context.Context, try time.Duration, dial func(context.Context) (net.Conn, error)) (net.Conn, error) {
+func dialWithRetries(ctx context.Context, try time.Duration, dial func(context.Context) (net.Conn, error)) (net.Conn, error) {
 	for {
 		trying, cancel := context.WithTimeout(ctx, try)
 		conn, err := dial(trying)
@@ -55,8 +55,8 @@
 	}
 }
 
-// boundSilence sets the options on a connection; others than TCP are left.
-func boundSilence(conn net.Conn) {
+// applyTCPKeepAlive sets the options on a connection; others than TCP are left.
+func applyTCPKeepAlive(conn net.Conn) {
 	tcp, ok := conn.(*net.TCPConn)
 	if !ok {
 		return
@@ -65,21 +65,21 @@
 	if err != nil {
 		return
 	}
-	_ = raw.Control(func(fd uintptr) { setSilence(int(fd), unackedTimeout) })
+	_ = raw.Control(func(fd uintptr) { setTCPKeepAlive(int(fd), unackedTimeout) })
 }
 
-// setSilence sets the options on a socket. An option that the kernel lacks is
+// setTCPKeepAlive sets the options on a socket. An option that the kernel lacks is
 // left out: the link then breaks later.
-func setSilence(fd int, timeout time.Duration) {
+func setTCPKeepAlive(fd int, timeout time.Duration) {
 	_ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(timeout.Milliseconds()))
 	_ = unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_KEEPALIVE, 1)
-	_ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_KEEPIDLE, probeIdle)
-	_ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_KEEPINTVL, probeInterval)
-	_ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_KEEPCNT, probeCount)
+	_ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_KEEPIDLE, tcpKeepAliveIdle)
+	_ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_KEEPINTVL, tcpKeepAliveInterval)
+	_ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_KEEPCNT, tcpKeepAliveCount)
 }
 
-// silenceControl sets the options before a connection is made, so that they
+// tcpKeepAliveControl sets the options before a connection is made, so that they
 // bound the making too.
-func silenceControl(_, _ string, raw syscall.RawConn) error {
-	return raw.Control(func(fd uintptr) { setSilence(int(fd), unackedTimeout) })
+func tcpKeepAliveControl(_, _ string, raw syscall.RawConn) error {
+	return raw.Control(func(fd uintptr) { setTCPKeepAlive(int(fd), unackedTimeout) })
 }
--- a/pkg/link/tcp_test.go
+++ b/pkg/link/tcp_test.go
@@ -9,9 +9,9 @@
 )
 
 // VMs that got their power back together found each other a second late.
-func TestADialWithoutAnswerIsTriedAgain(t *testing.T) {
+func TestUnansweredDialIsRetried(t *testing.T) {
 	tries := 0
-	conn, err := dialInTries(t.Context(), time.Millisecond, func(ctx context.Context) (net.Conn, error) {
+	conn, err := dialWithRetries(t.Context(), time.Millisecond, func(ctx context.Context) (net.Conn, error) {
 		if tries++; tries < 3 {
 			<-ctx.Done()
 			return nil, ctx.Err()
@@ -25,10 +25,10 @@
 	}
 }
 
-func TestARefusedDialIsNotTriedAgain(t *testing.T) {
+func TestRefusedDialIsNotRetried(t *testing.T) {
 	tries := 0
 	refused := errors.New("connection refused")
-	_, err := dialInTries(t.Context(), time.Hour, func(context.Context) (net.Conn, error) {
+	_, err := dialWithRetries(t.Context(), time.Hour, func(context.Context) (net.Conn, error) {
 		tries++
 		return nil, refused
 	})
--- a/pkg/link/tls_test.go
+++ b/pkg/link/tls_test.go
@@ -84,7 +84,7 @@
 	return c
 }
 
-func TestMutualTLSLetsInWhomTheAuthoritySigned(t *testing.T) {
+func TestMutualTLSAcceptsOnlyCertificatesOfTheAuthority(t *testing.T) {
 	ours, theirs := newAuthority(t), newAuthority(t)
 	endpoint := func(name string, c *tls.Config) *Endpoint {
 		return NewEndpoint(Config{Own: vm.NewIdentity(vm.ID(name), 1, "", "", ""), TLS: c, Clock: event.NewClock(time.Now), Logger: log.NewNopLogger()})
--- a/pkg/operator/apply.go
+++ b/pkg/operator/apply.go
@@ -160,8 +160,8 @@
 		names = append(names, string(status.Entry().ID()))
 	}
 	for _, a := range status.Agents() {
-		if a.Beat().Revision() < revision {
-			names = append(names, string(a.Beat().From().ID())+" at "+strconv.FormatUint(a.Beat().Revision(), 10))
+		if a.LastHeartbeat().Revision() < revision {
+			names = append(names, string(a.LastHeartbeat().From().ID())+" at "+strconv.FormatUint(a.LastHeartbeat().Revision(), 10))
 		}
 	}
 	for _, b := range status.Entries() {
--- a/pkg/operator/status.go
+++ b/pkg/operator/status.go
@@ -110,9 +110,9 @@
 	}
 	add(processView{Name: string(s.Entry().ID()), Role: "entry", Domain: s.Entry().Domain(), Revision: s.Revision(), State: "serving"})
 	for _, a := range s.Agents() {
-		if !seen[string(a.Beat().From().ID())] {
-			v.OriginBytes += a.Beat().OriginBytes()
-			v.PeerBytes += a.Beat().PeerBytes()
+		if !seen[string(a.LastHeartbeat().From().ID())] {
+			v.OriginBytes += a.LastHeartbeat().OriginBytes()
+			v.PeerBytes += a.LastHeartbeat().PeerBytes()
 		}
 		add(agentView(a))
 	}
@@ -134,7 +134,7 @@
 }
 
 func agentView(a contract.AgentStatus) processView {
-	b := a.Beat()
+	b := a.LastHeartbeat()
 	p := processView{
 		Name: string(b.From().ID()), Role: "agent", Domain: b.From().Domain(), Revision: b.Revision(),
 		State: "serving", InFlight: b.Load().InFlight(),
--- a/pkg/operator/timeline.go
+++ b/pkg/operator/timeline.go
@@ -74,7 +74,7 @@
 		}
 		addresses[string(status.Entry().ID())] = entry
 		for _, a := range status.Agents() {
-			addresses[string(a.Beat().From().ID())] = a.Beat().From().Address()
+			addresses[string(a.LastHeartbeat().From().ID())] = a.LastHeartbeat().From().Address()
 		}
 		for _, b := range status.Entries() {
 			addresses[string(b.From().ID())] = b.From().Address()
--- a/pkg/spread/coordinator.go
+++ b/pkg/spread/coordinator.go
@@ -27,84 +27,84 @@
 const (
 	// DefaultNeighbours is how many neighbours an agent gets.
 	DefaultNeighbours = 24
-	// DefaultDraws is how many draws all domains together have under way.
-	DefaultDraws = 32
-	// leastDraws is how many of them a domain has at least.
-	leastDraws = 2
-	// DefaultLease is how long a lease lasts without the chunk's arrival.
-	DefaultLease = 20 * time.Second
+	// DefaultOriginFetches is how many draws all domains together have under way.
+	DefaultOriginFetches = 32
+	// minOriginFetches is how many of them a domain has at least.
+	minOriginFetches = 2
+	// DefaultLeaseDuration is how long a lease lasts without the chunk's arrival.
+	DefaultLeaseDuration = 20 * time.Second
 	// leasesPerAgent bounds the leases that one agent holds.
 	leasesPerAgent = 4
 	// agentTimeout is when an agent that reports no more is dropped, and its
 	// leases given out again. Agents report every second.
 	agentTimeout = 3500 * time.Millisecond
-	// wholeTimeout is the same for agents whose copy is whole: they report less
+	// completeAgentTimeout is the same for agents whose copy is whole: they report less
 	// often and hold no leases.
-	wholeTimeout = 13 * time.Second
-	// grace is how long a new coordinator listens before it draws, so that it
+	completeAgentTimeout = 13 * time.Second
+	// startupDelay is how long a new coordinator listens before it draws, so that it
 	// hears of the other domains and of the agents' reports.
-	grace = 300 * time.Millisecond
-	// stuckAfter is when a domain that brings in nothing loses its chunks.
-	stuckAfter = 10 * time.Second
-	// soleHolder is how long a chunk may stay with its first holder.
-	soleHolder = 40 * time.Second
+	startupDelay = 300 * time.Millisecond
+	// stuckTimeout is when a domain that brings in nothing loses its chunks.
+	stuckTimeout = 10 * time.Second
+	// soleHolderTimeout is how long a chunk may stay with its first holder.
+	soleHolderTimeout = 40 * time.Second
 	// domainTimeout is when another domain that is not heard of is dropped.
 	domainTimeout = 10 * time.Second
 )
 
 // CoordinatorConfig are the constants of a coordinator.
 type CoordinatorConfig struct {
-	Domain     string
-	Digest     contract.Digest
-	Total      int
-	Neighbours int
-	Draws      int
-	Lease      time.Duration
-	Random     *rand.Rand
+	Domain        string
+	Digest        contract.Digest
+	Total         int
+	Neighbours    int
+	OriginFetches int
+	LeaseDuration time.Duration
+	Random        *rand.Rand
 }
 
 // member is an agent that has reported.
 type member struct {
 	identity   vm.Identity
 	held       Bitmap
-	wants      bool
-	seen       time.Time
+	incomplete bool
+	lastSeen   time.Time
 	neighbours []vm.ID
 	leases     int
 }
 
 // lease lets one agent bring one chunk into the domain.
 type lease struct {
-	agent  vm.ID
-	until  time.Time
-	origin bool
-	holder vm.Identity
+	agent      vm.ID
+	expires    time.Time
+	fromOrigin bool
+	holder     vm.Identity
 }
 
-// remote is what another domain's coordinator has said.
-type remote struct {
-	sources contract.DomainSources
-	seen    time.Time
-	// held is how many chunks the domain held, and progressed when that last
+// remoteDomain is what another domain's coordinator has said.
+type remoteDomain struct {
+	sources  contract.DomainSources
+	lastSeen time.Time
+	// heldCount is how many chunks the domain held, and progressed when that last
 	// grew.
-	held       int
-	progressed time.Time
+	heldCount    int
+	progressedAt time.Time
 }
 
 // Coordinator decides for one copy in one failure domain. It is used by one
 // goroutine.
 type Coordinator struct {
-	config  CoordinatorConfig
-	members map[vm.ID]*member
-	leases  map[int]lease
-	copies  []int       // per chunk, how many members hold it
-	since   []time.Time // per chunk, when its first copy came
-	remotes map[string]remote
-	owners  []string // per chunk, the domain that draws it
-	domains string   // those that owners was made for
-	taking  int      // how many they are
-	draws   int      // how many draw leases are out
-	started time.Time
+	config       CoordinatorConfig
+	members      map[vm.ID]*member
+	leases       map[int]lease
+	holderCounts []int       // per chunk, how many members hold it
+	firstHeldAt  []time.Time // per chunk, when its first copy came
+	remotes      map[string]remoteDomain
+	owners       []string // per chunk, the domain that draws it
+	ownerKey     string   // those that owners was made for
+	ownerDomains int      // how many they are
+	originLeases int      // how many draw leases are out
+	started      time.Time
 }
 
 // NewCoordinator returns a coordinator that knows of nobody yet.
@@ -112,20 +112,20 @@
 	if c.Neighbours == 0 {
 		c.Neighbours = DefaultNeighbours
 	}
-	if c.Draws == 0 {
-		c.Draws = DefaultDraws
+	if c.OriginFetches == 0 {
+		c.OriginFetches = DefaultOriginFetches
 	}
-	if c.Lease == 0 {
-		c.Lease = DefaultLease
+	if c.LeaseDuration == 0 {
+		c.LeaseDuration = DefaultLeaseDuration
 	}
 	return &Coordinator{
-		config:  c,
-		members: map[vm.ID]*member{},
-		leases:  map[int]lease{},
-		copies:  make([]int, c.Total),
-		since:   make([]time.Time, c.Total),
-		remotes: map[string]remote{},
-		started: now,
+		config:       c,
+		members:      map[vm.ID]*member{},
+		leases:       map[int]lease{},
+		holderCounts: make([]int, c.Total),
+		firstHeldAt:  make([]time.Time, c.Total),
+		remotes:      map[string]remoteDomain{},
+		started:      now,
 	}
 }
 
@@ -136,9 +136,9 @@
 func (c *Coordinator) Report(r contract.SpreadReport, now time.Time) contract.SpreadPlan {
 	m := c.update(r, now)
 	c.expire(now)
-	draw, imports := c.lend(m, now)
+	draw, imports := c.leasesOf(m, now)
 	neighbours := c.neighboursOf(m)
-	if HashOf(neighbours) == r.Neighbours() {
+	if NeighbourHash(neighbours) == r.Neighbours() {
 		// Two dozen identities a second to each agent were most of what a
 		// coordinator sent.
 		return contract.NewSpreadPlan(nil, true, draw, imports)
@@ -146,8 +146,8 @@
 	return contract.NewSpreadPlan(neighbours, false, draw, imports)
 }
 
-// HashOf tells one set of neighbours from another, whatever their order.
-func HashOf(neighbours []vm.Identity) uint64 {
+// NeighbourHash tells one set of neighbours from another, whatever their order.
+func NeighbourHash(neighbours []vm.Identity) uint64 {
 	hash := uint64(0)
 	for _, n := range neighbours {
 		hash += failuredomain.Rank(string(n.ID()), strconv.FormatUint(n.Incarnation(), 16))
@@ -159,17 +159,17 @@
 	id := r.From().ID()
 	m := c.members[id]
 	if m != nil && !m.identity.SameIncarnation(r.From()) {
-		c.drop(id)
+		c.dropMember(id)
 		m = nil
 	}
 	if m == nil {
 		m = &member{identity: r.From(), held: NewBitmap(c.config.Total)}
 		c.members[id] = m
 	}
-	m.identity, m.wants, m.seen = r.From(), r.Wants(), now
+	m.identity, m.incomplete, m.lastSeen = r.From(), r.Incomplete(), now
 	c.updateHeld(m, BitmapOf(r.Held(), c.config.Total), now)
-	for _, chunk := range r.Drawn() {
-		c.giveBack(int(chunk), id)
+	for _, chunk := range r.Released() {
+		c.releaseLease(int(chunk), id)
 	}
 	return m
 }
@@ -181,20 +181,20 @@
 			continue
 		}
 		if !is {
-			c.copies[i]--
+			c.holderCounts[i]--
 			continue
 		}
-		c.copies[i]++
-		if c.copies[i] == 1 {
-			c.since[i] = now
+		c.holderCounts[i]++
+		if c.holderCounts[i] == 1 {
+			c.firstHeldAt[i] = now
 		}
-		c.giveBack(i, m.identity.ID())
+		c.releaseLease(i, m.identity.ID())
 	}
 	m.held = held
 }
 
-// giveBack ends the lease of a chunk if the agent holds it.
-func (c *Coordinator) giveBack(chunk int, agent vm.ID) {
+// releaseLease ends the lease of a chunk if the agent holds it.
+func (c *Coordinator) releaseLease(chunk int, agent vm.ID) {
 	if l, ok := c.leases[chunk]; ok && l.agent == agent {
 		c.endLease(chunk, l)
 	}
@@ -202,8 +202,8 @@
 
 func (c *Coordinator) endLease(chunk int, l lease) {
 	delete(c.leases, chunk)
-	if l.origin {
-		c.draws--
+	if l.fromOrigin {
+		c.originLeases--
 	}
 	if m := c.members[l.agent]; m != nil {
 		m.leases--
@@ -211,16 +211,16 @@
 }
 
 func (m *member) timeout() time.Duration {
-	if m.wants {
+	if m.incomplete {
 		return agentTimeout
 	}
-	return wholeTimeout
+	return completeAgentTimeout
 }
 
-// Wants tells whether an agent of the domain lacks chunks.
-func (c *Coordinator) Wants() bool {
+// Incomplete tells whether an agent of the domain lacks chunks.
+func (c *Coordinator) Incomplete() bool {
 	for _, m := range c.members {
-		if m.wants {
+		if m.incomplete {
 			return true
 		}
 	}
@@ -230,30 +230,30 @@
 // expire drops agents and domains that are heard of no more, and their leases.
 func (c *Coordinator) expire(now time.Time) {
 	for id, m := range c.members {
-		if now.Sub(m.seen) > m.timeout() {
-			c.drop(id)
+		if now.Sub(m.lastSeen) > m.timeout() {
+			c.dropMember(id)
 		}
 	}
 	for chunk, l := range c.leases {
-		if now.After(l.until) {
+		if now.After(l.expires) {
 			c.endLease(chunk, l)
 		}
 	}
 	for domain, r := range c.remotes {
-		if now.Sub(r.seen) > domainTimeout {
+		if now.Sub(r.lastSeen) > domainTimeout {
 			delete(c.remotes, domain)
 		}
 	}
 }
 
-func (c *Coordinator) drop(id vm.ID) {
+func (c *Coordinator) dropMember(id vm.ID) {
 	m := c.members[id]
 	if m == nil {
 		return
 	}
 	for i := range c.config.Total {
 		if m.held.Has(i) {
-			c.copies[i]--
+			c.holderCounts[i]--
 		}
 	}
 	for chunk, l := range c.leases {
--- a/pkg/spread/coordinator_domains.go
+++ b/pkg/spread/coordinator_domains.go
@@ -13,8 +13,8 @@
 	"github.com/tidepost/tidepost/pkg/vm"
 )
 
-// Heard takes in what the coordinator of another domain says.
-func (c *Coordinator) Heard(s contract.DomainSources, now time.Time) {
+// UpdateRemote takes in what the coordinator of another domain says.
+func (c *Coordinator) UpdateRemote(s contract.DomainSources, now time.Time) {
 	if s.Domain() == c.config.Domain {
 		return
 	}
@@ -25,10 +25,10 @@
 			held++
 		}
 	}
-	if !known || held > r.held {
-		r.progressed = now
+	if !known || held > r.heldCount {
+		r.progressedAt = now
 	}
-	r.sources, r.seen, r.held = s, now, held
+	r.sources, r.lastSeen, r.heldCount = s, now, held
 	c.remotes[s.Domain()] = r
 }
 
@@ -40,7 +40,7 @@
 	wants := false
 	for id, m := range c.members {
 		ids = append(ids, id)
-		wants = wants || m.wants
+		wants = wants || m.incomplete
 	}
 	sort.Slice(ids, func(i, j int) bool { return ids[i] < ids[j] })
 	agents := make([]vm.Identity, 0, len(ids))
@@ -55,7 +55,7 @@
 }
 
 func (c *Coordinator) randomHolder(chunk int, ids []vm.ID) uint16 {
-	if c.copies[chunk] == 0 {
+	if c.holderCounts[chunk] == 0 {
 		return 0
 	}
 	start := c.config.Random.IntN(len(ids))
--- a/pkg/spread/coordinator_leases.go
+++ b/pkg/spread/coordinator_leases.go
@@ -16,18 +16,18 @@
 	"github.com/tidepost/tidepost/pkg/vm"
 )
 
-// lend returns the agent's leases, after adding what it may have more. All of
+// leasesOf returns the agent's leases, after adding what it may have more. All of
 // them are sent each time, so that a lost answer loses no lease.
-func (c *Coordinator) lend(m *member, now time.Time) ([]uint32, []contract.Import) {
-	if m.wants {
-		c.lendMore(m, now)
+func (c *Coordinator) leasesOf(m *member, now time.Time) ([]uint32, []contract.Import) {
+	if m.incomplete {
+		c.addLeases(m, now)
 	}
 	var draw []uint32
 	var imports []contract.Import
 	for chunk, l := range c.leases {
 		switch {
 		case l.agent != m.identity.ID():
-		case l.origin:
+		case l.fromOrigin:
 			draw = append(draw, uint32(chunk))
 		default:
 			imports = append(imports, contract.NewImport(uint32(chunk), l.holder))
@@ -38,9 +38,9 @@
 	return draw, imports
 }
 
-// lendMore walks the chunks from a random place, so that domains and agents
+// addLeases walks the chunks from a random place, so that domains and agents
 // do not all begin with the first.
-func (c *Coordinator) lendMore(m *member, now time.Time) {
+func (c *Coordinator) addLeases(m *member, now time.Time) {
 	c.assignOwners(now)
 	start := c.config.Random.IntN(max(c.config.Total, 1))
 	for k := range c.config.Total {
@@ -54,7 +54,7 @@
 		if _, taken := c.leases[chunk]; taken {
 			continue
 		}
-		c.lendChunk(m, chunk, now)
+		c.leaseChunk(m, chunk, now)
 	}
 }
 
@@ -62,17 +62,17 @@
 // with its first holder counts as missing again: a VM whose link has stalled
 // takes chunks and gives none.
 func (c *Coordinator) missing(chunk int, now time.Time) bool {
-	return c.copies[chunk] == 0 || c.copies[chunk] == 1 && now.Sub(c.since[chunk]) > soleHolder
+	return c.holderCounts[chunk] == 0 || c.holderCounts[chunk] == 1 && now.Sub(c.firstHeldAt[chunk]) > soleHolderTimeout
 }
 
-func (c *Coordinator) lendChunk(m *member, chunk int, now time.Time) {
-	l := lease{agent: m.identity.ID(), until: now.Add(c.config.Lease)}
-	if c.mayDraw(chunk, now) {
-		if c.draws >= max(leastDraws, c.config.Draws/c.taking) {
+func (c *Coordinator) leaseChunk(m *member, chunk int, now time.Time) {
+	l := lease{agent: m.identity.ID(), expires: now.Add(c.config.LeaseDuration)}
+	if c.mayFetchFromOrigin(chunk, now) {
+		if c.originLeases >= max(minOriginFetches, c.config.OriginFetches/c.ownerDomains) {
 			return
 		}
-		l.origin = true
-		c.draws++
+		l.fromOrigin = true
+		c.originLeases++
 	} else {
 		holder, ok := c.remoteHolder(chunk)
 		if !ok {
@@ -84,10 +84,10 @@
 	m.leases++
 }
 
-// mayDraw tells whether the domain draws the chunk itself: it owns it, and
+// mayFetchFromOrigin tells whether the domain draws the chunk itself: it owns it, and
 // nobody elsewhere has it already.
-func (c *Coordinator) mayDraw(chunk int, now time.Time) bool {
-	if now.Sub(c.started) < grace {
+func (c *Coordinator) mayFetchFromOrigin(chunk int, now time.Time) bool {
+	if now.Sub(c.started) < startupDelay {
 		return false
 	}
 	if c.owners[chunk] != c.config.Domain {
@@ -131,7 +131,7 @@
 	taking := []string{c.config.Domain}
 	for _, domain := range c.remoteDomains() {
 		r := c.remotes[domain]
-		if r.sources.Wants() && now.Sub(r.progressed) < stuckAfter {
+		if r.sources.Incomplete() && now.Sub(r.progressedAt) < stuckTimeout {
 			taking = append(taking, domain)
 		}
 	}
@@ -140,10 +140,10 @@
 	for _, domain := range taking {
 		key += domain + ","
 	}
-	if key == c.domains {
+	if key == c.ownerKey {
 		return
 	}
-	c.domains, c.taking = key, len(taking)
+	c.ownerKey, c.ownerDomains = key, len(taking)
 	c.owners = make([]string, c.config.Total)
 	for chunk := range c.owners {
 		c.owners[chunk] = owner(c.config.Digest, chunk, taking)
--- a/pkg/spread/spread_test.go
+++ b/pkg/spread/spread_test.go
@@ -16,7 +16,7 @@
 
 func testCoordinator(domain string, now time.Time) *Coordinator {
 	return NewCoordinator(CoordinatorConfig{
-		Domain: domain, Digest: contract.DigestOf([]byte("x")), Total: 16, Draws: 64, Random: rand.New(rand.NewPCG(1, 1)),
+		Domain: domain, Digest: contract.DigestOf([]byte("x")), Total: 16, OriginFetches: 64, Random: rand.New(rand.NewPCG(1, 1)),
 	}, now)
 }
 
@@ -26,14 +26,14 @@
 
 // drain has an agent take leases until it gets no more, as if each chunk
 // arrived at once.
-func drainLeases(c *Coordinator, from vm.Identity, now time.Time) (drawn, imported int) {
+func fetchLeasedChunks(c *Coordinator, from vm.Identity, now time.Time) (drawn, imported int) {
 	held := NewBitmap(16)
 	for range 32 {
 		plan := c.Report(reportOf(from, held, !held.Full()), now)
-		if len(plan.Draw())+len(plan.Imports()) == 0 {
+		if len(plan.OriginChunks())+len(plan.Imports()) == 0 {
 			break
 		}
-		for _, chunk := range plan.Draw() {
+		for _, chunk := range plan.OriginChunks() {
 			held.Add(int(chunk))
 			drawn++
 		}
@@ -45,36 +45,36 @@
 	return drawn, imported
 }
 
-func TestDomainAloneDrawsEverythingOnce(t *testing.T) {
+func TestSingleDomainFetchesEachChunkFromOriginOnce(t *testing.T) {
 	now := time.Unix(1000, 0)
-	if drawn, _ := drainLeases(testCoordinator("a", now), testIdentity("a1", "a"), now.Add(grace)); drawn != 16 {
+	if drawn, _ := fetchLeasedChunks(testCoordinator("a", now), testIdentity("a1", "a"), now.Add(startupDelay)); drawn != 16 {
 		t.Errorf("drew %d of 16 chunks", drawn)
 	}
 }
 
-func TestTwoDomainsShareTheDraws(t *testing.T) {
+func TestTwoDomainsShareOriginFetches(t *testing.T) {
 	now := time.Unix(1000, 0)
 	a, b := testCoordinator("a", now), testCoordinator("b", now)
 	empty := NewBitmap(16)
 	a.Report(reportOf(testIdentity("a1", "a"), empty, true), now)
 	b.Report(reportOf(testIdentity("b1", "b"), empty, true), now)
-	a.Heard(b.Sources(now), now)
-	b.Heard(a.Sources(now), now)
-	heard := now.Add(grace)
-	drawnA, _ := drainLeases(a, testIdentity("a1", "a"), heard)
-	drawnB, _ := drainLeases(b, testIdentity("b1", "b"), heard)
+	a.UpdateRemote(b.Sources(now), now)
+	b.UpdateRemote(a.Sources(now), now)
+	heard := now.Add(startupDelay)
+	drawnA, _ := fetchLeasedChunks(a, testIdentity("a1", "a"), heard)
+	drawnB, _ := fetchLeasedChunks(b, testIdentity("b1", "b"), heard)
 	if drawnA+drawnB != 16 || drawnA == 0 || drawnB == 0 {
 		t.Errorf("drew %d and %d of 16 chunks", drawnA, drawnB)
 	}
 }
 
-// TestNothingIsDrawnBeforeOthersAreHeard keeps a new coordinator from drawing
+// TestNoOriginFetchDuringStartupDelay keeps a new coordinator from drawing
 // what another domain owns.
-func TestNothingIsDrawnBeforeOthersAreHeard(t *testing.T) {
+func TestNoOriginFetchDuringStartupDelay(t *testing.T) {
 	now := time.Unix(1000, 0)
 	plan := testCoordinator("a", now).Report(reportOf(testIdentity("a1", "a"), NewBitmap(16), true), now)
-	if len(plan.Draw()) > 0 {
-		t.Errorf("a coordinator that has just started gave %d draws", len(plan.Draw()))
+	if len(plan.OriginChunks()) > 0 {
+		t.Errorf("a coordinator that has just started gave %d draws", len(plan.OriginChunks()))
 	}
 }
 
@@ -84,28 +84,28 @@
 	now := time.Unix(1000, 0)
 	a, b := testCoordinator("a", now), testCoordinator("b", now)
 	b.Report(reportOf(testIdentity("b1", "b"), NewBitmap(16), true), now)
-	a.Heard(b.Sources(now), now)
-	later := now.Add(stuckAfter)
-	a.Heard(b.Sources(now), later)
-	if drawn, _ := drainLeases(a, testIdentity("a1", "a"), later); drawn != 16 {
+	a.UpdateRemote(b.Sources(now), now)
+	later := now.Add(stuckTimeout)
+	a.UpdateRemote(b.Sources(now), later)
+	if drawn, _ := fetchLeasedChunks(a, testIdentity("a1", "a"), later); drawn != 16 {
 		t.Errorf("drew %d of 16 chunks", drawn)
 	}
 }
 
-func TestDeadAgentsLeasesAreGivenOutAgain(t *testing.T) {
+func TestLeasesOfDeadAgentAreReassigned(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := testCoordinator("a", now)
-	now = now.Add(grace)
+	now = now.Add(startupDelay)
 	first := c.Report(reportOf(testIdentity("a1", "a"), NewBitmap(16), true), now)
-	if len(first.Draw()) != leasesPerAgent {
-		t.Fatalf("%d leases", len(first.Draw()))
+	if len(first.OriginChunks()) != leasesPerAgent {
+		t.Fatalf("%d leases", len(first.OriginChunks()))
 	}
-	if drawn, _ := drainLeases(c, testIdentity("a2", "a"), now.Add(2*agentTimeout)); drawn != 16 {
+	if drawn, _ := fetchLeasedChunks(c, testIdentity("a2", "a"), now.Add(2*agentTimeout)); drawn != 16 {
 		t.Errorf("drew %d of 16 chunks after an agent died", drawn)
 	}
 }
 
-func TestKnownNeighboursAreNotSentAgain(t *testing.T) {
+func TestUnchangedNeighboursAreNotResent(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := testCoordinator("a", now)
 	c.Report(reportOf(testIdentity("a1", "a"), NewBitmap(16), true), now)
@@ -114,42 +114,42 @@
 		t.Fatalf("first plan has %d neighbours", len(first.Peers()))
 	}
 	digest := contract.DigestOf([]byte("x"))
-	again := contract.NewSpreadReport(testIdentity("a2", "a"), digest, nil, nil, true, HashOf(first.Peers()))
+	again := contract.NewSpreadReport(testIdentity("a2", "a"), digest, nil, nil, true, NeighbourHash(first.Peers()))
 	if plan := c.Report(again, now); !plan.Unchanged() || len(plan.Peers()) != 0 {
 		t.Errorf("known neighbours were sent again: %d", len(plan.Peers()))
 	}
 }
 
-// TestCorruptSenderIsLeftAloneForAWhile was found by the bench: with 1% of
+// TestSenderOfCorruptChunkIsRetriedAfterBackoff was found by the bench: with 1% of
 // chunks corrupt, VMs of small domains had banned all their neighbours for
 // good and were never ready.
-func TestCorruptSenderIsLeftAloneForAWhile(t *testing.T) {
+func TestSenderOfCorruptChunkIsRetriedAfterBackoff(t *testing.T) {
 	now := time.Unix(1000, 0)
 	s := NewSwarm(SwarmConfig{Total: 4, Fetches: 1, Random: rand.New(rand.NewPCG(1, 1))}, NewBitmap(4))
 	s.SetNeighbours([]vm.Identity{testIdentity("bad", "a")})
-	s.PeerHolds("bad", BitmapOf([]byte{0x0f}, 4))
+	s.PeerHasChunks("bad", BitmapOf([]byte{0x0f}, 4))
 	f := s.Next(now)
 	if len(f) != 1 {
 		t.Fatalf("%d fetches", len(f))
 	}
-	s.Lost(f[0].Chunk, "bad", failure.CorruptChunk, now)
-	if again := s.Next(now.Add(corruptPenalty - time.Millisecond)); len(again) != 0 {
+	s.FetchFailed(f[0].Chunk, "bad", failure.CorruptChunk, now)
+	if again := s.Next(now.Add(corruptBackoff - time.Millisecond)); len(again) != 0 {
 		t.Errorf("the sender of a corrupt chunk is asked at once: %+v", again)
 	}
-	if again := s.Next(now.Add(corruptPenalty)); len(again) != 1 {
+	if again := s.Next(now.Add(corruptBackoff)); len(again) != 1 {
 		t.Error("the only neighbour is never asked again")
 	}
 }
 
-func TestStalledFetchGoesElsewhere(t *testing.T) {
+func TestStalledFetchMovesToAnotherPeer(t *testing.T) {
 	now := time.Unix(1000, 0)
 	s := NewSwarm(SwarmConfig{Total: 1, Random: rand.New(rand.NewPCG(1, 1))}, NewBitmap(1))
 	s.SetNeighbours([]vm.Identity{testIdentity("slow", "a"), testIdentity("good", "a")})
-	s.PeerHas("slow", 0)
+	s.PeerHasChunk("slow", 0)
 	s.Next(now)
-	s.PeerHas("good", 0)
-	later := now.Add(DefaultStall)
-	if stalled := s.Stalled(later); len(stalled) != 1 {
+	s.PeerHasChunk("good", 0)
+	later := now.Add(DefaultStallTimeout)
+	if stalled := s.DropStalled(later); len(stalled) != 1 {
 		t.Fatalf("%d stalled", len(stalled))
 	}
 	f := s.Next(later)
@@ -165,23 +165,23 @@
 	}
 }
 
-// TestChunkOfAStalledHolderIsBroughtInAgain was found by the bench: a VM that
+// TestChunkOfStalledHolderIsFetchedAgain was found by the bench: a VM that
 // takes chunks and gives none kept its whole domain from ever being ready.
-func TestChunkOfAStalledHolderIsBroughtInAgain(t *testing.T) {
+func TestChunkOfStalledHolderIsFetchedAgain(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := testCoordinator("a", now)
-	now = now.Add(grace)
+	now = now.Add(startupDelay)
 	full := BitmapOf([]byte{0xff, 0xff}, 16)
 	stalled, other := testIdentity("stalled", "a"), testIdentity("other", "a")
-	if plan := c.Report(reportOf(stalled, full, false), now); len(plan.Draw()) > 0 {
-		t.Fatalf("a whole copy draws %d chunks", len(plan.Draw()))
+	if plan := c.Report(reportOf(stalled, full, false), now); len(plan.OriginChunks()) > 0 {
+		t.Fatalf("a whole copy draws %d chunks", len(plan.OriginChunks()))
 	}
-	if plan := c.Report(reportOf(other, NewBitmap(16), true), now); len(plan.Draw()) > 0 {
-		t.Fatalf("%d draws while a holder may still give", len(plan.Draw()))
+	if plan := c.Report(reportOf(other, NewBitmap(16), true), now); len(plan.OriginChunks()) > 0 {
+		t.Fatalf("%d draws while a holder may still give", len(plan.OriginChunks()))
 	}
-	later := now.Add(soleHolder + time.Second)
+	later := now.Add(soleHolderTimeout + time.Second)
 	c.Report(reportOf(stalled, full, false), later)
-	if plan := c.Report(reportOf(other, NewBitmap(16), true), later); len(plan.Draw()) == 0 {
+	if plan := c.Report(reportOf(other, NewBitmap(16), true), later); len(plan.OriginChunks()) == 0 {
 		t.Error("chunks that a stalled VM holds are never brought in again")
 	}
 }
--- a/pkg/spread/swarm.go
+++ b/pkg/spread/swarm.go
@@ -25,16 +25,16 @@
 	DefaultFetches = 10
 	// DefaultFetchesPerPeer bounds those from one neighbour.
 	DefaultFetchesPerPeer = 2
-	// DefaultStall is when a fetch counts as stalled.
-	DefaultStall = 30 * time.Second
+	// DefaultStallTimeout is when a fetch counts as stalled.
+	DefaultStallTimeout = 30 * time.Second
 
-	// busyPause is how long a peer that is busy is left alone: about as long as
+	// busyBackoff is how long a peer that is busy is left alone: about as long as
 	// it takes to pass a chunk on.
-	busyPause    = 200 * time.Millisecond
-	firstPenalty = 250 * time.Millisecond
-	// corruptPenalty follows the first corrupt chunk of a peer.
-	corruptPenalty = 5 * time.Second
-	maxPenalty     = 30 * time.Second
+	busyBackoff = 200 * time.Millisecond
+	minBackoff  = 250 * time.Millisecond
+	// corruptBackoff follows the first corrupt chunk of a peer.
+	corruptBackoff = 5 * time.Second
+	maxBackoff     = 30 * time.Second
 	// hedgeFactor is how many times the usual duration a fetch may take
 	// before a second one is started elsewhere.
 	hedgeFactor = 4
@@ -57,21 +57,21 @@
 	Total          int
 	Fetches        int
 	FetchesPerPeer int
-	Stall          time.Duration
+	StallTimeout   time.Duration
 	Random         *rand.Rand
 }
 
 // neighbour is an agent of the same failure domain.
 type neighbour struct {
-	identity    vm.Identity
-	held        Bitmap
-	outstanding int
-	penalty     time.Duration
-	quietUntil  time.Time
+	identity     vm.Identity
+	held         Bitmap
+	outstanding  int
+	backoff      time.Duration
+	backoffUntil time.Time
 }
 
-// flight is a chunk on its way.
-type flight struct {
+// activeFetch is a chunk on its way.
+type activeFetch struct {
 	peer    vm.ID
 	started time.Time
 }
@@ -84,9 +84,9 @@
 	order        []vm.ID
 	availability []int
 	leased       map[int]vm.Identity
-	flights      map[int][]flight
+	active       map[int][]activeFetch
 	inFlight     int
-	usual        time.Duration
+	meanDuration time.Duration
 }
 
 // NewSwarm returns a swarm that holds some chunks already.
@@ -97,8 +97,8 @@
 	if c.FetchesPerPeer == 0 {
 		c.FetchesPerPeer = DefaultFetchesPerPeer
 	}
-	if c.Stall == 0 {
-		c.Stall = DefaultStall
+	if c.StallTimeout == 0 {
+		c.StallTimeout = DefaultStallTimeout
 	}
 	return &Swarm{
 		config:       c,
@@ -106,7 +106,7 @@
 		neighbours:   map[vm.ID]*neighbour{},
 		availability: make([]int, c.Total),
 		leased:       map[int]vm.Identity{},
-		flights:      map[int][]flight{},
+		active:       map[int][]activeFetch{},
 	}
 }
 
@@ -174,17 +174,17 @@
 	}
 }
 
-// PeerHolds says that a neighbour holds a set of chunks.
-func (s *Swarm) PeerHolds(id vm.ID, held Bitmap) {
+// PeerHasChunks says that a neighbour holds a set of chunks.
+func (s *Swarm) PeerHasChunks(id vm.ID, held Bitmap) {
 	for i := range s.config.Total {
 		if held.Has(i) {
-			s.PeerHas(id, i)
+			s.PeerHasChunk(id, i)
 		}
 	}
 }
 
-// PeerHas says that a neighbour holds a chunk.
-func (s *Swarm) PeerHas(id vm.ID, chunk int) {
+// PeerHasChunk says that a neighbour holds a chunk.
+func (s *Swarm) PeerHasChunk(id vm.ID, chunk int) {
 	if n := s.neighbours[id]; n != nil && n.held.Add(chunk) {
 		s.availability[chunk]++
 	}
@@ -201,76 +201,76 @@
 // ----------------------------------------------------------------
 // What came of fetches
 
-// Got says that a chunk came and was verified. It returns the other fetches
+// FetchSucceeded says that a chunk came and was verified. It returns the other fetches
 // of the chunk, which are to be cancelled.
-func (s *Swarm) Got(chunk int, from vm.ID, now time.Time) []Fetch {
-	for _, f := range s.flights[chunk] {
+func (s *Swarm) FetchSucceeded(chunk int, from vm.ID, now time.Time) []Fetch {
+	for _, f := range s.active[chunk] {
 		if f.peer == from {
-			s.learnDuration(now.Sub(f.started))
+			s.recordDuration(now.Sub(f.started))
 		}
 	}
-	s.land(chunk, from)
+	s.endFetch(chunk, from)
 	if n := s.neighbours[from]; n != nil {
-		n.penalty = 0
+		n.backoff = 0
 	}
 	var others []Fetch
-	for _, f := range append([]flight(nil), s.flights[chunk]...) {
+	for _, f := range append([]activeFetch(nil), s.active[chunk]...) {
 		others = append(others, Fetch{Chunk: chunk, Peer: s.identity(f.peer)})
-		s.land(chunk, f.peer)
+		s.endFetch(chunk, f.peer)
 	}
 	s.held.Add(chunk)
 	delete(s.leased, chunk)
 	return others
 }
 
-func (s *Swarm) learnDuration(d time.Duration) {
-	if s.usual == 0 {
-		s.usual = d
+func (s *Swarm) recordDuration(d time.Duration) {
+	if s.meanDuration == 0 {
+		s.meanDuration = d
 		return
 	}
-	s.usual += time.Duration(durationWeight * float64(d-s.usual))
+	s.meanDuration += time.Duration(durationWeight * float64(d-s.meanDuration))
 }
 
-// Lost says that a fetch failed. The peer is left alone for a while: a short
+// FetchFailed says that a fetch failed. The peer is left alone for a while: a short
 // one when it was busy, a longer one each time when it was slow or gone, and
 // the longest when it sent a corrupt chunk. Nobody is left alone for good: in a
 // small domain a few flipped bits would then leave nobody to ask.
-func (s *Swarm) Lost(chunk int, from vm.ID, kind failure.Kind, now time.Time) {
-	s.land(chunk, from)
+func (s *Swarm) FetchFailed(chunk int, from vm.ID, kind failure.Kind, now time.Time) {
+	s.endFetch(chunk, from)
 	// A lease goes back to the coordinator, which gives it out again.
 	delete(s.leased, chunk)
 	n := s.neighbours[from]
 	if n == nil {
 		return
 	}
-	first := firstPenalty
+	first := minBackoff
 	switch kind {
 	case failure.Overloaded:
-		n.quietUntil = now.Add(busyPause)
+		n.backoffUntil = now.Add(busyBackoff)
 		return
 	case failure.CorruptChunk:
-		first = corruptPenalty
+		first = corruptBackoff
 	}
-	n.penalty = min(max(2*n.penalty, first), maxPenalty)
-	n.quietUntil = now.Add(n.penalty)
+	n.backoff = min(max(2*n.backoff, first), maxBackoff)
+	n.backoffUntil = now.Add(n.backoff)
 }
 
-// land takes one fetch of a chunk out of flight.
-func (s *Swarm) land(chunk int, from vm.ID) {
-	flights := s.flights[chunk]
+// endFetch takes one fetch of a chunk out of flight.
+func (s *Swarm) endFetch(chunk int, from vm.ID) {
+	flights := s.active[chunk]
 	for i, f := range flights {
 		if f.peer != from {
 			continue
 		}
-		s.flights[chunk] = append(flights[:i:i], flights[i+1:]...)
+		s.active[chunk] = append(flights[:i:i], flights[i+1:]...)
 		s.inFlight--
 		if n := s.neighbours[from]; n != nil && n.outstanding > 0 {
 			n.outstanding--
 		}
 		break
 	}
-	if len(s.flights[chunk]) == 0 {
-		delete(s.flights, chunk)
+	if len(s.active[chunk]) == 0 {
+		delete(s.active, chunk)
 	}
 }
 
@@ -281,17 +281,17 @@
 	return vm.NewIdentity(id, 0, "", "", "")
 }
 
-// Stalled takes fetches out of flight that have taken too long, and returns
+// DropStalled takes fetches out of flight that have taken too long, and returns
 // them to be cancelled.
-func (s *Swarm) Stalled(now time.Time) []Fetch {
+func (s *Swarm) DropStalled(now time.Time) []Fetch {
 	var stalled []Fetch
 	for chunk := range s.config.Total {
-		for _, f := range append([]flight(nil), s.flights[chunk]...) {
-			if now.Sub(f.started) < s.config.Stall {
+		for _, f := range append([]activeFetch(nil), s.active[chunk]...) {
+			if now.Sub(f.started) < s.config.StallTimeout {
 				continue
 			}
 			stalled = append(stalled, Fetch{Chunk: chunk, Peer: s.identity(f.peer)})
-			s.Lost(chunk, f.peer, failure.Unreachable, now)
+			s.FetchFailed(chunk, f.peer, failure.Unreachable, now)
 		}
 	}
 	return stalled
--- a/pkg/spread/swarm_choice.go
+++ b/pkg/spread/swarm_choice.go
@@ -30,14 +30,14 @@
 	if f, ok := s.chooseLeased(); ok {
 		return f, true
 	}
-	if f, ok := s.chooseAny(now); ok {
+	if f, ok := s.chooseFromNeighbour(now); ok {
 		return f, true
 	}
 	return s.chooseHedge(now)
 }
 
 func (s *Swarm) start(f Fetch, now time.Time) {
-	s.flights[f.Chunk] = append(s.flights[f.Chunk], flight{peer: f.Peer.ID(), started: now})
+	s.active[f.Chunk] = append(s.active[f.Chunk], activeFetch{peer: f.Peer.ID(), started: now})
 	s.inFlight++
 	if n := s.neighbours[f.Peer.ID()]; n != nil {
 		n.outstanding++
@@ -48,7 +48,7 @@
 func (s *Swarm) chooseLeased() (Fetch, bool) {
 	chunks := make([]int, 0, len(s.leased))
 	for chunk := range s.leased {
-		if len(s.flights[chunk]) == 0 {
+		if len(s.active[chunk]) == 0 {
 			chunks = append(chunks, chunk)
 		}
 	}
@@ -59,17 +59,17 @@
 	return Fetch{Chunk: chunks[0], Peer: s.leased[chunks[0]]}, true
 }
 
-// chooseAny picks at random among the chunks that are missing, not on their
+// chooseFromNeighbour picks at random among the chunks that are missing, not on their
 // way, and held by a neighbour who may be asked.
 //
 // Rejected: the rarest chunk first. The agents of a domain see almost the same
 // neighbours, so all of them run to the same rare chunk and its one holder:
 // at 100 VMs the time was 1.22 of the fluid bound against 1.20, and 1.58
 // against 1.39 when holders take twice as many uploads.
-func (s *Swarm) chooseAny(now time.Time) (Fetch, bool) {
+func (s *Swarm) chooseFromNeighbour(now time.Time) (Fetch, bool) {
 	best, ties := -1, 0
 	for chunk, available := range s.availability {
-		if available == 0 || s.held.Has(chunk) || len(s.flights[chunk]) > 0 {
+		if available == 0 || s.held.Has(chunk) || len(s.active[chunk]) > 0 {
 			continue
 		}
 		if _, ok := s.leased[chunk]; ok {
@@ -110,18 +110,18 @@
 }
 
 func (s *Swarm) mayAsk(n *neighbour, now time.Time) bool {
-	return n.outstanding < s.config.FetchesPerPeer && !now.Before(n.quietUntil)
+	return n.outstanding < s.config.FetchesPerPeer && !now.Before(n.backoffUntil)
 }
 
 // chooseHedge starts a second fetch of the chunk that has been on its way the
 // longest, if that is far longer than usual and somebody else has it.
 func (s *Swarm) chooseHedge(now time.Time) (Fetch, bool) {
-	if s.usual == 0 {
+	if s.meanDuration == 0 {
 		return Fetch{}, false
 	}
-	oldest, since := -1, now.Add(-hedgeFactor*s.usual)
+	oldest, since := -1, now.Add(-hedgeFactor*s.meanDuration)
 	for chunk := range s.config.Total {
-		flights := s.flights[chunk]
+		flights := s.active[chunk]
 		if len(flights) == 1 && flights[0].started.Before(since) && s.otherHolder(chunk, flights[0].peer, now) != nil {
 			oldest, since = chunk, flights[0].started
 		}
@@ -129,7 +129,7 @@
 	if oldest < 0 {
 		return Fetch{}, false
 	}
-	return Fetch{Chunk: oldest, Peer: s.otherHolder(oldest, s.flights[oldest][0].peer, now).identity}, true
+	return Fetch{Chunk: oldest, Peer: s.otherHolder(oldest, s.active[oldest][0].peer, now).identity}, true
 }
 
 func (s *Swarm) otherHolder(chunk int, not vm.ID, now time.Time) *neighbour {
--- a/pkg/staging/exchange.go
+++ b/pkg/staging/exchange.go
@@ -178,7 +178,7 @@
 func (m *Member) query(ctx context.Context, address string, q chunkQuery) (chunkReply, error) {
 	sentAt := time.Now()
 	r, err := m.queryOnce(ctx, address, q)
-	if err == nil || ctx.Err() != nil || m.process.Endpoint.Doubt(address, sentAt).Await(ctx) != link.Replaced {
+	if err == nil || ctx.Err() != nil || m.process.Endpoint.Probe(address, sentAt).Await(ctx) != link.ProbeReplaced {
 		return r, err
 	}
 	return m.queryOnce(ctx, address, q)
@@ -188,7 +188,7 @@
 	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	var r chunkReply
-	err := m.process.Endpoint.Call(ctx, address, link.KindChunkOf, q, &r)
+	err := m.process.Endpoint.Call(ctx, address, link.KindStagerChunk, q, &r)
 	return r, err
 }
 
--- a/pkg/staging/member.go
+++ b/pkg/staging/member.go
@@ -71,15 +71,15 @@
 	m := &Member{
 		process: process, protocol: protocol, registry: registry.NewTable(nil), peerFailures: newPeerFailures(),
 		metrics: newMetrics(process.Registry), wake: make(chan struct{}, 1), runContext: context.Background(),
-		originManifests: map[string]Manifest{}, notices: link.NewMessenger[notice](process.Endpoint, link.KindChunkNotice),
+		originManifests: map[string]Manifest{}, notices: link.NewMessenger[notice](process.Endpoint, link.KindStagerNotice),
 		uploads: make(chan struct{}, uploads), fetches: map[fetchKey]bool{}, versions: feed.NewVersionTable(), copies: map[string][]*weightsCopy{},
 	}
 	m.follower = &feed.Follower{
 		Endpoint: process.Endpoint, Hello: hello, Seeds: seeds, DocumentNumber: m.index.Number, OnUpdate: m.applyUpdate,
 		Versions: func() []feed.NamedVersion { return m.versions.Current(time.Now()) }, Logger: process.Logger,
 	}
-	process.Endpoint.Handle(link.KindChunkOf, m.serveQuery)
-	process.Endpoint.Handle(link.KindChunkNotice, m.serveNotices)
+	process.Endpoint.Handle(link.KindStagerChunk, m.serveQuery)
+	process.Endpoint.Handle(link.KindStagerNotice, m.serveNotices)
 	return m
 }
 
--- a/pkg/staging/redirect_test.go
+++ b/pkg/staging/redirect_test.go
@@ -74,7 +74,7 @@
 	e := link.NewEndpoint(link.Config{
 		Own: vm.NewIdentity(vm.ID(address), 1, "", "a", address), Clock: event.NewClock(time.Now), Logger: log.NewNopLogger(),
 	})
-	e.Handle(link.KindChunkOf, func(_ context.Context, s *link.Stream) error {
+	e.Handle(link.KindStagerChunk, func(_ context.Context, s *link.Stream) error {
 		var q chunkQuery
 		if err := s.Receive(&q); err != nil {
 			return err
--- a/pkg/staging/silent_link_test.go
+++ b/pkg/staging/silent_link_test.go
@@ -26,7 +26,7 @@
 	var links silenced.Conns
 	own := link.NewEndpoint(link.Config{
 		Own: vm.NewIdentity("s", 1, "", "a", "s:1"), Clock: event.NewClock(time.Now), Logger: log.NewNopLogger(),
-		KeepAlive: time.Hour, Unanswered: time.Hour,
+		PingInterval: time.Hour, PingTimeout: time.Hour,
 		Dial: links.Dial,
 	})
 	t.Cleanup(own.Close)
--- a/prove/promises_test.go
+++ b/prove/promises_test.go
@@ -81,8 +81,8 @@
 	mangled := func(w *world) {
 		// Parts are doubled, swapped with the next one, or lost.
 		var mu sync.Mutex
-		held := map[string]contract.Answer{}
-		w.sendAnswer = func(send func(contract.Answer) error, part contract.Answer) error {
+		held := map[string]contract.ResponsePart{}
+		w.sendAnswer = func(send func(contract.ResponsePart) error, part contract.ResponsePart) error {
 			mu.Lock()
 			defer mu.Unlock()
 			if former, ok := held[part.Attempt()]; ok {
--- a/prove/world_test.go
+++ b/prove/world_test.go
@@ -86,7 +86,7 @@
 	// agentSettings are the lines of an agent's settings about its engine.
 	agentSettings string
 	beforeSend    func(attempt string)
-	sendAnswer    func(send func(contract.Answer) error, part contract.Answer) error
+	sendAnswer    func(send func(contract.ResponsePart) error, part contract.ResponsePart) error
 	// mangle is for hooks that run beside the scenario, each under a lock of
 	// its own, so that random stays with the scenario.
 	mangle *rand.Rand
@@ -367,7 +367,7 @@
 			continue
 		}
 		for _, a := range s.Agents() {
-			for _, c := range a.Beat().Copies() {
+			for _, c := range a.LastHeartbeat().Copies() {
 				if c.Digest() == digest && c.Phase() == contract.PhaseReady && a.Leaving() == "" {
 					n++
 				}
