--- a/pkg/contract/agent.go
+++ b/pkg/contract/agent.go
@@ -1,6 +1,6 @@
 // ================================================================
-// What entries and agents tell each other: heartbeats, requests, chunks and
-// draw leases.
+// Messages between entries and agents: heartbeats, requests, chunks, and the
+// reports and plans that spread a copy.
 // ================================================================
 
 package contract
@@ -12,10 +12,10 @@
 	"github.com/tidepost/tidepost/pkg/vm"
 )
 
-// CopyPhase is how far one copy on one VM has come.
+// CopyPhase is the phase of one copy on one VM.
 type CopyPhase uint8
 
-// The phases, in order.
+// The phases of a copy, in order. A copy in PhaseVerified is complete but not loaded.
 const (
 	PhaseFetching CopyPhase = iota + 1
 	PhaseVerified
@@ -24,7 +24,7 @@
 	PhaseFailed
 )
 
-// String returns the word that status pages show.
+// String returns the name that status pages show.
 func (p CopyPhase) String() string {
 	names := [...]string{"none", "fetching", "verified", "loading", "ready", "failed"}
 	if int(p) < len(names) {
@@ -41,7 +41,7 @@
 	model string
 	// digest is the manifest digest.
 	digest Digest
-	// phase is how far the copy has come.
+	// phase is the current phase of the copy.
 	phase CopyPhase
 	// chunks is how many chunks are verified.
 	chunks uint32
@@ -49,29 +49,29 @@
 	total uint32
 }
 
-// Load is what an agent and its engine report of their work.
+// Load is the load of an agent and its engine.
 //
 //wire:generate
 type Load struct {
-	// inFlight counts the requests that the agent has admitted and not ended.
+	// inFlight is how many admitted requests have not ended.
 	inFlight uint32
-	// queued counts those that wait in the engine.
+	// queued is how many of them wait in the engine.
 	queued uint32
-	// cacheFree is the free part of the engine's KV cache, 0 to 1.
+	// cacheFree is the free fraction of the engine's KV cache, 0 to 1.
 	cacheFree float64
 	// tokensPerSecond is the engine's recent output rate.
 	tokensPerSecond float64
-	// limit is how many requests the agent takes at one time.
+	// limit is how many requests the agent admits at one time.
 	limit uint32
 }
 
-// Heartbeat is what an agent tells each entry of its failure domain.
+// Heartbeat is the periodic message of an agent to each entry of its failure domain.
 //
 //wire:generate
 type Heartbeat struct {
 	// from is the agent.
 	from vm.Identity
-	// sequence grows by one with each heartbeat of an incarnation.
+	// sequence increases by one with each heartbeat of an incarnation.
 	sequence uint64
 	// revision is the configuration revision in force on the VM.
 	revision uint64
@@ -79,19 +79,19 @@
 	labels vm.Labels
 	// copies are the copies on the VM.
 	copies []Copy
-	// services are the plain services that the agent fronts.
+	// services are the plain services that the agent proxies.
 	services []string
-	// load is the work in hand.
+	// load is the current load.
 	load Load
-	// draining says that the agent takes no new work.
+	// draining is true if the agent takes no new work.
 	draining bool
-	// originBytes counts what the agent has drawn from origin and store.
+	// originBytes is how many bytes the agent has fetched from origin and store.
 	originBytes int64
-	// peerBytes counts what the agent has drawn from other agents.
+	// peerBytes is how many bytes the agent has fetched from other agents.
 	peerBytes int64
 }
 
-// EntryHeartbeat is what an entry tells the other entries.
+// EntryHeartbeat is the periodic message of an entry to the other entries.
 //
 //wire:generate
 type EntryHeartbeat struct {
@@ -99,15 +99,15 @@
 	from vm.Identity
 	// revision is the configuration revision in force there.
 	revision uint64
-	// draining says that the entry is leaving.
+	// draining is true if the entry takes no new work.
 	draining bool
-	// ready are the digests that the failure domain has ready replicas of.
+	// ready are the digests of the versions that the failure domain has ready replicas of.
 	ready []Digest
 	// services are the plain services that the failure domain can reach.
 	services []string
 	// load is the sum over the failure domain's agents.
 	load Load
-	// callersAddress is where the entry takes callers, host:port.
+	// callersAddress is the address, host:port, on which the entry serves callers.
 	callersAddress string
 }
 
@@ -120,54 +120,54 @@
 type Request struct {
 	// attempt identifies this attempt; an agent runs it once at most.
 	attempt string
-	// organisation is the caller's.
+	// organisation is the caller's organisation.
 	organisation string
 	// model is the model's name; empty for a plain service.
 	model string
-	// digest is the version that the request is pinned to.
+	// digest is the manifest digest of the version that the request is pinned to.
 	digest Digest
 	// service is the plain service's name; empty for a model.
 	service string
-	// method and path are those of the call to a plain service.
+	// method and path are the HTTP method and path of the call to a plain service.
 	method string
 	path   string
-	// contentType is the body's.
+	// contentType is the content type of the body.
 	contentType string
 	// body is the request body.
 	body []byte
 	// deadline is in nanoseconds since 1970.
 	deadline int64
-	// stream says that the caller reads server-sent events.
+	// stream is true if the caller reads server-sent events.
 	stream bool
-	// repeatable says that the request may run twice.
+	// repeatable is true if the request may run twice.
 	repeatable bool
-	// priority is handed on to the engine; higher runs first.
+	// priority is passed to the engine; requests of higher priority run first.
 	priority int
 }
 
 // DeadlineTime returns the deadline as a time.
 func (r Request) DeadlineTime() time.Time { return time.Unix(0, r.deadline) }
 
-// ResponsePart is one part of an answer. The first part has the status, the last
-// part has end set, and parts are numbered so that none is lost or doubled.
+// ResponsePart is one part of the response to a request. The first part has the status, the
+// last part has end set, and parts are numbered so that a lost or duplicate one is detected.
 //
 //wire:generate
 type ResponsePart struct {
-	// attempt is the request's, checked at the entry on every part.
+	// attempt is the attempt of the request; the entry checks it on every part.
 	attempt string
-	// sequence numbers the parts from 0.
+	// sequence is the number of the part, from 0.
 	sequence uint64
 	// status is the HTTP status, on the first part.
 	status int
-	// contentType is the body's, on the first part.
+	// contentType is the content type of the body, on the first part.
 	contentType string
 	// body is this part of the body.
 	body []byte
-	// end marks the last part of a whole answer.
+	// end marks the last part of a complete response.
 	end bool
-	// failure ends the answer early.
+	// failure ends the response early; nil otherwise.
 	failure *failure.Failure
-	// digest is the version that answered.
+	// digest is the manifest digest of the version that ran the request.
 	digest Digest
 }
 
@@ -180,19 +180,19 @@
 type ChunkRequest struct {
 	// digest is the manifest digest.
 	digest Digest
-	// index is the chunk's place in the manifest.
+	// index is the chunk's index in the manifest.
 	index uint32
 }
 
-// ChunkPart is a piece of a chunk, in order.
+// ChunkPart is one part of a chunk. Parts are sent in order.
 //
 //wire:generate
 type ChunkPart struct {
-	// data is the piece; a part without data ends the chunk.
+	// data is the content of the part; a part without data ends the chunk.
 	data []byte
 }
 
-// SpreadReport tells the coordinator what an agent holds of a copy.
+// SpreadReport tells the coordinator which chunks of a copy an agent holds.
 //
 //wire:generate
 type SpreadReport struct {
@@ -200,28 +200,28 @@
 	from vm.Identity
 	// digest is the manifest digest.
 	digest Digest
-	// held has a bit for each verified chunk, lowest first.
+	// held is a bitmap of the verified chunks, lowest bit first.
 	held []byte
-	// released are the chunks of draw leases that are finished or given back.
+	// released are the chunks whose leases have ended, by success or failure.
 	released []uint32
-	// incomplete says that the agent still lacks chunks.
+	// incomplete is true if the agent lacks chunks.
 	incomplete bool
-	// neighbours is the hash of the neighbours that the agent has.
+	// neighbours is the hash of the agent's current neighbours.
 	neighbours uint64
 }
 
-// SpreadPlan is the coordinator's answer to a report.
+// SpreadPlan is the coordinator's response to a report.
 //
 //wire:generate
 type SpreadPlan struct {
-	// peers are agents of the same failure domain to fetch from; empty when
-	// they are those that the agent has.
+	// peers are the agent's neighbours, agents of the same failure domain to fetch from;
+	// empty if they are unchanged.
 	peers []vm.Identity
-	// unchanged says that the agent keeps the neighbours that it has.
+	// unchanged is true if the agent keeps its current neighbours.
 	unchanged bool
-	// originChunks are the chunks that the agent is to draw from the origin.
+	// originChunks are the chunks that the agent has to fetch from the origin.
 	originChunks []uint32
-	// imports are the chunks that the agent is to fetch from another domain.
+	// imports are the chunks that the agent has to fetch from another domain.
 	imports []Import
 }
 
@@ -229,14 +229,14 @@
 //
 //wire:generate
 type Import struct {
-	// index is the chunk's place in the manifest.
+	// index is the chunk's index in the manifest.
 	index uint32
-	// holder is the agent that holds it.
+	// holder is the agent to fetch it from.
 	holder vm.Identity
 }
 
-// DomainSources tells the coordinators of other failure domains who holds
-// which chunk in this one.
+// DomainSources tells the coordinators of other failure domains which agents of this
+// domain hold which chunks.
 //
 //wire:generate
 type DomainSources struct {
@@ -244,28 +244,28 @@
 	digest Digest
 	// domain is the failure domain.
 	domain string
-	// incomplete says that an agent of the domain still lacks chunks.
+	// incomplete is true if an agent of the domain lacks chunks.
 	incomplete bool
-	// agents are those named by holders.
+	// agents are the agents of the domain, to which holders refers.
 	agents []vm.Identity
-	// holders has, for each chunk, the place of one holder in agents plus
-	// one; 0 when nobody in the domain holds it.
+	// holders has, for each chunk, the index of one holder in agents plus one; 0 if no
+	// agent of the domain holds it.
 	holders []uint16
 }
 
-// HeldChunks tells a neighbour which chunks an agent holds.
+// HeldChunks tells a subscribed neighbour which chunks an agent holds.
 //
 //wire:generate
 type HeldChunks struct {
 	// digest is the manifest digest.
 	digest Digest
-	// held is the whole set, on the first message; empty afterwards.
+	// held is a bitmap of all chunks held, on the first message; empty afterwards.
 	held []byte
-	// added are the chunks since the message before.
+	// added are the chunks added since the previous message.
 	added []uint32
 }
 
-// ForAttempt returns the request as one attempt, pinned to a digest.
+// ForAttempt returns a copy of the request for one attempt, pinned to a digest.
 func (r Request) ForAttempt(attempt string, digest Digest) Request {
 	r.attempt, r.digest = attempt, digest
 	return r
--- a/pkg/contract/change.go
+++ b/pkg/contract/change.go
@@ -1,30 +1,31 @@
 // ================================================================
-// Changes of configuration: how an operator asks for one, what comes back,
-// and how accepted ones travel to every process.
+// Configuration changes: the messages with which an operator submits one, its
+// result, and the deltas that carry accepted changes to every process. Also the
+// claims on requests that must not run twice.
 // ================================================================
 
 package contract
 
 import "github.com/tidepost/tidepost/pkg/failure"
 
-// Change is one change of configuration, made once by its client.
+// Change is one configuration change.
 //
 //wire:generate
 type Change struct {
-	// id is made once by the client; a resent change has the same id.
+	// id is chosen by the client; a resent change has the same id.
 	id string
-	// operator is who asked, for the time line.
+	// operator is the operator's name, for the time line.
 	operator string
-	// base is the revision that the change was made against.
+	// base is the revision that the change is based on.
 	base uint64
-	// objects are written, or deleted where their body is empty.
+	// objects are the objects to write, or to delete if their body is empty.
 	objects []Object
-	// content is the digest of what the client asked for, before any version
-	// name in it was resolved; it tells a resent change from another one.
+	// content is the digest of the client's request before version names in it are
+	// resolved; it tells a resent change from a different one with the same id.
 	content Digest
 }
 
-// ModelName is a model's version as operators name it.
+// ModelName identifies a version of a model by its name.
 //
 //wire:generate
 type ModelName struct {
@@ -38,9 +39,9 @@
 //
 //wire:generate
 type Apply struct {
-	// change is what the client asks for.
+	// change is the requested change.
 	change Change
-	// models are resolved at the sources and added to the change.
+	// models are the versions that the entry resolves at the sources and adds to the change.
 	models []ModelName
 }
 
@@ -48,40 +49,40 @@
 //
 //wire:generate
 type Proposal struct {
-	// kind says what body is, in the numbers of the control log's commands.
+	// kind is the kind of the command, in the numbers of the control log.
 	kind uint8
 	// body is the encoded command.
 	body []byte
 }
 
-// ProposalResult is the leader's answer.
+// ProposalResult is the response to a proposal.
 //
 //wire:generate
 type ProposalResult struct {
 	// body is the encoded result of the command.
 	body []byte
-	// leader is the link address of the leader, when the one asked knows it.
+	// leader is the link address of the leader, if the process asked knows it.
 	leader string
-	// refusal is set when the command was not accepted, or may not have been.
+	// refusal is set if the command was not accepted, or may not have been.
 	refusal *failure.Failure
 }
 
-// ChangeResult answers a change. The same id always gets the same result.
+// ChangeResult is the response to a change. The same change id always gets the same result.
 //
 //wire:generate
 type ChangeResult struct {
-	// revision is the revision that the change made, or the current one if
-	// it was refused.
+	// revision is the revision that the change created, or the current one if the change
+	// was refused.
 	revision uint64
-	// refusal says why the change was refused; nil when it was accepted.
+	// refusal is the reason for a refusal; nil if the change was accepted.
 	refusal *failure.Failure
 }
 
-// DeltaRequest asks for all configuration after a revision.
+// DeltaRequest subscribes to all configuration after a revision.
 //
 //wire:generate
 type DeltaRequest struct {
-	// revision is the highest one that the asking process has applied.
+	// revision is the highest revision that the subscriber has applied.
 	revision uint64
 }
 
@@ -89,99 +90,100 @@
 //
 //wire:generate
 type Delta struct {
-	// from is the revision that the delta applies to; 0 is a full copy.
+	// from is the revision that the delta applies to; 0 for a full copy.
 	from uint64
-	// revision is the revision after it.
+	// revision is the revision that results from the delta.
 	revision uint64
 	// objects are the changed objects.
 	objects []Object
-	// confirmed says that the sender has heard from a quorum's leader lately.
+	// confirmed is true if the sender has recently heard from a leader with a quorum.
 	confirmed bool
 }
 
 // ----------------------------------------------------------------
 // Claims
 
-// Claim reserves the one run of a request that may not be repeated.
+// Claim reserves the single execution of a request that must not run twice.
 //
 //wire:generate
 type Claim struct {
-	// organisation is the caller's.
+	// organisation is the caller's organisation.
 	organisation string
 	// key is the caller's idempotency key.
 	key string
-	// attempt identifies the attempt that asks for the claim.
+	// attempt identifies the attempt that requests the claim.
 	attempt string
-	// body is the digest of the request, so that a key is not used for two.
+	// body is the digest of the request, which detects a key that is reused for another
+	// request.
 	body Digest
-	// deadline is the request's, in nanoseconds since 1970.
+	// deadline is the deadline of the request, in nanoseconds since 1970.
 	deadline int64
 }
 
-// ClaimState is how far a claimed request has come.
+// ClaimState is the state of a claimed request.
 type ClaimState uint8
 
 // The states of a claim.
 const (
-	// ClaimGranted means that the asking attempt holds the claim.
+	// ClaimGranted means that the requesting attempt holds the claim.
 	ClaimGranted ClaimState = iota + 1
 	// ClaimRunning means that another attempt holds it.
 	ClaimRunning
 	// ClaimDone means that the request ran; the outcome is stored.
 	ClaimDone
-	// ClaimNotRun means that the holder gave the claim back unrun.
+	// ClaimNotRun means that the holder released the claim without running the request.
 	ClaimNotRun
 )
 
-// ClaimResult answers a claim.
+// ClaimResult is the response to a claim.
 //
 //wire:generate
 type ClaimResult struct {
-	// state is what the claim is in.
+	// state is the state of the claim.
 	state ClaimState
-	// outcome is the stored answer when the request ran.
+	// outcome is the stored outcome if the request ran.
 	outcome Outcome
-	// refusal is set when the claim cannot be taken.
+	// refusal is set if the claim cannot be granted.
 	refusal *failure.Failure
 }
 
-// Outcome is the bounded answer of a request that ran.
+// Outcome is the result of a request that ran, with a response of limited size.
 //
 //wire:generate
 type Outcome struct {
 	// status is the HTTP status of the service.
 	status int
-	// contentType is the answer's content type.
+	// contentType is the content type of the response.
 	contentType string
-	// body is the answer, cut at MaxStoredAnswer.
+	// body is the body of the response; empty if it exceeds MaxStoredBody.
 	body []byte
-	// truncated says that the answer was longer than what is stored.
+	// truncated is true if the body was too large to be stored.
 	truncated bool
-	// known is false when the answer was lost and the request may have run.
+	// known is false if the response was lost and the request may have run.
 	known bool
 }
 
-// MaxStoredBody bounds the stored answer of a claimed request, in bytes.
+// MaxStoredBody is the largest stored response body of a claimed request, in bytes.
 const MaxStoredBody = 16 << 10
 
-// Settle ends a claim with its outcome, or gives it back unrun.
+// Settle ends a claim with its outcome, or releases it if the request did not run.
 //
 //wire:generate
 type Settle struct {
-	// organisation is the caller's.
+	// organisation is the caller's organisation.
 	organisation string
 	// key is the caller's idempotency key.
 	key string
 	// attempt is the attempt that holds the claim.
 	attempt string
-	// ran is false when nothing ran and the key may be claimed again.
+	// ran is false if the request did not run, so that the key may be claimed again.
 	ran bool
-	// outcome is the answer when it ran.
+	// outcome is the outcome if the request ran.
 	outcome Outcome
 }
 
-// Stored returns the outcome as it is stored: without the body when that is
-// over MaxStoredAnswer.
+// Stored returns the outcome as it is stored: without its body if that exceeds
+// MaxStoredBody.
 func (o Outcome) Stored() Outcome {
 	if len(o.body) > MaxStoredBody {
 		o.body, o.truncated = nil, true
--- a/pkg/contract/digest.go
+++ b/pkg/contract/digest.go
@@ -1,7 +1,7 @@
 // ================================================================
-// Content addresses. A digest is right or it is not: everything that moves
-// weights speaks of digests only, so a version that changes at the origin in
-// mid-copy is a mismatch and never a mix.
+// Content addresses. Weights are transferred by digest only, so that a version
+// that changes at the origin during a copy gives a digest mismatch and never a
+// copy of mixed versions.
 // ================================================================
 
 // Package contract holds the messages that the system's processes exchange
@@ -28,7 +28,7 @@
 // DigestOf returns the digest of data.
 func DigestOf(data []byte) Digest { return sha256.Sum256(data) }
 
-// ParseDigest reads the hexadecimal form.
+// ParseDigest reads the hexadecimal form. Its error is a BadRequest failure.
 func ParseDigest(text string) (Digest, error) {
 	var d Digest
 	raw, err := hex.DecodeString(text)
@@ -42,23 +42,23 @@
 // String returns the hexadecimal form.
 func (d Digest) String() string { return hex.EncodeToString(d[:]) }
 
-// Short returns the first digits, for people.
+// Short returns the first hexadecimal digits, for display.
 func (d Digest) Short() string { return d.String()[:shortDigestLength] }
 
-// IsZero tells whether the digest is unset.
+// IsZero reports whether the digest is unset.
 func (d Digest) IsZero() bool { return d == Digest{} }
 
 // EncodeMsgpack writes the digest as bytes.
 func (d Digest) EncodeMsgpack(e *msgpack.Encoder) error { return e.EncodeBytes(d[:]) }
 
-// DecodeMsgpack reads bytes of the right length.
+// DecodeMsgpack reads the digest and refuses bytes of another length.
 func (d *Digest) DecodeMsgpack(dec *msgpack.Decoder) error {
 	raw, err := dec.DecodeBytes()
 	if err != nil {
 		return err
 	}
 	if len(raw) != len(d) {
-		return failure.New(failure.BadRequest, "a digest of %d bytes, not %d", len(raw), len(d))
+		return failure.New(failure.BadRequest, "a digest has %d bytes, not %d", len(raw), len(d))
 	}
 	copy(d[:], raw)
 	return nil
--- a/pkg/contract/manifest.go
+++ b/pkg/contract/manifest.go
@@ -1,6 +1,6 @@
 // ================================================================
-// The manifest of one version of a model: chunks of a fixed size, each with
-// its digest. The digest of the manifest is the version.
+// The manifest of one version of a model lists its chunks of fixed size by
+// digest. The digest of the manifest identifies the version.
 //
 //	menu v7: 1 GiB in 256 chunks of 4 MiB -> 3f2a91c07be4...
 // ================================================================
@@ -13,23 +13,23 @@
 	"github.com/tidepost/tidepost/pkg/failure"
 )
 
-// MaxChunks bounds a manifest, and so the largest object of the control log
-// (16,384 digests are 544 KiB).
+// MaxChunks is the most chunks of a manifest. It limits the largest object of the control
+// log: 16,384 digests take 544 KiB.
 const MaxChunks = 16384
 
 // Manifest lists the chunks of one version.
 //
 //wire:generate
 type Manifest struct {
-	// size is the length of the whole copy in bytes.
+	// size is the size of the copy in bytes.
 	size int64
-	// chunkSize is the length of every chunk but the last, in bytes.
+	// chunkSize is the size of every chunk but the last, in bytes.
 	chunkSize int64
 	// chunks are the digests of the chunks in order.
 	chunks []Digest
 }
 
-// ManifestOf cuts data into chunks.
+// ManifestOf returns the manifest of data, divided into chunks of chunkSize bytes.
 func ManifestOf(data []byte, chunkSize int64) Manifest {
 	m := Manifest{size: int64(len(data)), chunkSize: chunkSize}
 	for start := int64(0); start < m.size; start += chunkSize {
@@ -38,7 +38,7 @@
 	return m
 }
 
-// Digest returns the digest of the manifest: the version.
+// Digest returns the digest of the manifest, which identifies the version.
 func (m Manifest) Digest() Digest {
 	raw, err := msgpack.Marshal(m)
 	if err != nil {
@@ -48,16 +48,17 @@
 	return DigestOf(raw)
 }
 
-// ChunkRange returns where chunk i lies, as offset and length in bytes.
+// ChunkRange returns the offset and the length of chunk i in bytes.
 func (m Manifest) ChunkRange(i int) (offset, length int64) {
 	offset = int64(i) * m.chunkSize
 	return offset, min(m.chunkSize, m.size-offset)
 }
 
-// Validate refuses a manifest whose chunks do not add up to its size.
+// Validate returns a BadDocument failure if the number of chunks does not match the size
+// or exceeds MaxChunks.
 func (m Manifest) Validate() error {
 	if m.size <= 0 || m.chunkSize <= 0 {
-		return failure.New(failure.BadDocument, "manifest with size %d and chunk size %d", m.size, m.chunkSize)
+		return failure.New(failure.BadDocument, "manifest with invalid size %d or chunk size %d", m.size, m.chunkSize)
 	}
 	want := (m.size + m.chunkSize - 1) / m.chunkSize
 	if int64(len(m.chunks)) != want || want > MaxChunks {
--- a/pkg/contract/objects.go
+++ b/pkg/contract/objects.go
@@ -1,7 +1,8 @@
 // ================================================================
-// The configuration objects that operators write and the voters agree on.
+// The configuration objects that operators write and the control log's voters
+// agree on, for example:
 //
-//	group menu-north: selector purpose=menu carries model menu v7 as serve
+//	group menu-north: VMs with the label purpose=menu serve version v7 of model menu
 // ================================================================
 
 package contract
@@ -13,7 +14,7 @@
 	"github.com/tidepost/tidepost/pkg/vm"
 )
 
-// ObjectKind names a kind of configuration object.
+// ObjectKind is the name of a kind of configuration object.
 type ObjectKind string
 
 // The kinds of objects.
@@ -31,32 +32,32 @@
 	return []ObjectKind{KindGroup, KindModel, KindOrganisation, KindService, KindLabels, KindSource}
 }
 
-// Role is what a group's VMs do with a model.
+// Role is the use of a model by the VMs of a group.
 type Role string
 
 // The roles.
 const (
-	// RoleServe loads the model and takes requests.
+	// RoleServe loads the model and serves requests.
 	RoleServe Role = "serve"
 	// RoleHold keeps a verified copy on the VM without loading it.
 	RoleHold Role = "hold"
 )
 
-// Group says which VMs carry which model.
+// Group assigns a version of a model to VMs.
 //
 //wire:generate
 type Group struct {
-	// selector picks the VMs by label.
+	// selector selects the VMs by label.
 	selector string
-	// model is the name of the model that the VMs carry.
+	// model is the name of the model.
 	model string
-	// version is the version name, resolved to a digest in the model object.
+	// version is the version name; the model object resolves it to a digest.
 	version string
-	// role is what the VMs do with the model.
+	// role is the use of the model by the VMs.
 	role Role
 }
 
-// Model is a version name resolved to a digest, once for everybody.
+// Model resolves a version name to a manifest, once for all processes.
 //
 //wire:generate
 type Model struct {
@@ -71,13 +72,13 @@
 // ModelKey returns the object name of a model's version.
 func ModelKey(model, version string) string { return model + "@" + version }
 
-// Organisation is a caller's organisation and its share.
+// Organisation is the configuration of a caller's organisation.
 //
 //wire:generate
 type Organisation struct {
-	// weight is the organisation's share under pressure, relative to others.
+	// weight is the organisation's share under overload, relative to others.
 	weight uint32
-	// maxInFlight bounds its requests in flight at one entry; 0 is no bound.
+	// maxInFlight limits its requests in flight at one entry; 0 means no limit.
 	maxInFlight uint32
 }
 
@@ -85,34 +86,34 @@
 //
 //wire:generate
 type Service struct {
-	// selector picks the VMs by label.
+	// selector selects the VMs by label.
 	selector string
-	// repeatable says whether a call may run twice.
+	// repeatable is true if a call may run twice.
 	repeatable bool
 }
 
-// LabelSet are labels that an operator put on a VM, over those of its settings.
+// LabelSet overrides the labels in a VM's settings.
 //
 //wire:generate
 type LabelSet struct {
-	// labels are the pairs.
+	// labels are the labels to add or replace.
 	labels vm.Labels
-	// removed are keys of the VM's own labels that do not count.
+	// removed are the keys of labels to remove.
 	removed []string
 }
 
-// Source is where weights come from.
+// Source is a server that weights are fetched from.
 //
 //wire:generate
 type Source struct {
-	// url is the base of the HTTP interface.
+	// url is the base URL of the HTTP interface.
 	url string
-	// store says that it is the rate-limited weight store, not the origin.
+	// store is true for the rate-limited weight store and false for the origin.
 	store bool
 }
 
 // ----------------------------------------------------------------
-// Objects in the log and in deltas
+// Encoded objects in the control log and in deltas
 
 // Object is a configuration object in its encoded form.
 //
@@ -124,7 +125,7 @@
 	name string
 	// revision is the revision at which the object last changed.
 	revision uint64
-	// body is the encoded object; empty when the object was deleted.
+	// body is the encoded object; empty if the object is deleted.
 	body []byte
 }
 
@@ -140,16 +141,16 @@
 // Key returns the object's key.
 func (o Object) Key() Key { return Key{o.kind, o.name} }
 
-// Deleted tells whether the object is a deletion.
+// Deleted reports whether the object is deleted.
 func (o Object) Deleted() bool { return len(o.body) == 0 }
 
-// AtRevision returns a copy with another revision.
+// AtRevision returns a copy of the object with another revision.
 func (o Object) AtRevision(revision uint64) Object {
 	o.revision = revision
 	return o
 }
 
-// EncodeObject returns the object of a kind and name with the given body.
+// EncodeObject encodes a body as the object of a kind and name, at revision 0.
 func EncodeObject(kind ObjectKind, name string, body any) (Object, error) {
 	raw, err := msgpack.Marshal(body)
 	if err != nil {
@@ -158,7 +159,7 @@
 	return NewObject(kind, name, 0, raw), nil
 }
 
-// DecodeBody reads the body of an object.
+// DecodeBody decodes the body of an object as a T. Its error is a BadDocument failure.
 func DecodeBody[T any](o Object) (T, error) {
 	var body T
 	if err := msgpack.Unmarshal(o.body, &body); err != nil {
--- a/pkg/contract/operator.go
+++ b/pkg/contract/operator.go
@@ -1,5 +1,5 @@
 // ================================================================
-// What the command line asks of entries and agents.
+// Requests of the command line to entries and agents, and their responses.
 // ================================================================
 
 package contract
@@ -13,23 +13,23 @@
 //
 //wire:generate
 type Query struct {
-	// kind is the kind of objects; empty is all.
+	// kind is the kind of the objects; empty for all kinds.
 	kind ObjectKind
-	// name is the object's name; empty is all.
+	// name is the name of the object; empty for all names.
 	name string
-	// confirmed asks for a read that a quorum has confirmed.
+	// confirmed requests a read that a quorum has confirmed.
 	confirmed bool
 }
 
-// QueryResult is the answer.
+// QueryResult is the response to a Query.
 //
 //wire:generate
 type QueryResult struct {
 	// revision is the revision that the objects were read at.
 	revision uint64
-	// confirmed says that a quorum confirmed the revision.
+	// confirmed is true if a quorum confirmed the revision.
 	confirmed bool
-	// objects are those asked for.
+	// objects are the requested objects.
 	objects []Object
 }
 
@@ -37,11 +37,11 @@
 //
 //wire:generate
 type Status struct {
-	// entry is who answers.
+	// entry is the entry that responds.
 	entry vm.Identity
 	// revision is the configuration revision in force there.
 	revision uint64
-	// leader is the id of the leading voter, as far as known.
+	// leader is the id of the leading voter; empty if unknown.
 	leader string
 	// term is the term of the control log.
 	term uint64
@@ -59,13 +59,14 @@
 type VoterStatus struct {
 	// id is the voter's VM.
 	id string
-	// incarnation is that of its data folder.
+	// incarnation is the incarnation of its data folder.
 	incarnation uint64
 	// address is its link address.
 	address string
-	// learner says that it does not vote yet.
+	// learner is true if it does not vote yet.
 	learner bool
-	// match is the last entry known to be synced there (leader only).
+	// match is the index of the last log entry known to be synced there; only the leader
+	// knows it.
 	match uint64
 }
 
@@ -75,27 +76,28 @@
 type AgentStatus struct {
 	// lastHeartbeat is its last heartbeat.
 	lastHeartbeat Heartbeat
-	// ageSeconds is how old the heartbeat is.
+	// ageSeconds is the age of the heartbeat in seconds.
 	ageSeconds float64
-	// leaving says that it gets no new work, and why.
+	// leaving is the reason why the agent gets no new work; empty if it gets work.
 	leaving string
 }
 
-// VoterChange asks for a change of the control log's voters.
+// VoterChange requests a change of the control log's voters.
 //
 //wire:generate
 type VoterChange struct {
-	// action is one of the VoterAction values.
+	// action is the kind of change.
 	action VoterAction
 	// id is the voter's VM.
 	id string
-	// address is its link address, when it is added.
+	// address is its link address, if it is added.
 	address string
-	// incarnation is that of its data folder; 0 asks the voter itself.
+	// incarnation is the incarnation of its data folder; 0 means that the entry asks the
+	// voter for it.
 	incarnation uint64
 }
 
-// VoterAction is what a VoterChange does.
+// VoterAction is the kind of a VoterChange.
 type VoterAction string
 
 // The voter changes.
@@ -105,21 +107,21 @@
 	VoterRemove    VoterAction = "remove"
 )
 
-// Drain asks a process to take no new work and to leave when idle.
+// Drain tells a process to take no new work and to stop when idle.
 //
 //wire:generate
 type Drain struct {
-	// vm is the VM to drain; empty is the process that is asked.
+	// vm is the VM to drain; empty for the process that receives the message.
 	vm vm.ID
-	// reason goes into the time line.
+	// reason is recorded in the time line.
 	reason string
 }
 
-// TimelineQuery asks for the events after a stamp.
+// TimelineQuery asks for the events after a time stamp.
 //
 //wire:generate
 type TimelineQuery struct {
-	// after is exclusive; the zero stamp asks for all that is kept.
+	// after is exclusive; the zero stamp asks for all events that are kept.
 	after event.Stamp
 }
 
@@ -127,16 +129,17 @@
 //
 //wire:generate
 type Timeline struct {
-	// process is who answers.
+	// process is the name of the process that responds.
 	process string
-	// events are in the order of their stamps.
+	// events are sorted by time stamp.
 	events []event.Event
 }
 
-// Acknowledgement is an answer without content.
+// Acknowledgement is a message without data. It is also sent as a request without
+// parameters.
 //
 //wire:generate
 type Acknowledgement struct {
-	// note is for people.
+	// note is a text for people.
 	note string
 }
--- a/pkg/contract/wire_generated.go
+++ b/pkg/contract/wire_generated.go
@@ -15,7 +15,7 @@
 	return Acknowledgement{note: note}
 }
 
-// Note is for people.
+// Note is a text for people.
 func (a Acknowledgement) Note() string { return a.note }
 
 // EncodeMsgpack writes the fields in order, as one array.
@@ -54,10 +54,10 @@
 // LastHeartbeat is its last heartbeat.
 func (a AgentStatus) LastHeartbeat() Heartbeat { return a.lastHeartbeat }
 
-// AgeSeconds is how old the heartbeat is.
+// AgeSeconds is the age of the heartbeat in seconds.
 func (a AgentStatus) AgeSeconds() float64 { return a.ageSeconds }
 
-// Leaving says that it gets no new work, and why.
+// Leaving is the reason why the agent gets no new work; empty if it gets work.
 func (a AgentStatus) Leaving() string { return a.leaving }
 
 // EncodeMsgpack writes the fields in order, as one array.
@@ -93,10 +93,10 @@
 	return Apply{change: change, models: models}
 }
 
-// Change is what the client asks for.
+// Change is the requested change.
 func (a Apply) Change() Change { return a.change }
 
-// Models are resolved at the sources and added to the change.
+// Models are the versions that the entry resolves at the sources and adds to the change.
 func (a Apply) Models() []ModelName { return a.models }
 
 // EncodeMsgpack writes the fields in order, as one array.
@@ -132,20 +132,20 @@
 	return Change{id: id, operator: operator, base: base, objects: objects, content: content}
 }
 
-// ID is made once by the client; a resent change has the same id.
+// ID is chosen by the client; a resent change has the same id.
 func (c Change) ID() string { return c.id }
 
-// Operator is who asked, for the time line.
+// Operator is the operator's name, for the time line.
 func (c Change) Operator() string { return c.operator }
 
-// Base is the revision that the change was made against.
+// Base is the revision that the change is based on.
 func (c Change) Base() uint64 { return c.base }
 
-// Objects are written, or deleted where their body is empty.
+// Objects are the objects to write, or to delete if their body is empty.
 func (c Change) Objects() []Object { return c.objects }
 
-// Content is the digest of what the client asked for, before any version
-// name in it was resolved; it tells a resent change from another one.
+// Content is the digest of the client's request before version names in it are
+// resolved; it tells a resent change from a different one with the same id.
 func (c Change) Content() Digest { return c.content }
 
 // EncodeMsgpack writes the fields in order, as one array.
@@ -181,11 +181,11 @@
 	return ChangeResult{revision: revision, refusal: refusal}
 }
 
-// Revision is the revision that the change made, or the current one if
-// it was refused.
+// Revision is the revision that the change created, or the current one if the change
+// was refused.
 func (c ChangeResult) Revision() uint64 { return c.revision }
 
-// Refusal says why the change was refused; nil when it was accepted.
+// Refusal is the reason for a refusal; nil if the change was accepted.
 func (c ChangeResult) Refusal() *failure.Failure { return c.refusal }
 
 // EncodeMsgpack writes the fields in order, as one array.
@@ -221,7 +221,7 @@
 	return ChunkPart{data: data}
 }
 
-// Data is the piece; a part without data ends the chunk.
+// Data is the content of the part; a part without data ends the chunk.
 func (c ChunkPart) Data() []byte { return c.data }
 
 // EncodeMsgpack writes the fields in order, as one array.
@@ -260,7 +260,7 @@
 // Digest is the manifest digest.
 func (c ChunkRequest) Digest() Digest { return c.digest }
 
-// Index is the chunk's place in the manifest.
+// Index is the chunk's index in the manifest.
 func (c ChunkRequest) Index() uint32 { return c.index }
 
 // EncodeMsgpack writes the fields in order, as one array.
@@ -296,19 +296,20 @@
 	return Claim{organisation: organisation, key: key, attempt: attempt, body: body, deadline: deadline}
 }
 
-// Organisation is the caller's.
+// Organisation is the caller's organisation.
 func (c Claim) Organisation() string { return c.organisation }
 
 // Key is the caller's idempotency key.
 func (c Claim) Key() string { return c.key }
 
-// Attempt identifies the attempt that asks for the claim.
+// Attempt identifies the attempt that requests the claim.
 func (c Claim) Attempt() string { return c.attempt }
 
-// Body is the digest of the request, so that a key is not used for two.
+// Body is the digest of the request, which detects a key that is reused for another
+// request.
 func (c Claim) Body() Digest { return c.body }
 
-// Deadline is the request's, in nanoseconds since 1970.
+// Deadline is the deadline of the request, in nanoseconds since 1970.
 func (c Claim) Deadline() int64 { return c.deadline }
 
 // EncodeMsgpack writes the fields in order, as one array.
@@ -344,13 +345,13 @@
 	return ClaimResult{state: state, outcome: outcome, refusal: refusal}
 }
 
-// State is what the claim is in.
+// State is the state of the claim.
 func (c ClaimResult) State() ClaimState { return c.state }
 
-// Outcome is the stored answer when the request ran.
+// Outcome is the stored outcome if the request ran.
 func (c ClaimResult) Outcome() Outcome { return c.outcome }
 
-// Refusal is set when the claim cannot be taken.
+// Refusal is set if the claim cannot be granted.
 func (c ClaimResult) Refusal() *failure.Failure { return c.refusal }
 
 // EncodeMsgpack writes the fields in order, as one array.
@@ -392,7 +393,7 @@
 // Digest is the manifest digest.
 func (c Copy) Digest() Digest { return c.digest }
 
-// Phase is how far the copy has come.
+// Phase is the current phase of the copy.
 func (c Copy) Phase() CopyPhase { return c.phase }
 
 // Chunks is how many chunks are verified.
@@ -434,16 +435,16 @@
 	return Delta{from: from, revision: revision, objects: objects, confirmed: confirmed}
 }
 
-// From is the revision that the delta applies to; 0 is a full copy.
+// From is the revision that the delta applies to; 0 for a full copy.
 func (d Delta) From() uint64 { return d.from }
 
-// Revision is the revision after it.
+// Revision is the revision that results from the delta.
 func (d Delta) Revision() uint64 { return d.revision }
 
 // Objects are the changed objects.
 func (d Delta) Objects() []Object { return d.objects }
 
-// Confirmed says that the sender has heard from a quorum's leader lately.
+// Confirmed is true if the sender has recently heard from a leader with a quorum.
 func (d Delta) Confirmed() bool { return d.confirmed }
 
 // EncodeMsgpack writes the fields in order, as one array.
@@ -479,7 +480,7 @@
 	return DeltaRequest{revision: revision}
 }
 
-// Revision is the highest one that the asking process has applied.
+// Revision is the highest revision that the subscriber has applied.
 func (d DeltaRequest) Revision() uint64 { return d.revision }
 
 // EncodeMsgpack writes the fields in order, as one array.
@@ -521,14 +522,14 @@
 // Domain is the failure domain.
 func (d DomainSources) Domain() string { return d.domain }
 
-// Incomplete says that an agent of the domain still lacks chunks.
+// Incomplete is true if an agent of the domain lacks chunks.
 func (d DomainSources) Incomplete() bool { return d.incomplete }
 
-// Agents are those named by holders.
+// Agents are the agents of the domain, to which holders refers.
 func (d DomainSources) Agents() []vm.Identity { return d.agents }
 
-// Holders has, for each chunk, the place of one holder in agents plus
-// one; 0 when nobody in the domain holds it.
+// Holders has, for each chunk, the index of one holder in agents plus one; 0 if no
+// agent of the domain holds it.
 func (d DomainSources) Holders() []uint16 { return d.holders }
 
 // EncodeMsgpack writes the fields in order, as one array.
@@ -564,10 +565,10 @@
 	return Drain{vm: vm, reason: reason}
 }
 
-// VM is the VM to drain; empty is the process that is asked.
+// VM is the VM to drain; empty for the process that receives the message.
 func (d Drain) VM() vm.ID { return d.vm }
 
-// Reason goes into the time line.
+// Reason is recorded in the time line.
 func (d Drain) Reason() string { return d.reason }
 
 // EncodeMsgpack writes the fields in order, as one array.
@@ -609,10 +610,10 @@
 // Revision is the configuration revision in force there.
 func (e EntryHeartbeat) Revision() uint64 { return e.revision }
 
-// Draining says that the entry is leaving.
+// Draining is true if the entry takes no new work.
 func (e EntryHeartbeat) Draining() bool { return e.draining }
 
-// Ready are the digests that the failure domain has ready replicas of.
+// Ready are the digests of the versions that the failure domain has ready replicas of.
 func (e EntryHeartbeat) Ready() []Digest { return e.ready }
 
 // Services are the plain services that the failure domain can reach.
@@ -621,7 +622,7 @@
 // Load is the sum over the failure domain's agents.
 func (e EntryHeartbeat) Load() Load { return e.load }
 
-// CallersAddress is where the entry takes callers, host:port.
+// CallersAddress is the address, host:port, on which the entry serves callers.
 func (e EntryHeartbeat) CallersAddress() string { return e.callersAddress }
 
 // EncodeMsgpack writes the fields in order, as one array.
@@ -657,16 +658,16 @@
 	return Group{selector: selector, model: model, version: version, role: role}
 }
 
-// Selector picks the VMs by label.
+// Selector selects the VMs by label.
 func (g Group) Selector() string { return g.selector }
 
-// Model is the name of the model that the VMs carry.
+// Model is the name of the model.
 func (g Group) Model() string { return g.model }
 
-// Version is the version name, resolved to a digest in the model object.
+// Version is the version name; the model object resolves it to a digest.
 func (g Group) Version() string { return g.version }
 
-// Role is what the VMs do with the model.
+// Role is the use of the model by the VMs.
 func (g Group) Role() Role { return g.role }
 
 // EncodeMsgpack writes the fields in order, as one array.
@@ -705,7 +706,7 @@
 // From is the agent.
 func (h Heartbeat) From() vm.Identity { return h.from }
 
-// Sequence grows by one with each heartbeat of an incarnation.
+// Sequence increases by one with each heartbeat of an incarnation.
 func (h Heartbeat) Sequence() uint64 { return h.sequence }
 
 // Revision is the configuration revision in force on the VM.
@@ -717,19 +718,19 @@
 // Copies are the copies on the VM.
 func (h Heartbeat) Copies() []Copy { return h.copies }
 
-// Services are the plain services that the agent fronts.
+// Services are the plain services that the agent proxies.
 func (h Heartbeat) Services() []string { return h.services }
 
-// Load is the work in hand.
+// Load is the current load.
 func (h Heartbeat) Load() Load { return h.load }
 
-// Draining says that the agent takes no new work.
+// Draining is true if the agent takes no new work.
 func (h Heartbeat) Draining() bool { return h.draining }
 
-// OriginBytes counts what the agent has drawn from origin and store.
+// OriginBytes is how many bytes the agent has fetched from origin and store.
 func (h Heartbeat) OriginBytes() int64 { return h.originBytes }
 
-// PeerBytes counts what the agent has drawn from other agents.
+// PeerBytes is how many bytes the agent has fetched from other agents.
 func (h Heartbeat) PeerBytes() int64 { return h.peerBytes }
 
 // EncodeMsgpack writes the fields in order, as one array.
@@ -768,10 +769,10 @@
 // Digest is the manifest digest.
 func (h HeldChunks) Digest() Digest { return h.digest }
 
-// Held is the whole set, on the first message; empty afterwards.
+// Held is a bitmap of all chunks held, on the first message; empty afterwards.
 func (h HeldChunks) Held() []byte { return h.held }
 
-// Added are the chunks since the message before.
+// Added are the chunks added since the previous message.
 func (h HeldChunks) Added() []uint32 { return h.added }
 
 // EncodeMsgpack writes the fields in order, as one array.
@@ -807,10 +808,10 @@
 	return Import{index: index, holder: holder}
 }
 
-// Index is the chunk's place in the manifest.
+// Index is the chunk's index in the manifest.
 func (i Import) Index() uint32 { return i.index }
 
-// Holder is the agent that holds it.
+// Holder is the agent to fetch it from.
 func (i Import) Holder() vm.Identity { return i.holder }
 
 // EncodeMsgpack writes the fields in order, as one array.
@@ -846,10 +847,10 @@
 	return LabelSet{labels: labels, removed: removed}
 }
 
-// Labels are the pairs.
+// Labels are the labels to add or replace.
 func (l LabelSet) Labels() vm.Labels { return l.labels }
 
-// Removed are keys of the VM's own labels that do not count.
+// Removed are the keys of labels to remove.
 func (l LabelSet) Removed() []string { return l.removed }
 
 // EncodeMsgpack writes the fields in order, as one array.
@@ -885,19 +886,19 @@
 	return Load{inFlight: inFlight, queued: queued, cacheFree: cacheFree, tokensPerSecond: tokensPerSecond, limit: limit}
 }
 
-// InFlight counts the requests that the agent has admitted and not ended.
+// InFlight is how many admitted requests have not ended.
 func (l Load) InFlight() uint32 { return l.inFlight }
 
-// Queued counts those that wait in the engine.
+// Queued is how many of them wait in the engine.
 func (l Load) Queued() uint32 { return l.queued }
 
-// CacheFree is the free part of the engine's KV cache, 0 to 1.
+// CacheFree is the free fraction of the engine's KV cache, 0 to 1.
 func (l Load) CacheFree() float64 { return l.cacheFree }
 
 // TokensPerSecond is the engine's recent output rate.
 func (l Load) TokensPerSecond() float64 { return l.tokensPerSecond }
 
-// Limit is how many requests the agent takes at one time.
+// Limit is how many requests the agent admits at one time.
 func (l Load) Limit() uint32 { return l.limit }
 
 // EncodeMsgpack writes the fields in order, as one array.
@@ -933,10 +934,10 @@
 	return Manifest{size: size, chunkSize: chunkSize, chunks: chunks}
 }
 
-// Size is the length of the whole copy in bytes.
+// Size is the size of the copy in bytes.
 func (m Manifest) Size() int64 { return m.size }
 
-// ChunkSize is the length of every chunk but the last, in bytes.
+// ChunkSize is the size of every chunk but the last, in bytes.
 func (m Manifest) ChunkSize() int64 { return m.chunkSize }
 
 // Chunks are the digests of the chunks in order.
@@ -1065,7 +1066,7 @@
 // Revision is the revision at which the object last changed.
 func (o Object) Revision() uint64 { return o.revision }
 
-// Body is the encoded object; empty when the object was deleted.
+// Body is the encoded object; empty if the object is deleted.
 func (o Object) Body() []byte { return o.body }
 
 // EncodeMsgpack writes the fields in order, as one array.
@@ -1101,10 +1102,10 @@
 	return Organisation{weight: weight, maxInFlight: maxInFlight}
 }
 
-// Weight is the organisation's share under pressure, relative to others.
+// Weight is the organisation's share under overload, relative to others.
 func (o Organisation) Weight() uint32 { return o.weight }
 
-// MaxInFlight bounds its requests in flight at one entry; 0 is no bound.
+// MaxInFlight limits its requests in flight at one entry; 0 means no limit.
 func (o Organisation) MaxInFlight() uint32 { return o.maxInFlight }
 
 // EncodeMsgpack writes the fields in order, as one array.
@@ -1143,16 +1144,16 @@
 // Status is the HTTP status of the service.
 func (o Outcome) Status() int { return o.status }
 
-// ContentType is the answer's content type.
+// ContentType is the content type of the response.
 func (o Outcome) ContentType() string { return o.contentType }
 
-// Body is the answer, cut at MaxStoredAnswer.
+// Body is the body of the response; empty if it exceeds MaxStoredBody.
 func (o Outcome) Body() []byte { return o.body }
 
-// Truncated says that the answer was longer than what is stored.
+// Truncated is true if the body was too large to be stored.
 func (o Outcome) Truncated() bool { return o.truncated }
 
-// Known is false when the answer was lost and the request may have run.
+// Known is false if the response was lost and the request may have run.
 func (o Outcome) Known() bool { return o.known }
 
 // EncodeMsgpack writes the fields in order, as one array.
@@ -1188,7 +1189,7 @@
 	return Proposal{kind: kind, body: body}
 }
 
-// Kind says what body is, in the numbers of the control log's commands.
+// Kind is the kind of the command, in the numbers of the control log.
 func (p Proposal) Kind() uint8 { return p.kind }
 
 // Body is the encoded command.
@@ -1230,10 +1231,10 @@
 // Body is the encoded result of the command.
 func (p ProposalResult) Body() []byte { return p.body }
 
-// Leader is the link address of the leader, when the one asked knows it.
+// Leader is the link address of the leader, if the process asked knows it.
 func (p ProposalResult) Leader() string { return p.leader }
 
-// Refusal is set when the command was not accepted, or may not have been.
+// Refusal is set if the command was not accepted, or may not have been.
 func (p ProposalResult) Refusal() *failure.Failure { return p.refusal }
 
 // EncodeMsgpack writes the fields in order, as one array.
@@ -1269,13 +1270,13 @@
 	return Query{kind: kind, name: name, confirmed: confirmed}
 }
 
-// Kind is the kind of objects; empty is all.
+// Kind is the kind of the objects; empty for all kinds.
 func (q Query) Kind() ObjectKind { return q.kind }
 
-// Name is the object's name; empty is all.
+// Name is the name of the object; empty for all names.
 func (q Query) Name() string { return q.name }
 
-// Confirmed asks for a read that a quorum has confirmed.
+// Confirmed requests a read that a quorum has confirmed.
 func (q Query) Confirmed() bool { return q.confirmed }
 
 // EncodeMsgpack writes the fields in order, as one array.
@@ -1314,10 +1315,10 @@
 // Revision is the revision that the objects were read at.
 func (q QueryResult) Revision() uint64 { return q.revision }
 
-// Confirmed says that a quorum confirmed the revision.
+// Confirmed is true if a quorum confirmed the revision.
 func (q QueryResult) Confirmed() bool { return q.confirmed }
 
-// Objects are those asked for.
+// Objects are the requested objects.
 func (q QueryResult) Objects() []Object { return q.objects }
 
 // EncodeMsgpack writes the fields in order, as one array.
@@ -1356,25 +1357,25 @@
 // Attempt identifies this attempt; an agent runs it once at most.
 func (r Request) Attempt() string { return r.attempt }
 
-// Organisation is the caller's.
+// Organisation is the caller's organisation.
 func (r Request) Organisation() string { return r.organisation }
 
 // Model is the model's name; empty for a plain service.
 func (r Request) Model() string { return r.model }
 
-// Digest is the version that the request is pinned to.
+// Digest is the manifest digest of the version that the request is pinned to.
 func (r Request) Digest() Digest { return r.digest }
 
 // Service is the plain service's name; empty for a model.
 func (r Request) Service() string { return r.service }
 
-// Method and path are those of the call to a plain service.
+// Method and path are the HTTP method and path of the call to a plain service.
 func (r Request) Method() string { return r.method }
 
 // Path returns the field of that name.
 func (r Request) Path() string { return r.path }
 
-// ContentType is the body's.
+// ContentType is the content type of the body.
 func (r Request) ContentType() string { return r.contentType }
 
 // Body is the request body.
@@ -1383,13 +1384,13 @@
 // Deadline is in nanoseconds since 1970.
 func (r Request) Deadline() int64 { return r.deadline }
 
-// Stream says that the caller reads server-sent events.
+// Stream is true if the caller reads server-sent events.
 func (r Request) Stream() bool { return r.stream }
 
-// Repeatable says that the request may run twice.
+// Repeatable is true if the request may run twice.
 func (r Request) Repeatable() bool { return r.repeatable }
 
-// Priority is handed on to the engine; higher runs first.
+// Priority is passed to the engine; requests of higher priority run first.
 func (r Request) Priority() int { return r.priority }
 
 // EncodeMsgpack writes the fields in order, as one array.
@@ -1425,28 +1426,28 @@
 	return ResponsePart{attempt: attempt, sequence: sequence, status: status, contentType: contentType, body: body, end: end, failure: failure, digest: digest}
 }
 
-// Attempt is the request's, checked at the entry on every part.
+// Attempt is the attempt of the request; the entry checks it on every part.
 func (r ResponsePart) Attempt() string { return r.attempt }
 
-// Sequence numbers the parts from 0.
+// Sequence is the number of the part, from 0.
 func (r ResponsePart) Sequence() uint64 { return r.sequence }
 
 // Status is the HTTP status, on the first part.
 func (r ResponsePart) Status() int { return r.status }
 
-// ContentType is the body's, on the first part.
+// ContentType is the content type of the body, on the first part.
 func (r ResponsePart) ContentType() string { return r.contentType }
 
 // Body is this part of the body.
 func (r ResponsePart) Body() []byte { return r.body }
 
-// End marks the last part of a whole answer.
+// End marks the last part of a complete response.
 func (r ResponsePart) End() bool { return r.end }
 
-// Failure ends the answer early.
+// Failure ends the response early; nil otherwise.
 func (r ResponsePart) Failure() *failure.Failure { return r.failure }
 
-// Digest is the version that answered.
+// Digest is the manifest digest of the version that ran the request.
 func (r ResponsePart) Digest() Digest { return r.digest }
 
 // EncodeMsgpack writes the fields in order, as one array.
@@ -1482,7 +1483,7 @@
 	return RetryLoanRequest{service: service}
 }
 
-// Service is whose requests are repeated.
+// Service is the service whose request is retried.
 func (r RetryLoanRequest) Service() string { return r.service }
 
 // EncodeMsgpack writes the fields in order, as one array.
@@ -1518,7 +1519,7 @@
 	return RetryLoanResponse{granted: granted}
 }
 
-// Granted says that it may.
+// Granted is true if the retry may be sent; it counts against the lender's budget.
 func (r RetryLoanResponse) Granted() bool { return r.granted }
 
 // EncodeMsgpack writes the fields in order, as one array.
@@ -1554,10 +1555,10 @@
 	return Service{selector: selector, repeatable: repeatable}
 }
 
-// Selector picks the VMs by label.
+// Selector selects the VMs by label.
 func (s Service) Selector() string { return s.selector }
 
-// Repeatable says whether a call may run twice.
+// Repeatable is true if a call may run twice.
 func (s Service) Repeatable() bool { return s.repeatable }
 
 // EncodeMsgpack writes the fields in order, as one array.
@@ -1593,7 +1594,7 @@
 	return Settle{organisation: organisation, key: key, attempt: attempt, ran: ran, outcome: outcome}
 }
 
-// Organisation is the caller's.
+// Organisation is the caller's organisation.
 func (s Settle) Organisation() string { return s.organisation }
 
 // Key is the caller's idempotency key.
@@ -1602,10 +1603,10 @@
 // Attempt is the attempt that holds the claim.
 func (s Settle) Attempt() string { return s.attempt }
 
-// Ran is false when nothing ran and the key may be claimed again.
+// Ran is false if the request did not run, so that the key may be claimed again.
 func (s Settle) Ran() bool { return s.ran }
 
-// Outcome is the answer when it ran.
+// Outcome is the outcome if the request ran.
 func (s Settle) Outcome() Outcome { return s.outcome }
 
 // EncodeMsgpack writes the fields in order, as one array.
@@ -1641,10 +1642,10 @@
 	return Source{url: url, store: store}
 }
 
-// URL is the base of the HTTP interface.
+// URL is the base URL of the HTTP interface.
 func (s Source) URL() string { return s.url }
 
-// Store says that it is the rate-limited weight store, not the origin.
+// Store is true for the rate-limited weight store and false for the origin.
 func (s Source) Store() bool { return s.store }
 
 // EncodeMsgpack writes the fields in order, as one array.
@@ -1680,17 +1681,17 @@
 	return SpreadPlan{peers: peers, unchanged: unchanged, originChunks: originChunks, imports: imports}
 }
 
-// Peers are agents of the same failure domain to fetch from; empty when
-// they are those that the agent has.
+// Peers are the agent's neighbours, agents of the same failure domain to fetch from;
+// empty if they are unchanged.
 func (s SpreadPlan) Peers() []vm.Identity { return s.peers }
 
-// Unchanged says that the agent keeps the neighbours that it has.
+// Unchanged is true if the agent keeps its current neighbours.
 func (s SpreadPlan) Unchanged() bool { return s.unchanged }
 
-// OriginChunks are the chunks that the agent is to draw from the origin.
+// OriginChunks are the chunks that the agent has to fetch from the origin.
 func (s SpreadPlan) OriginChunks() []uint32 { return s.originChunks }
 
-// Imports are the chunks that the agent is to fetch from another domain.
+// Imports are the chunks that the agent has to fetch from another domain.
 func (s SpreadPlan) Imports() []Import { return s.imports }
 
 // EncodeMsgpack writes the fields in order, as one array.
@@ -1732,16 +1733,16 @@
 // Digest is the manifest digest.
 func (s SpreadReport) Digest() Digest { return s.digest }
 
-// Held has a bit for each verified chunk, lowest first.
+// Held is a bitmap of the verified chunks, lowest bit first.
 func (s SpreadReport) Held() []byte { return s.held }
 
-// Released are the chunks of draw leases that are finished or given back.
+// Released are the chunks whose leases have ended, by success or failure.
 func (s SpreadReport) Released() []uint32 { return s.released }
 
-// Incomplete says that the agent still lacks chunks.
+// Incomplete is true if the agent lacks chunks.
 func (s SpreadReport) Incomplete() bool { return s.incomplete }
 
-// Neighbours is the hash of the neighbours that the agent has.
+// Neighbours is the hash of the agent's current neighbours.
 func (s SpreadReport) Neighbours() uint64 { return s.neighbours }
 
 // EncodeMsgpack writes the fields in order, as one array.
@@ -1777,13 +1778,13 @@
 	return Status{entry: entry, revision: revision, leader: leader, term: term, voters: voters, agents: agents, entries: entries}
 }
 
-// Entry is who answers.
+// Entry is the entry that responds.
 func (s Status) Entry() vm.Identity { return s.entry }
 
 // Revision is the configuration revision in force there.
 func (s Status) Revision() uint64 { return s.revision }
 
-// Leader is the id of the leading voter, as far as known.
+// Leader is the id of the leading voter; empty if unknown.
 func (s Status) Leader() string { return s.leader }
 
 // Term is the term of the control log.
@@ -1831,10 +1832,10 @@
 	return Timeline{process: process, events: events}
 }
 
-// Process is who answers.
+// Process is the name of the process that responds.
 func (t Timeline) Process() string { return t.process }
 
-// Events are in the order of their stamps.
+// Events are sorted by time stamp.
 func (t Timeline) Events() []event.Event { return t.events }
 
 // EncodeMsgpack writes the fields in order, as one array.
@@ -1870,7 +1871,7 @@
 	return TimelineQuery{after: after}
 }
 
-// After is exclusive; the zero stamp asks for all that is kept.
+// After is exclusive; the zero stamp asks for all events that are kept.
 func (t TimelineQuery) After() event.Stamp { return t.after }
 
 // EncodeMsgpack writes the fields in order, as one array.
@@ -1906,16 +1907,17 @@
 	return VoterChange{action: action, id: id, address: address, incarnation: incarnation}
 }
 
-// Action is one of the VoterAction values.
+// Action is the kind of change.
 func (v VoterChange) Action() VoterAction { return v.action }
 
 // ID is the voter's VM.
 func (v VoterChange) ID() string { return v.id }
 
-// Address is its link address, when it is added.
+// Address is its link address, if it is added.
 func (v VoterChange) Address() string { return v.address }
 
-// Incarnation is that of its data folder; 0 asks the voter itself.
+// Incarnation is the incarnation of its data folder; 0 means that the entry asks the
+// voter for it.
 func (v VoterChange) Incarnation() uint64 { return v.incarnation }
 
 // EncodeMsgpack writes the fields in order, as one array.
@@ -1954,16 +1956,17 @@
 // ID is the voter's VM.
 func (v VoterStatus) ID() string { return v.id }
 
-// Incarnation is that of its data folder.
+// Incarnation is the incarnation of its data folder.
 func (v VoterStatus) Incarnation() uint64 { return v.incarnation }
 
 // Address is its link address.
 func (v VoterStatus) Address() string { return v.address }
 
-// Learner says that it does not vote yet.
+// Learner is true if it does not vote yet.
 func (v VoterStatus) Learner() bool { return v.learner }
 
-// Match is the last entry known to be synced there (leader only).
+// Match is the index of the last log entry known to be synced there; only the leader
+// knows it.
 func (v VoterStatus) Match() uint64 { return v.match }
 
 // EncodeMsgpack writes the fields in order, as one array.
--- a/pkg/link/accept.go
+++ b/pkg/link/accept.go
@@ -1,6 +1,6 @@
 // ================================================================
-// The accepting side of an endpoint: connections up to a bound, a handshake
-// each, and a handler for each stream.
+// The accepting side of an endpoint. It limits the number of connections,
+// authenticates each one and runs a handler for each incoming stream.
 // ================================================================
 
 package link
@@ -18,12 +18,13 @@
 	"github.com/tidepost/tidepost/pkg/failure"
 )
 
-// supersededTimeout is how long a connection may stay silent after a newer one came
-// from the same process. Its answer to a ping waits behind what is under way on a stream,
-// which takes 2.3 s on a link of 0.9 Mbit/s.
+// supersededTimeout is how long a connection may stay silent after the same process has
+// opened a newer one. A reply to a ping queues behind the stream data in transit, which
+// takes 2.3 s on a link of 0.9 Mbit/s.
 const supersededTimeout = 3 * time.Second
 
-// Serve accepts connections until the listener is closed.
+// Serve accepts connections until the listener is closed. It returns nil if the context
+// has ended by then, and the listener's error otherwise.
 func (e *Endpoint) Serve(ctx context.Context, l net.Listener) error {
 	for {
 		conn, err := l.Accept()
@@ -47,8 +48,8 @@
 	defer func() { <-e.slots }()
 	defer conn.Close()
 	applyTCPKeepAlive(conn)
-	heard := newReceiveTime()
-	conn = timedConn{conn, heard}
+	received := newReceiveTime()
+	conn = timedConn{conn, received}
 	if e.config.TLS != nil {
 		conn = tls.Server(conn, e.config.TLS)
 	}
@@ -61,7 +62,7 @@
 	if err != nil {
 		return
 	}
-	c := &connection{session, peer, heard}
+	c := &connection{session, peer, received}
 	if !e.addAccepted(c) {
 		return
 	}
@@ -75,9 +76,10 @@
 	}
 }
 
-// addAccepted keeps a connection, and looks at older ones of the same process: it may
-// have come to replace one of them. Its slot and whoever waits on its streams are
-// needed before the ping of the connection finds out.
+// addAccepted registers a connection and pings the older ones of the same process, since
+// the new one may be their replacement. The periodic ping would find a silent connection
+// later, and until then it would hold its slot and keep readers of its streams waiting.
+// If the endpoint is closed, addAccepted closes the connection and returns false.
 func (e *Endpoint) addAccepted(c *connection) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -94,13 +96,15 @@
 	return true
 }
 
-// closeIfSilent closes a connection that brings nothing for a while though it is asked.
+// closeIfSilent pings a connection and closes it if nothing arrives within
+// supersededTimeout.
 func closeIfSilent(c *connection) {
 	if !c.respondsWithin(supersededTimeout) {
 		_ = c.session.Close()
 	}
 }
 
+// removeAccepted closes a connection and removes it from the accepted ones.
 func (e *Endpoint) removeAccepted(c *connection) {
 	_ = c.session.Close()
 	e.mu.Lock()
@@ -121,7 +125,7 @@
 		h = e.topics[topicKey(o.kind, o.topic)]
 	}
 	if h == nil {
-		_ = s.Fail(failure.New(failure.BadRequest, "stream kind %d %q is not served here", o.kind, o.topic))
+		_ = s.Fail(failure.New(failure.BadRequest, "no handler for stream kind %d with topic %q", o.kind, o.topic))
 		return
 	}
 	if err := h(ctx, s); err != nil {
@@ -129,8 +133,8 @@
 	}
 }
 
-// recoverStream keeps a defect in one handler from ending the process with
-// everything else that is in flight. Whether anything ran is then not known.
+// recoverStream answers a panic of a handler with a failure, so that the process and all
+// other work in flight go on. Whether the request ran is then unknown.
 func (e *Endpoint) recoverStream(s *Stream) {
 	if r := recover(); r != nil {
 		_ = level.Error(e.config.Logger).Log("msg", "handler panicked", "panic", r, "stack", string(debug.Stack()))
--- a/pkg/link/packed_test.go
+++ b/pkg/link/compress_test.go
@@ -11,8 +11,7 @@
 	"github.com/tidepost/tidepost/pkg/failure"
 )
 
-// A large body that repeats itself crosses the link in few bytes and arrives as
-// it was.
+// A large repetitive body is compressed on the wire and arrives unchanged.
 func TestLargeBodiesAreCompressed(t *testing.T) {
 	body := []byte(strings.Repeat("a route that looks like the others; ", 500))
 	var wire bytes.Buffer
@@ -20,7 +19,7 @@
 		t.Fatal(err)
 	}
 	if wire.Len() > len(body)/4 {
-		t.Fatalf("%d bytes on the link for a body of %d", wire.Len(), len(body))
+		t.Fatalf("%d bytes on the wire for a body of %d", wire.Len(), len(body))
 	}
 	f, err := readFrame(&wire)
 	if err != nil || f.typ != frameMessage || !bytes.Equal(f.body, body) {
@@ -28,11 +27,12 @@
 	}
 }
 
-// A body that says it unpacks to more than a frame may hold takes no memory.
+// A compressed body whose stated length exceeds the size limit of a frame is refused before
+// memory is allocated for it, and a corrupt one is refused.
 func TestDecompressedBodyIsBounded(t *testing.T) {
 	var wire bytes.Buffer
-	bomb := s2.Encode(nil, make([]byte, MaxFrame+1))
-	if err := writeFrame(&wire, frame{typ: frameCompressed, stamp: event.NewStamp(7, 1), body: bomb}); err != nil {
+	oversized := s2.Encode(nil, make([]byte, MaxFrame+1))
+	if err := writeFrame(&wire, frame{typ: frameCompressed, stamp: event.NewStamp(7, 1), body: oversized}); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := readFrame(&wire); !failure.Is(err, failure.TooLarge) {
@@ -43,6 +43,6 @@
 		t.Fatal(err)
 	}
 	if _, err := readFrame(&wire); err == nil {
-		t.Fatal("a spoilt body was taken")
+		t.Fatal("a corrupt body was accepted")
 	}
 }
--- a/pkg/link/connection.go
+++ b/pkg/link/connection.go
@@ -1,7 +1,7 @@
 // ================================================================
-// A connection and when it was last heard. What came over it, of any stream, is
-// the cheapest sign that the other side and the way to it are well; a ping of the
-// connection asks for one where nothing else does.
+// A connection and the time at which it last received bytes. Traffic of any stream shows
+// that the peer and the network path work and costs nothing extra; a ping checks a
+// connection without traffic.
 // ================================================================
 
 package link
@@ -16,15 +16,16 @@
 	"github.com/tidepost/tidepost/pkg/vm"
 )
 
-// connection is an authenticated connection with its streams.
+// connection is an authenticated connection that carries multiplexed streams.
 type connection struct {
 	session  *yamux.Session
 	peer     vm.Identity
 	received *receiveTime
 }
 
-// receiveTime is when bytes last came. It is kept as the time since it was made, which
-// a step of the clock does not move.
+// receiveTime is the time at which bytes last arrived. It is stored as an offset from its
+// creation, so that a step of the wall clock does not change it. It is safe for concurrent
+// use.
 type receiveTime struct {
 	created time.Time
 	offset  atomic.Int64
@@ -32,12 +33,12 @@
 
 func newReceiveTime() *receiveTime { return &receiveTime{created: time.Now()} }
 
-func (h *receiveTime) record() { h.offset.Store(int64(time.Since(h.created))) }
+func (t *receiveTime) record() { t.offset.Store(int64(time.Since(t.created))) }
 
-// time returns when bytes last came; when it was made, if none did.
-func (h *receiveTime) time() time.Time { return h.created.Add(time.Duration(h.offset.Load())) }
+// time returns the time at which bytes last arrived, or the time of creation if none did.
+func (t *receiveTime) time() time.Time { return t.created.Add(time.Duration(t.offset.Load())) }
 
-// timedConn notes when bytes come.
+// timedConn records the time at which bytes arrive.
 type timedConn struct {
 	net.Conn
 	received *receiveTime
@@ -51,25 +52,27 @@
 	return n, err
 }
 
-// receivedSince tells whether bytes came after a moment.
+// receivedSince reports whether bytes arrived after t.
 func (c *connection) receivedSince(t time.Time) bool { return c.received.time().After(t) }
 
-// startPing pings the connection. The channel is closed when the answer has come, and never
-// if none does: the ping that everybody sends now and then ends the connection then.
+// startPing pings the connection and returns a channel that is closed when the reply
+// arrives. Without a reply the channel stays open: the periodic ping then closes the
+// connection.
 func (c *connection) startPing() <-chan struct{} {
-	answered := make(chan struct{})
+	replied := make(chan struct{})
 	go func() {
 		if _, err := c.session.Ping(); err == nil {
-			close(answered)
+			close(replied)
 		}
 	}()
-	return answered
+	return replied
 }
 
-// respondsWithin pings the connection and tells whether anything comes within a time.
-func (c *connection) respondsWithin(within time.Duration) bool {
-	asked := time.Now()
-	timer := time.NewTimer(within)
+// respondsWithin pings the connection and reports whether any bytes arrive within a
+// timeout.
+func (c *connection) respondsWithin(timeout time.Duration) bool {
+	pinged := time.Now()
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
 	case <-c.startPing():
@@ -77,6 +80,6 @@
 	case <-c.session.CloseChan():
 		return false
 	case <-timer.C:
-		return c.receivedSince(asked)
+		return c.receivedSince(pinged)
 	}
 }
--- a/pkg/link/dial.go
+++ b/pkg/link/dial.go
@@ -1,6 +1,6 @@
 // ================================================================
-// The dialing side of an endpoint: one connection an address, shared by all
-// streams to it, dialed once however many callers wait.
+// The dialing side of an endpoint. All streams to an address share one connection, and
+// callers that arrive while it is being dialed wait for the same dial.
 // ================================================================
 
 package link
@@ -15,7 +15,8 @@
 	"github.com/tidepost/tidepost/pkg/failure"
 )
 
-// Open opens a stream of a kind to an address. The stream is closed when the
+// Open opens a stream of a kind to an address, dialing it if there is no connection. The
+// topic is empty except for publish and subscribe streams. The stream is closed when the
 // context ends.
 func (e *Endpoint) Open(ctx context.Context, address string, kind Kind, topic string) (*Stream, error) {
 	d, err := e.session(ctx, address)
@@ -39,9 +40,9 @@
 	return s, nil
 }
 
-// Call opens a stream, sends a request and reads the one answer. It ends before its
-// time where the connection is found silent and replaced: the caller may ask again.
-func (e *Endpoint) Call(ctx context.Context, address string, kind Kind, request, answer any) error {
+// Call opens a stream, sends a request and reads one response. It fails before its
+// deadline if its connection is found silent and replaced; the caller may then retry.
+func (e *Endpoint) Call(ctx context.Context, address string, kind Kind, request, response any) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	s, err := e.Open(ctx, address, kind, "")
@@ -54,15 +55,15 @@
 	if err := s.Send(request); err != nil {
 		return failure.Of(unreachable(address, err)).WithRan(failure.RanUnknown)
 	}
-	err = s.Receive(answer)
+	err = s.Receive(response)
 	if err != nil && s.IsReplaced() && failure.Of(err).Kind() == failure.Internal {
-		return failure.New(failure.Unreachable, "%s: the connection was silent and another one took its place", address).WithRan(failure.RanUnknown)
+		return failure.New(failure.Unreachable, "%s: the connection was silent and has been replaced", address).WithRan(failure.RanUnknown)
 	}
 	return callError(address, err)
 }
 
-// callError types the error of a read: a failure stays what it is, anything
-// else says that the outcome is unknown.
+// callError converts the error of a read: it keeps a failure that the peer sent, and turns
+// any other error into Unreachable with an unknown outcome.
 func callError(address string, err error) error {
 	if err == nil {
 		return nil
@@ -71,7 +72,7 @@
 	if f.Kind() != failure.Internal {
 		return f
 	}
-	return failure.New(failure.Unreachable, "%s broke off: %v", address, err).WithRan(failure.RanUnknown)
+	return failure.New(failure.Unreachable, "the stream to %s was interrupted: %v", address, err).WithRan(failure.RanUnknown)
 }
 
 func unreachable(address string, err error) error {
@@ -81,8 +82,8 @@
 	return failure.New(failure.Unreachable, "%s: %v", address, err)
 }
 
-// session returns the session to an address, dialing it when there is none.
-// Callers that come while it is being dialed wait for the same dial.
+// session returns the connection to an address with its yamux session, and dials it if
+// there is none. Callers that arrive during the dial wait for its result.
 func (e *Endpoint) session(ctx context.Context, address string) (*dialedConn, error) {
 	e.mu.Lock()
 	if e.closed {
@@ -123,7 +124,7 @@
 	close(d.ready)
 }
 
-// connect dials an address and proves both sides to each other.
+// connect dials an address and authenticates both sides to each other.
 func (e *Endpoint) connect(ctx context.Context, address string) (connection, error) {
 	dial, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
@@ -131,8 +132,8 @@
 	if err != nil {
 		return connection{}, err
 	}
-	heard := newReceiveTime()
-	conn = timedConn{conn, heard}
+	received := newReceiveTime()
+	conn = timedConn{conn, received}
 	if e.config.TLS != nil {
 		conn = tls.Client(conn, e.config.TLS)
 	}
@@ -150,11 +151,11 @@
 		_ = conn.Close()
 		return connection{}, err
 	}
-	return connection{session, peer, heard}, nil
+	return connection{session, peer, received}, nil
 }
 
-// Drop closes the connection of a stream; the next call dials anew unless another one
-// took its place. It is for callers that find a peer silent.
+// Drop closes the connection of a stream that the caller found silent. The next call dials
+// again unless a replacement connection exists already.
 func (e *Endpoint) Drop(s *Stream) {
 	if s.dialed != nil {
 		e.dropConn(s.dialed)
--- a/pkg/link/endpoint.go
+++ b/pkg/link/endpoint.go
@@ -1,7 +1,7 @@
 // ================================================================
-// An endpoint: this process's end of all its links. It dials each address
-// once and keeps the connection, accepts those of others, and hands each
-// incoming stream to the handler of its kind.
+// An endpoint manages all links of a process. It keeps one connection to each
+// address that it dials, accepts connections from other processes, and passes
+// each incoming stream to the handler of its kind.
 // ================================================================
 
 // Package link carries streams of msgpack messages between the system's
@@ -25,42 +25,47 @@
 
 const (
 	dialTimeout = 1500 * time.Millisecond
-	// pingInterval lies between two pings of a connection, and writeTimeout is
-	// how long one may stay unanswered: a connection that went silent without a reset
-	// and that nobody uses is dropped after 4 s at the most. One in use is found out by
-	// its callers, see Doubt. A ping costs some ten microseconds.
+	// pingInterval is the time between two pings of a connection, and pingTimeout is how
+	// long the reply to one may take: an idle connection that goes silent without a reset
+	// is closed after 4 s at the latest. Callers detect a silent connection in use earlier,
+	// see Endpoint.Probe. A ping costs some ten microseconds.
 	pingInterval = 2 * time.Second
 	pingTimeout  = 2 * time.Second
-	// streamWindow is what may be in transit on one stream, in bytes. The
-	// smallest that yamux takes; more would only let chunks queue up.
+	// streamWindow is how many bytes may be in transit on one stream. It is the smallest
+	// window that yamux allows; a larger one would only let chunks queue up.
 	streamWindow = 256 << 10
-	// DefaultMaxConnections bounds the incoming connections of a process.
+	// DefaultMaxConnections is the default limit of incoming connections of a process.
 	DefaultMaxConnections = 2048
 )
 
-// Handler serves one incoming stream. The endpoint closes the stream after it
-// returns; an error is sent to the other side as a failure.
+// Handler serves one incoming stream. The endpoint closes the stream after the handler
+// returns, and sends an error that it returns to the peer as a failure.
 type Handler func(ctx context.Context, s *Stream) error
 
-// Config says how an endpoint talks to others.
+// Config is the configuration of an endpoint.
 type Config struct {
-	Own    vm.Identity
-	Key    []byte
+	// Own is the identity of this process.
+	Own vm.Identity
+	// Key is the shared key that connections are authenticated with; may be empty with TLS.
+	Key []byte
+	// TLS is the mutual TLS of connections; nil for plain TCP.
 	TLS    *tls.Config
 	Clock  *event.Clock
 	Logger log.Logger
-	// Dial opens a connection; a seam for tests.
+	// Dial opens a connection; nil for TCP. Tests replace it.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
-	// MaxConnections bounds the incoming connections.
+	// MaxConnections limits the incoming connections; 0 is DefaultMaxConnections.
 	MaxConnections int
-	// PingInterval is how often a connection is pinged, and how long a ping may stay
-	// unanswered; a seam for tests, zero is keepAliveInterval and writeTimeout.
+	// PingInterval is the time between two pings of a connection, and PingTimeout is how
+	// long the reply may take. If PingInterval is 0, pingInterval and pingTimeout apply.
+	// Tests set them.
 	PingInterval, PingTimeout time.Duration
-	// OnProbe is told what came of each look at a connection in doubt; may be nil.
+	// OnProbe is called with the result of each probe of a connection; may be nil.
 	OnProbe func(ProbeResult)
 }
 
-// Endpoint is one process's end of its links.
+// Endpoint manages the links of one process. It is safe for concurrent use once its
+// handlers are set.
 type Endpoint struct {
 	config   Config
 	handlers map[Kind]Handler
@@ -68,23 +73,23 @@
 	slots    chan struct{}
 
 	mu       sync.Mutex
-	sessions map[string]*dialedConn
-	replaced map[*dialedConn]bool // replaced, and not closed yet
+	sessions map[string]*dialedConn // by address
+	replaced map[*dialedConn]bool   // replaced connections that are not closed yet
 	accepted map[*connection]bool
 	closed   bool
 }
 
-// dialedConn is the connection to one address; ready is closed once it is known
-// whether the dial succeeded.
+// dialedConn is the connection to one address; ready is closed when the dial has
+// succeeded or failed.
 type dialedConn struct {
 	connection
 	address       string
 	ready         chan struct{}
 	err           error
 	established   time.Time
-	isReplacement bool // it took the place of a silent one
+	isReplacement bool // it replaced a silent connection
 	probes        probeState
-	// inUse ends when another connection takes the place of this one.
+	// inUse ends when another connection replaces this one.
 	inUse        context.Context
 	markReplaced func()
 }
@@ -124,21 +129,21 @@
 	}
 }
 
-// Handle sets the handler of a kind. Call it before Serve.
+// Handle sets the handler of a kind. It must be called before Serve.
 func (e *Endpoint) Handle(kind Kind, h Handler) { e.handlers[kind] = h }
 
 // HandleTopic sets the handler of publish and subscribe streams of a topic.
-// Call it before Serve.
+// It must be called before Serve.
 func (e *Endpoint) HandleTopic(kind Kind, topic string, h Handler) {
 	e.topics[topicKey(kind, topic)] = h
 }
 
 func topicKey(kind Kind, topic string) string { return string(rune(kind)) + topic }
 
-// Own returns this process's identity.
+// Own returns the identity of this process.
 func (e *Endpoint) Own() vm.Identity { return e.config.Own }
 
-// Close closes every connection.
+// Close closes all connections. Later calls to Open fail.
 func (e *Endpoint) Close() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/pkg/link/endpoint_test.go
+++ b/pkg/link/endpoint_test.go
@@ -37,6 +37,8 @@
 	return l.Addr().String()
 }
 
+// A call with another key is refused as unauthorised, and a call of a kind without a
+// handler as a bad request.
 func TestCallsNeedTheSharedKey(t *testing.T) {
 	server := testEndpoint("server", "a key of sixteen bytes", 0)
 	server.Handle(KindQuery, func(_ context.Context, s *Stream) error {
@@ -65,15 +67,14 @@
 		case c.want == "" && (err != nil || answer != "HELLO from client"):
 			t.Errorf("key %q: %q, %v", c.key, answer, err)
 		case c.want == failure.Unauthorised && err == nil:
-			t.Errorf("key %q was let in", c.key)
+			t.Errorf("key %q was accepted", c.key)
 		case c.want == failure.BadRequest && !failure.Is(err, c.want):
 			t.Errorf("kind %d: %v", c.kind, err)
 		}
 	}
 }
 
-// TestTruncatedStreamIsNotACompleteResponse shows that an answer without its end is told
-// from a whole one.
+// A response without its end frame must not be taken for a complete one.
 func TestTruncatedStreamIsNotACompleteResponse(t *testing.T) {
 	server := testEndpoint("server", "", 0)
 	server.Handle(KindChunk, func(_ context.Context, s *Stream) error {
@@ -95,15 +96,15 @@
 		t.Fatalf("%q, %v", part, err)
 	}
 	if err := s.Receive(&part); failure.Of(err).Ran() == failure.NotRun {
-		t.Fatalf("a stream that broke off ended with %v", err)
+		t.Fatalf("a truncated stream ended with %v", err)
 	}
 }
 
-// TestPanicEndsOneStreamOnly shows that a defect in a handler is an answer with
-// an unknown outcome, and that the process goes on.
+// A panic in a handler is answered with a failure of unknown outcome, and the endpoint goes
+// on serving other streams.
 func TestPanicEndsOneStreamOnly(t *testing.T) {
 	server := testEndpoint("server", "", 0)
-	server.Handle(KindQuery, func(context.Context, *Stream) error { panic("a defect") })
+	server.Handle(KindQuery, func(context.Context, *Stream) error { panic("handler defect") })
 	server.Handle(KindStatus, func(_ context.Context, s *Stream) error { return s.Send("alive") })
 	address := serveEndpoint(t, server)
 	client := testEndpoint("client", "", 0)
--- a/pkg/link/frame.go
+++ b/pkg/link/frame.go
@@ -1,19 +1,14 @@
 // ================================================================
-// The frame codec: what goes over one stream of a link.
+// The frame codec. Each message on a stream of a link is one frame:
 //
 //	length  4 bytes, big endian, of all that follows
-//	type    1 byte: message, failure, end or packed message
+//	type    1 byte: message, failure, end or compressed message
 //	wall    8 bytes, the sender's hybrid logical clock
 //	counter 4 bytes
 //	body    msgpack
 //
-// The length is checked before a byte is allocated, so a peer that lies about
-// it costs a closed stream and no memory. The length that a packed body says it
-// has is checked in the same way.
-//
-// Bodies of some size are packed (S2) where that gains an eighth. Documents and
-// the log's entries are read by every process, and links between regions are
-// narrow: 116 followers drew 5.8 MB for one change of the configuration.
+// The length, and the decompressed length of a compressed body, are checked
+// before memory is allocated, so a false one costs a closed stream only.
 // ================================================================
 
 package link
@@ -29,7 +24,7 @@
 	"github.com/tidepost/tidepost/pkg/failure"
 )
 
-// frameType says what a frame carries.
+// frameType is the type of a frame. The numbers are part of the protocol.
 type frameType uint8
 
 const (
@@ -42,22 +37,24 @@
 const (
 	lengthSize = 4
 	headerSize = 1 + 8 + 4
-	// compressThreshold is the size in bytes from which a body is worth packing.
+	// compressThreshold is the size in bytes from which a body is compressed.
 	compressThreshold = 512
 
-	// MaxFrame bounds a frame in bytes. The largest message is a full copy of
-	// the configuration, whose largest object is a manifest of 544 KiB.
+	// MaxFrame is the largest size of a frame in bytes. The largest message is a full
+	// copy of the configuration, whose largest object is a manifest of 544 KiB.
 	MaxFrame = 16 << 20
 )
 
-// frame is one frame in memory.
+// frame is one decoded frame.
 type frame struct {
 	typ   frameType
 	stamp event.Stamp
 	body  []byte
 }
 
-// compressed returns the frame with its body packed where that gains enough.
+// compressed returns the frame with its body compressed with S2 if that saves at least an
+// eighth. Every process reads documents and log entries, and links between regions are
+// narrow: without compression, 116 followers read 5.8 MB for one configuration change.
 func (f frame) compressed() frame {
 	if f.typ != frameMessage || len(f.body) < compressThreshold {
 		return f
@@ -69,25 +66,25 @@
 	return frame{frameCompressed, f.stamp, body}
 }
 
-// decompressed returns the frame with its body as it was before packed.
+// decompressed returns the frame with its original body.
 func (f frame) decompressed() (frame, error) {
 	if f.typ != frameCompressed {
 		return f, nil
 	}
 	if length, err := s2.DecodedLen(f.body); err != nil || length > MaxFrame {
-		return frame{}, failure.New(failure.TooLarge, "a packed body of %d bytes; the bound is %d", length, MaxFrame).WithRan(failure.RanUnknown)
+		return frame{}, failure.New(failure.TooLarge, "a compressed body of %d bytes exceeds the limit of %d", length, MaxFrame).WithRan(failure.RanUnknown)
 	}
 	body, err := s2.Decode(nil, f.body)
 	if err != nil {
-		return frame{}, failure.New(failure.BadRequest, "a packed body: %v", err).WithRan(failure.RanUnknown)
+		return frame{}, failure.New(failure.BadRequest, "a compressed body cannot be decompressed: %v", err).WithRan(failure.RanUnknown)
 	}
 	return frame{frameMessage, f.stamp, body}, nil
 }
 
-// writeFrame writes a frame in one call, so that two never interleave.
+// writeFrame writes a frame in one call of Write, so that two frames never interleave.
 func writeFrame(w io.Writer, f frame) error {
 	if len(f.body)+headerSize > MaxFrame {
-		return failure.New(failure.TooLarge, "a frame of %d bytes; the bound is %d", len(f.body)+headerSize, MaxFrame)
+		return failure.New(failure.TooLarge, "a frame of %d bytes exceeds the limit of %d", len(f.body)+headerSize, MaxFrame)
 	}
 	f = f.compressed()
 	raw := make([]byte, lengthSize+headerSize, lengthSize+headerSize+len(f.body))
@@ -99,7 +96,7 @@
 	return err
 }
 
-// readFrame reads one frame. It returns io.EOF only at a frame border.
+// readFrame reads one frame. It returns io.EOF only at a frame boundary.
 func readFrame(r io.Reader) (frame, error) {
 	var prefix [lengthSize + headerSize]byte
 	if _, err := io.ReadFull(r, prefix[:lengthSize]); err != nil {
@@ -107,7 +104,7 @@
 	}
 	length := binary.BigEndian.Uint32(prefix[:])
 	if length > MaxFrame {
-		return frame{}, failure.New(failure.TooLarge, "a frame of %d bytes; the bound is %d", length, MaxFrame).WithRan(failure.RanUnknown)
+		return frame{}, failure.New(failure.TooLarge, "a frame of %d bytes exceeds the limit of %d", length, MaxFrame).WithRan(failure.RanUnknown)
 	}
 	if length < headerSize {
 		return frame{}, failure.New(failure.BadRequest, "a frame of %d bytes is shorter than its header", length).WithRan(failure.RanUnknown)
@@ -131,11 +128,11 @@
 	return f.decompressed()
 }
 
-// decodeBody reads a frame's message into v. What cannot be read says nothing
-// about whether the other side ran a request, so its outcome is unknown.
+// decodeBody decodes the message of a frame into v. An unreadable message does not show
+// whether the peer ran a request, so the failure has an unknown outcome.
 func decodeBody(f frame, v any) error {
 	if err := msgpack.Unmarshal(f.body, v); err != nil {
-		return failure.New(failure.BadRequest, "a frame does not hold a %T: %v", v, err).WithRan(failure.RanUnknown)
+		return failure.New(failure.BadRequest, "a frame cannot be decoded as %T: %v", v, err).WithRan(failure.RanUnknown)
 	}
 	return nil
 }
--- a/pkg/link/frame_test.go
+++ b/pkg/link/frame_test.go
@@ -10,9 +10,8 @@
 	"github.com/tidepost/tidepost/pkg/failure"
 )
 
-// FuzzReadFrame feeds the codec with anything: it must return a frame that
-// writes back to the same bytes, or an error, and never panic or take memory
-// for a length that is not there.
+// FuzzReadFrame checks that arbitrary bytes give either a frame that encodes to the same
+// bytes or an error, never a panic.
 func FuzzReadFrame(f *testing.F) {
 	var good bytes.Buffer
 	if err := writeFrame(&good, frame{typ: frameMessage, stamp: event.NewStamp(7, 1), body: []byte("body")}); err != nil {
@@ -38,24 +37,26 @@
 	})
 }
 
+// Frames over the size limit are refused in both directions, and a truncated frame is told
+// from the end of the input.
 func TestFrameBounds(t *testing.T) {
 	tooLong := []byte{0x7f, 0, 0, 0, 1}
 	if _, err := readFrame(bytes.NewReader(tooLong)); !failure.Is(err, failure.TooLarge) {
 		t.Errorf("oversized frame: %v", err)
 	}
 	if _, err := readFrame(strings.NewReader("")); err != io.EOF {
-		t.Errorf("no frame: %v", err)
+		t.Errorf("empty input: %v", err)
 	}
 	if _, err := readFrame(bytes.NewReader([]byte{0, 0, 0, 20, 1})); err != io.ErrUnexpectedEOF {
-		t.Errorf("cut frame: %v", err)
+		t.Errorf("truncated frame: %v", err)
 	}
 	if err := writeFrame(io.Discard, frame{typ: frameMessage, body: make([]byte, MaxFrame)}); !failure.Is(err, failure.TooLarge) {
 		t.Errorf("oversized message: %v", err)
 	}
 }
 
-// TestUnreadableFrameHasUnknownOutcome shows that damage on the way back never
-// becomes a claim that nothing ran.
+// A damaged response must not be reported as "not run", since the request may have run and
+// the caller would then retry it.
 func TestUnreadableFrameHasUnknownOutcome(t *testing.T) {
 	for _, data := range [][]byte{{0x7f, 0, 0, 0}, {0, 0, 0, 13, 9, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0}} {
 		_, err := readFrame(bytes.NewReader(data))
--- a/pkg/link/handshake.go
+++ b/pkg/link/handshake.go
@@ -1,12 +1,13 @@
 // ================================================================
-// The handshake of a connection. Each side sends a nonce and who it is, then
+// The handshake of a connection. Each side sends a nonce and its identity, then
 // proves that it holds the shared key:
 //
-//	proof = HMAC-SHA256(key, side || nonce of the other || own nonce || identity)
+//	proof = HMAC-SHA256(key, side || peer's nonce || own nonce || identity)
 //
-// The side byte keeps a proof from being reflected to its maker. With mutual
-// TLS the certificates do this work and the key may be empty; with neither,
-// the settings allow loopback addresses only.
+// The side byte prevents an attacker from reflecting a proof to its sender. With
+// mutual TLS the certificates authenticate both sides and the key may be empty.
+// With neither, the settings allow loopback addresses only, unless unsecured
+// links are allowed explicitly.
 // ================================================================
 
 package link
@@ -30,11 +31,12 @@
 	protocolVersion  = 1
 	nonceSize        = 16
 	handshakeTimeout = 2 * time.Second
-	// maxHandshake bounds a handshake message; nobody is trusted yet.
+	// maxHandshake is the largest size in bytes of a handshake message, which is read
+	// before the peer is authenticated.
 	maxHandshake = 4 << 10
 )
 
-// side says which end of a connection a proof is for.
+// side is the end of a connection that sends a proof.
 type side byte
 
 const (
@@ -42,7 +44,7 @@
 	accepting side = 'a'
 )
 
-// handshake proves both sides to each other and returns who the peer is.
+// handshake authenticates both sides to each other and returns the identity of the peer.
 func handshake(conn net.Conn, own vm.Identity, key []byte, as side) (vm.Identity, error) {
 	_ = conn.SetDeadline(time.Now().Add(handshakeTimeout))
 	defer func() { _ = conn.SetDeadline(time.Time{}) }()
@@ -55,17 +57,17 @@
 	}
 	if theirs.protocol != protocolVersion {
 		return vm.Identity{}, failure.New(failure.BadRequest,
-			"%s speaks protocol %d, not %d", theirs.from.ID(), theirs.protocol, protocolVersion)
+			"%s uses protocol version %d, not %d", theirs.from.ID(), theirs.protocol, protocolVersion)
 	}
 	if len(theirs.nonce) != nonceSize {
-		return vm.Identity{}, failure.New(failure.BadRequest, "a nonce of %d bytes", len(theirs.nonce))
+		return vm.Identity{}, failure.New(failure.BadRequest, "the peer sent a nonce of %d bytes", len(theirs.nonce))
 	}
-	var sum proof
-	if err := exchange(conn, newProof(proofSum(key, as, theirs.nonce, mine)), &sum, as); err != nil {
+	var received proof
+	if err := exchange(conn, newProof(proofSum(key, as, theirs.nonce, mine)), &received, as); err != nil {
 		return vm.Identity{}, err
 	}
-	if !hmac.Equal(sum.sum, proofSum(key, opposite(as), mine.nonce, theirs)) {
-		return vm.Identity{}, failure.New(failure.Unauthorised, "%s at %s has another shared key", theirs.from.ID(), conn.RemoteAddr())
+	if !hmac.Equal(received.sum, proofSum(key, opposite(as), mine.nonce, theirs)) {
+		return vm.Identity{}, failure.New(failure.Unauthorised, "%s at %s does not hold the same shared key", theirs.from.ID(), conn.RemoteAddr())
 	}
 	return theirs.from, nil
 }
@@ -87,8 +89,8 @@
 	return mac.Sum(nil)
 }
 
-// exchange sends mine and reads theirs. The dialing side speaks first, so that
-// an unbuffered connection cannot block both.
+// exchange sends mine and reads theirs. The dialing side sends first, so that both sides
+// cannot block on an unbuffered connection.
 func exchange(conn net.Conn, mine, theirs any, as side) error {
 	if as == dialing {
 		if err := sendHandshake(conn, mine); err != nil {
@@ -119,7 +121,7 @@
 	}
 	length := binary.BigEndian.Uint32(prefix[:])
 	if length > maxHandshake {
-		return failure.New(failure.TooLarge, "a handshake message of %d bytes; the bound is %d", length, maxHandshake)
+		return failure.New(failure.TooLarge, "a handshake message of %d bytes exceeds the limit of %d", length, maxHandshake)
 	}
 	body := make([]byte, length)
 	if _, err := io.ReadFull(conn, body); err != nil {
--- a/pkg/link/kinds.go
+++ b/pkg/link/kinds.go
@@ -1,6 +1,7 @@
 // ================================================================
-// What a stream is for. Its first frame says which kind it is; the table of
-// handlers at the other end picks by it.
+// Stream kinds and the messages that open a connection or a stream. The first
+// frame of a stream names its kind, which selects the handler on the accepting
+// side.
 // ================================================================
 
 package link
@@ -9,47 +10,47 @@
 
 //go:generate go run github.com/tidepost/tidepost/tools/wiregen
 
-// Kind says what a stream is for.
+// Kind is the purpose of a stream.
 type Kind uint8
 
 // The kinds of streams. Numbers are part of the protocol and never reused.
 const (
-	KindControlLog Kind = iota + 1
-	KindChange
-	KindClaim
-	KindSettle
-	KindQuery
-	KindStatus
-	KindVoterChange
-	KindVoterIdentity
-	KindSubscribe
-	KindPublish
-	KindRequest
-	KindChunk
-	KindSpread
-	KindTimeline
-	KindDrain
-	KindApply
-	KindPropose
-	KindDomainSources
-	KindFeed
-	KindControlCall
-	KindJoin
-	KindStagerChunk
-	KindStagerNotice
-	KindReserve
-	KindPermit
-	KindPermitReport
-	KindRetryLoan
+	KindControlLog    Kind = iota + 1 // messages of the control log's consensus protocol
+	KindChange                        // unused; keeps its number
+	KindClaim                         // unused; keeps its number
+	KindSettle                        // unused; keeps its number
+	KindQuery                         // reads configuration objects
+	KindStatus                        // reads an entry's view of the system
+	KindVoterChange                   // changes the voters of the control log
+	KindVoterIdentity                 // asks a voter for its identity
+	KindSubscribe                     // subscribes to a topic of the peer
+	KindPublish                       // publishes to a topic of the peer
+	KindRequest                       // a caller's request, from an entry to an agent or entry
+	KindChunk                         // reads a chunk of weights from an agent
+	KindSpread                        // an agent's report to the spreading coordinator
+	KindTimeline                      // reads the event time line of a process
+	KindDrain                         // drains a process
+	KindApply                         // submits a configuration change to an entry
+	KindPropose                       // sends a command to the leader of the control log
+	KindDomainSources                 // exchanges chunk holders between failure domains
+	KindFeed                          // follows the feed of a control node
+	KindControlCall                   // forwards a call to the leading control node
+	KindJoin                          // asks to join the control log
+	KindStagerChunk                   // reads a chunk of weights from another stager
+	KindStagerNotice                  // tells other stagers which chunks a stager holds
+	KindReserve                       // asks a stager to reserve capacity of its backend server
+	KindPermit                        // asks the gateway that owns a server's limit for a permit
+	KindPermitReport                  // reports the outcome of a permit to that gateway
+	KindRetryLoan                     // asks another gateway for a retry from its budget
 )
 
 // opening is the first frame of a stream.
 //
 //wire:generate
 type opening struct {
-	// kind is what the stream is for.
+	// kind is the kind of the stream.
 	kind Kind
-	// topic is the topic of a publish or subscribe stream.
+	// topic is the topic of a publish or subscribe stream; empty for other kinds.
 	topic string
 }
 
@@ -59,9 +60,9 @@
 type hello struct {
 	// protocol is the version of the protocol.
 	protocol uint32
-	// from is who speaks.
+	// from is the identity of the sender.
 	from vm.Identity
-	// nonce is what the other side has to prove its key over.
+	// nonce is the challenge that the receiver's proof must cover.
 	nonce []byte
 }
 
@@ -69,6 +70,6 @@
 //
 //wire:generate
 type proof struct {
-	// sum is the keyed hash over both nonces and the speaker's identity.
+	// sum is the keyed hash over both nonces and the sender's identity.
 	sum []byte
 }
--- a/pkg/link/messenger.go
+++ b/pkg/link/messenger.go
@@ -1,7 +1,7 @@
 // ================================================================
-// A messenger sends one-way messages to peers, each peer's in order from one
-// goroutine and over one stream. A message that cannot be sent is dropped, as
-// a network would: the protocols that use it send again what is still needed.
+// A messenger sends one-way messages to peers, in order for each peer, from one
+// goroutine and over one stream per peer. It drops a message that it cannot
+// send: the protocols that use it tolerate loss and resend what is needed.
 // ================================================================
 
 package link
@@ -13,15 +13,16 @@
 )
 
 const (
-	// outboxSize is how many messages may wait for a peer; more are dropped.
+	// outboxSize is how many messages may be queued for a peer; more are dropped.
 	outboxSize = 256
-	// messageTimeout bounds the sending of one message.
+	// messageTimeout limits the sending of one message.
 	messageTimeout = 3 * time.Second
-	// redialPause lies between two dials of a peer that does not answer.
+	// redialPause is the delay between two dials of a peer that cannot be reached.
 	redialPause = 100 * time.Millisecond
 )
 
-// Messenger sends messages of one type as streams of one kind.
+// Messenger sends messages of one type over streams of one kind. It is safe for concurrent
+// use.
 type Messenger[T any] struct {
 	endpoint *Endpoint
 	kind     Kind
@@ -40,19 +41,18 @@
 	}
 }
 
-// Close ends the sending goroutines.
+// Close stops the sending goroutines. It must be called once.
 func (m *Messenger[T]) Close() { close(m.done) }
 
-// SetAddress remembers where a peer speaks from, for answers to one whose address
-// the sender does not know.
+// SetAddress records the address of a peer, so that Send can be called without one.
 func (m *Messenger[T]) SetAddress(peer, address string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.addresses[peer] = address
 }
 
-// Send queues a message and never waits. An empty address means the one that
-// the peer last spoke from.
+// Send queues a message and does not block. An empty address means the one last recorded
+// by SetAddress; without one, the message is dropped.
 func (m *Messenger[T]) Send(peer, address string, message T) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -74,7 +74,7 @@
 	}
 }
 
-// sendLoop keeps one stream to an address.
+// sendLoop sends the messages of an outbox over one stream, which it reopens as needed.
 func (m *Messenger[T]) sendLoop(address string, outbox <-chan T) {
 	var s *Stream
 	for {
@@ -85,7 +85,7 @@
 			return
 		}
 		if s != nil && s.IsReplaced() {
-			// Nothing comes back that would tell that the messages are lost.
+			// No response would show that messages over the silent connection are lost.
 			s.Close()
 			s = nil
 		}
@@ -115,7 +115,8 @@
 	return nil
 }
 
-// discardQueued drops what waited for a peer that could not be dialed: it is old.
+// discardQueued drops the messages queued for a peer that could not be dialed, since they
+// are outdated.
 func discardQueued[T any](outbox <-chan T) {
 	for {
 		select {
--- a/pkg/link/port.go
+++ b/pkg/link/port.go
@@ -2,18 +2,19 @@
 
 import "net"
 
-// WithPortOf returns the hosts of addresses with the port of another address:
-// all processes listen for links on one port.
+// WithPortOf returns the addresses with their ports replaced by that of another address,
+// since all processes listen for links on the same port. It leaves out addresses without a
+// port. If the other address has no port, it returns the addresses unchanged.
 func WithPortOf(addresses []string, other string) []string {
 	_, port, err := net.SplitHostPort(other)
 	if err != nil {
 		return addresses
 	}
-	var moved []string
+	var replaced []string
 	for _, a := range addresses {
 		if host, _, err := net.SplitHostPort(a); err == nil {
-			moved = append(moved, net.JoinHostPort(host, port))
+			replaced = append(replaced, net.JoinHostPort(host, port))
 		}
 	}
-	return moved
+	return replaced
 }
--- a/pkg/link/doubt_test.go
+++ b/pkg/link/probe_test.go
@@ -1,12 +1,8 @@
-// What was seen: all connections that were open went silent at one moment, without a
-// reset, while new ones worked, and for seconds most callers were refused.
-// How it came about: every exchange with another process goes over the one connection
-// that was dialed to it. A call that was not answered in time ended, and the next one
-// went over the same connection.
-// What caused it: only the ping of the connection, each 2 s and unanswered for 2 s, told
-// that it was silent; nobody told the endpoint what callers knew after tens of ms.
-// What proved it: with a ping each hour the tests here never reach the peer again, and
-// with a doubt of each call that is not answered they do.
+// These tests guard against a fault in which all open connections went silent at once
+// without a reset while new ones worked, and most callers were refused for seconds: calls
+// that timed out were followed by calls over the same connection, and only the periodic
+// ping (every 2 s, with a timeout of 2 s) detected the silence. The tests set that ping to
+// one hour, so that they reach the peer again only through probes by the callers.
 
 package link
 
@@ -21,20 +17,19 @@
 )
 
 const (
-	// testTimeout ends a test that waits for what does not come; it is no bound on how
-	// long things may take.
+	// testTimeout fails a test that waits in vain; it is not a limit that is under test.
 	testTimeout = 20 * time.Second
-	// callTimeout is what a call of these tests may take.
+	// callTimeout is the deadline of a call in these tests.
 	callTimeout = 200 * time.Millisecond
 )
 
-// silencingDialer dials connections and can silence those that are open, both ways. It may
-// be told to lose new ones too.
+// silencingDialer dials connections. It can silence the open ones in both directions and
+// make new dials hang.
 type silencingDialer struct {
 	silenced.Conns
-	mu     sync.Mutex
-	dials  map[string]int
-	silent bool // what is dialed from now on does not come up
+	mu      sync.Mutex
+	dials   map[string]int
+	blocked bool // new dials hang
 }
 
 func newSilencingDialer() *silencingDialer { return &silencingDialer{dials: map[string]int{}} }
@@ -42,9 +37,9 @@
 func (s *silencingDialer) dial(ctx context.Context, address string) (net.Conn, error) {
 	s.mu.Lock()
 	s.dials[address]++
-	lost := s.silent
+	blocked := s.blocked
 	s.mu.Unlock()
-	if lost {
+	if blocked {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
@@ -55,11 +50,11 @@
 	return s.Wrap(conn), nil
 }
 
-// blockDials has what is dialed from now on not come up.
+// blockDials makes all dials from now on hang.
 func (s *silencingDialer) blockDials() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.silent = true
+	s.blocked = true
 }
 
 func (s *silencingDialer) dialsTo(address string) int {
@@ -68,7 +63,8 @@
 	return s.dials[address]
 }
 
-// newClientWithoutPings returns a client of a silencer whose pings come too late to help.
+// newClientWithoutPings returns a client whose periodic pings come too late to detect a
+// silent connection.
 func newClientWithoutPings(t *testing.T, s *silencingDialer) *Endpoint {
 	t.Helper()
 	client := testEndpoint("client", "", 0)
@@ -78,11 +74,12 @@
 	return client
 }
 
-// newEchoServer returns a server that answers each call with what came, but for "wait", which
-// it answers when the test ends, and sends what comes one-way to the channel.
-func newEchoServer(t *testing.T) (server *Endpoint, came chan string) {
+// newEchoServer returns a server that echoes each call and passes one-way messages to the
+// channel. It passes the call "wait" to the channel too, and answers it at the end of the
+// test.
+func newEchoServer(t *testing.T) (server *Endpoint, received chan string) {
 	t.Helper()
-	server, came = testEndpoint("server", "", 0), make(chan string, 1024)
+	server, received = testEndpoint("server", "", 0), make(chan string, 1024)
 	server.config.PingInterval, server.config.PingTimeout = time.Hour, time.Hour
 	server.Handle(KindQuery, func(ctx context.Context, s *Stream) error {
 		var text string
@@ -90,7 +87,7 @@
 			return err
 		}
 		if text == "wait" {
-			came <- text
+			received <- text
 			<-ctx.Done()
 		}
 		return s.Send(text)
@@ -101,10 +98,10 @@
 			if err := s.Receive(&text); err != nil {
 				return nil
 			}
-			came <- text
+			received <- text
 		}
 	})
-	return server, came
+	return server, received
 }
 
 func callWithTimeout(t *testing.T, client *Endpoint, address, text string) error {
@@ -114,19 +111,20 @@
 	return client.Call(ctx, address, KindQuery, text, &answer)
 }
 
-// eventually tries until do holds.
-func eventually(t *testing.T, what string, do func() bool) {
+// eventually polls until condition returns true.
+func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	late := time.After(testTimeout)
-	for !do() {
+	timeout := time.After(testTimeout)
+	for !condition() {
 		select {
-		case <-late:
+		case <-timeout:
 			t.Fatalf("not within %s: %s", testTimeout, what)
 		case <-time.After(5 * time.Millisecond):
 		}
 	}
 }
 
+// receiveInTime receives an error from a channel, and fails the test after testTimeout.
 func receiveInTime(t *testing.T, what string, done <-chan error) error {
 	t.Helper()
 	select {
@@ -138,7 +136,7 @@
 	}
 }
 
-// At rest: the next calls find out, and are answered over another connection.
+// After an idle connection goes silent, calls succeed again over its replacement.
 func TestCallsContinueOverReplacementConnection(t *testing.T) {
 	server, _ := newEchoServer(t)
 	address, s := serveEndpoint(t, server), newSilencingDialer()
@@ -152,9 +150,9 @@
 	}
 }
 
-// In the middle of a call that has long to wait: it is not kept waiting.
+// A call whose connection goes silent while it waits fails early.
 func TestCallOverSilentConnectionEndsEarly(t *testing.T) {
-	server, came := newEchoServer(t)
+	server, received := newEchoServer(t)
 	address, s := serveEndpoint(t, server), newSilencingDialer()
 	client := newClientWithoutPings(t, s)
 	ended := make(chan error, 1)
@@ -162,7 +160,7 @@
 		var answer string
 		ended <- client.Call(t.Context(), address, KindQuery, "wait", &answer)
 	}()
-	<-came
+	<-received
 	s.Silence()
 	if receiveInTime(t, "the call ends", ended) == nil {
 		t.Error("a call was answered over a silent connection")
@@ -172,22 +170,22 @@
 	}
 }
 
-// One-way messages bring no answer that could be missed: they follow the calls to the
-// new connection.
+// One-way messages have no response that could time out. They move to the replacement
+// connection that calls have brought up.
 func TestMessagesContinueOverReplacementConnection(t *testing.T) {
-	server, came := newEchoServer(t)
+	server, received := newEchoServer(t)
 	address, s := serveEndpoint(t, server), newSilencingDialer()
 	client := newClientWithoutPings(t, s)
 	m := NewMessenger[string](client, KindControlLog)
 	defer m.Close()
 	m.Send("server", address, "before")
-	<-came
+	<-received
 	s.Silence()
 	eventually(t, "a message arrives", func() bool {
 		_ = callWithTimeout(t, client, address, "hello")
 		m.Send("server", address, "after")
 		select {
-		case text := <-came:
+		case text := <-received:
 			return text == "after"
 		default:
 			return false
@@ -195,9 +193,9 @@
 	})
 }
 
-// A stream that only reads learns that its connection was given up.
+// A stream that only reads ends when its silent connection is replaced.
 func TestReceivingStreamEndsWhenItsConnectionIsReplaced(t *testing.T) {
-	server, came := newEchoServer(t)
+	server, received := newEchoServer(t)
 	address, s := serveEndpoint(t, server), newSilencingDialer()
 	client := newClientWithoutPings(t, s)
 	stream, err := client.Open(t.Context(), address, KindQuery, "")
@@ -208,7 +206,7 @@
 	if err := stream.Send("wait"); err != nil {
 		t.Fatal(err)
 	}
-	<-came
+	<-received
 	s.Silence()
 	ended := make(chan error, 1)
 	go func() {
@@ -217,11 +215,11 @@
 	}()
 	_ = callWithTimeout(t, client, address, "hello")
 	if receiveInTime(t, "the stream ends", ended) == nil {
-		t.Error("a message came over a silent connection")
+		t.Error("a message arrived over a silent connection")
 	}
 }
 
-// Where one connection was silent the others are looked at before they are needed.
+// After one connection was found silent, the others are probed before they are needed.
 func TestOtherConnectionsAreProbed(t *testing.T) {
 	first, _ := newEchoServer(t)
 	second, _ := newEchoServer(t)
@@ -237,16 +235,16 @@
 	eventually(t, "the idle connection is replaced", func() bool { return s.dialsTo(idle) == 2 })
 }
 
-// A peer that is only slow keeps its connection, and the streams on it.
+// A slow peer keeps its connection and the streams on it.
 func TestSlowPeerKeepsItsConnection(t *testing.T) {
-	server, came := newEchoServer(t)
+	server, received := newEchoServer(t)
 	address, s := serveEndpoint(t, server), newSilencingDialer()
 	client := newClientWithoutPings(t, s)
 	for range 3 {
 		if callWithTimeout(t, client, address, "wait") == nil {
 			t.Fatal("a slow peer answered")
 		}
-		<-came
+		<-received
 	}
 	if err := callWithTimeout(t, client, address, "hello"); err != nil {
 		t.Fatal(err)
@@ -259,8 +257,8 @@
 	}
 }
 
-// The accepting side gives up what a newer connection of the same process replaced: it
-// would hold a place of the bounded number until its own ping finds out.
+// The accepting side closes a silent connection after a newer one of the same process
+// arrives. It would otherwise hold one of the limited slots until the periodic ping fails.
 func TestReplacedConnectionIsClosedOnBothSides(t *testing.T) {
 	server, _ := newEchoServer(t)
 	address, s := serveEndpoint(t, server), newSilencingDialer()
@@ -278,8 +276,8 @@
 	})
 }
 
-// A dead peer is told from a silent connection, and is not dialed again at once however
-// often it is doubted.
+// A probe tells an unreachable peer from a silent connection, and repeated probes do not
+// dial the peer again before the backoff has passed.
 func TestUnreachablePeerIsNotRedialedAtOnce(t *testing.T) {
 	server, _ := newEchoServer(t)
 	address, s := serveEndpoint(t, server), newSilencingDialer()
@@ -290,23 +288,23 @@
 	s.Silence()
 	s.blockDials()
 	for range 100 {
-		if found := client.Probe(address, time.Now()).Await(t.Context()); found != ProbeUnreachable {
-			t.Fatalf("found %s", found)
+		if result := client.Probe(address, time.Now()).Await(t.Context()); result != ProbeUnreachable {
+			t.Fatalf("probe result %s", result)
 		}
 	}
-	// The look may have begun its first rest anew on a machine that stood still.
+	// On a stalled machine the first backoff may have started again.
 	if dials := s.dialsTo(address); dials > 4 {
 		t.Errorf("%d dials", dials)
 	}
 	if d := client.sessions[address]; d.session.IsClosed() {
-		t.Error("the connection was closed, though the peer may wake")
+		t.Error("the connection was closed, though the peer may recover")
 	}
 }
 
-// A peer that wakes while a second connection is dialed keeps the first one: its streams
-// go on, and the second one is given up.
+// A peer that responds again while a second connection is dialed keeps the first one with
+// its streams, and the second one is closed.
 func TestPeerThatRespondsDuringRedialKeepsItsConnection(t *testing.T) {
-	server, came := newEchoServer(t)
+	server, received := newEchoServer(t)
 	address, s := serveEndpoint(t, server), newSilencingDialer()
 	client := newClientWithoutPings(t, s)
 	stream, err := client.Open(t.Context(), address, KindControlLog, "")
@@ -317,25 +315,25 @@
 	if err := stream.Send("before"); err != nil {
 		t.Fatal(err)
 	}
-	<-came
+	<-received
 	s.Silence()
 	old, dial := client.sessions[address].session, client.config.Dial
 	client.config.Dial = func(ctx context.Context, address string) (net.Conn, error) {
-		// The silence was a short one.
+		// The first connection works again before the second one is dialed.
 		s.Speak()
 		if _, err := old.Ping(); err != nil {
 			t.Error(err)
 		}
 		return dial(ctx, address)
 	}
-	if found := client.Probe(address, time.Now()).Await(t.Context()); found != ProbeResponsive {
-		t.Fatalf("found %s", found)
+	if result := client.Probe(address, time.Now()).Await(t.Context()); result != ProbeResponsive {
+		t.Fatalf("probe result %s", result)
 	}
 	if client.sessions[address].session != old || stream.IsReplaced() {
 		t.Error("the connection was replaced")
 	}
-	if err := stream.Send("after"); err != nil || <-came != "after" {
-		t.Errorf("the stream does not go on: %v", err)
+	if err := stream.Send("after"); err != nil || <-received != "after" {
+		t.Errorf("the stream no longer works: %v", err)
 	}
 	eventually(t, "the second connection is closed", func() bool {
 		server.mu.Lock()
@@ -344,22 +342,22 @@
 	})
 }
 
-// The rests of a peer that was dialed in vain double up to a bound, and begin anew after
-// a while without.
+// The probe backoff doubles up to its maximum with each second connection dialed, and
+// starts again from its minimum after a long time without one.
 func TestProbeBackoffDoubles(t *testing.T) {
 	var s probeState
 	for want := minProbeBackoff; want < 4*maxProbeBackoff; want *= 2 {
 		s.finish(ProbeUnreachable, true)
 		if s.backoff != min(want, maxProbeBackoff) {
-			t.Errorf("rests for %s, not %s", s.backoff, min(want, maxProbeBackoff))
+			t.Errorf("backoff of %s, not %s", s.backoff, min(want, maxProbeBackoff))
 		}
 	}
 	s.finish(ProbeResponsive, false)
 	if s.backoff != maxProbeBackoff {
-		t.Error("an answer to a ping changes the rest")
+		t.Error("a probe without a second dial changes the backoff")
 	}
 	s.backoffUntil = time.Now().Add(-2 * maxProbeBackoff)
 	if s.finish(ProbeUnreachable, true); s.backoff != minProbeBackoff {
-		t.Errorf("rests for %s after a long time", s.backoff)
+		t.Errorf("backoff of %s after a long time", s.backoff)
 	}
 }
--- a/pkg/link/pubsub.go
+++ b/pkg/link/pubsub.go
@@ -1,9 +1,7 @@
 // ================================================================
-// watermill over links: a Publisher and a Subscriber, so that a handler in
-// one process can be fed by another as if it sat in the same.
-//
-// Heartbeats travel this way. Requests and chunks do not: they need a stream
-// of their own with flow control, and a message router would only copy them.
+// A watermill Publisher and Subscriber over links, which carry heartbeats.
+// Requests and chunks do not use them: each needs a stream of its own with flow
+// control, and a message router would only copy the data.
 // ================================================================
 
 package link
@@ -20,12 +18,12 @@
 	"github.com/tidepost/tidepost/pkg/failure"
 )
 
-// subscriberBuffer is how many messages wait for a slow handler. A heartbeat
-// that finds it full is dropped: the next one says the same and more.
+// subscriberBuffer is how many messages may be queued for a slow handler. Further
+// heartbeats are dropped, since the next one carries the same information and more.
 const subscriberBuffer = 1024
 
-// Publisher is a watermill publisher to one address. It keeps one stream a
-// topic and opens it again after a failure.
+// Publisher is a watermill publisher to one address. It keeps one stream per topic and
+// reopens it after a failure. It is safe for concurrent use.
 type Publisher struct {
 	endpoint *Endpoint
 	address  string
@@ -39,8 +37,8 @@
 	return &Publisher{endpoint: e, address: address, streams: map[string]*Stream{}}
 }
 
-// Publish sends the payloads in order. It returns the first error; the caller
-// decides whether a message is worth sending again.
+// Publish sends the payloads of the messages in order. It returns the first error; the
+// caller decides whether to resend.
 func (p *Publisher) Publish(topic string, messages ...*message.Message) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -78,7 +76,8 @@
 	return nil
 }
 
-// Subscriber is a watermill subscriber to what other processes publish here.
+// Subscriber is a watermill subscriber to messages that other processes publish to this
+// process.
 type Subscriber struct {
 	endpoint *Endpoint
 	closed   chan struct{}
@@ -86,21 +85,22 @@
 	dropped  atomic.Uint64
 }
 
-// NewSubscriber returns a subscriber on an endpoint. Subscribe to every topic
-// before the endpoint serves.
+// NewSubscriber returns a subscriber on an endpoint. All calls to Subscribe must precede
+// the endpoint's Serve.
 func NewSubscriber(e *Endpoint) *Subscriber {
 	return &Subscriber{endpoint: e, closed: make(chan struct{})}
 }
 
-// subscription is the channel of one subscribed topic. The router waits for
-// the channel to be closed, so it must be, and never while a stream sends.
+// subscription is the channel of one subscribed topic. The router waits until the channel
+// is closed, so it must be closed at the end, and never while a stream sends to it.
 type subscription struct {
 	mu     sync.RWMutex
 	closed bool
 	out    chan *message.Message
 }
 
-// Subscribe returns the messages of a topic until the context ends.
+// Subscribe returns a channel with the messages of a topic. The channel is closed when the
+// context ends or the subscriber is closed.
 func (s *Subscriber) Subscribe(ctx context.Context, topic string) (<-chan *message.Message, error) {
 	n := &subscription{out: make(chan *message.Message, subscriberBuffer)}
 	s.endpoint.HandleTopic(KindPublish, topic, func(_ context.Context, stream *Stream) error {
@@ -125,7 +125,7 @@
 	}
 }
 
-// receiveLoop feeds the subscription from one stream.
+// receiveLoop passes the messages of one stream to the subscription.
 func (s *Subscriber) receiveLoop(stream *Stream, n *subscription) error {
 	for {
 		var payload []byte
@@ -142,8 +142,8 @@
 	}
 }
 
-// offer hands a payload on, or drops it when the handler is behind; false once
-// the subscription has ended.
+// offer queues a payload, or drops it if the buffer is full. It reports false once the
+// subscription has ended.
 func (n *subscription) offer(payload []byte, dropped *atomic.Uint64) bool {
 	n.mu.RLock()
 	defer n.mu.RUnlock()
@@ -158,10 +158,10 @@
 	return true
 }
 
-// Dropped counts the messages that found the buffer full.
+// Dropped returns how many messages were dropped because the buffer was full.
 func (s *Subscriber) Dropped() uint64 { return s.dropped.Load() }
 
-// Close ends the subscriptions.
+// Close ends all subscriptions. It may be called more than once.
 func (s *Subscriber) Close() error {
 	s.once.Do(func() { close(s.closed) })
 	return nil
--- a/pkg/link/silence_test.go
+++ b/pkg/link/silence_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// discardingConn loses what is written to it once it is silenced, without an error.
+// discardingConn discards writes without an error once it is silenced.
 type discardingConn struct {
 	net.Conn
 	silenced *atomic.Bool
@@ -21,20 +21,20 @@
 	return c.Conn.Write(b)
 }
 
-// maxSilence is how long a connection may be silent until it is dropped: the
-// users call a VM in touch again 4 s after its connections were reset.
+// maxSilence is how long a connection may be silent before it is closed: the requirements
+// count a VM as reachable again 4 s after its connections were reset.
 const maxSilence = 4 * time.Second
 
 func TestUnansweredPingClosesConnectionInTime(t *testing.T) {
 	c := testEndpoint("client", "", 0).sessionConfig()
-	if within := c.KeepAliveInterval + c.ConnectionWriteTimeout; !c.EnableKeepAlive || within > maxSilence {
-		t.Fatalf("a silent connection is dropped after %s", within)
+	if delay := c.KeepAliveInterval + c.ConnectionWriteTimeout; !c.EnableKeepAlive || delay > maxSilence {
+		t.Fatalf("a silent connection is closed after %s", delay)
 	}
 }
 
-// A connection may go silent for good without a reset while new ones work. It is
-// found out by a ping of our own, at rest and in the middle of an exchange, and the
-// next call dials anew.
+// A connection that goes silent without a reset while new ones work is closed by the
+// periodic ping, whether it is idle or a call is waiting on it, and the next call dials
+// again.
 func TestSilentConnectionsAreClosedByPings(t *testing.T) {
 	for name, waits := range map[string]bool{"at rest": false, "in the middle of an exchange": true} {
 		t.Run(name, func(t *testing.T) { testSilentConnection(t, waits) })
@@ -43,13 +43,13 @@
 
 func testSilentConnection(t *testing.T, waits bool) {
 	server := testEndpoint("server", "", 0)
-	came := make(chan bool, 2)
+	received := make(chan bool, 2)
 	server.Handle(KindQuery, func(ctx context.Context, s *Stream) error {
 		var text string
 		if err := s.Receive(&text); err != nil {
 			return err
 		}
-		came <- true
+		received <- true
 		if text == "wait" {
 			<-ctx.Done()
 		}
@@ -73,18 +73,18 @@
 	if err := client.Call(t.Context(), address, KindQuery, "hello", &text); err != nil {
 		t.Fatal(err)
 	}
-	<-came
+	<-received
 	session := client.sessions[address].session
-	broken := make(chan error, 1)
+	ended := make(chan error, 1)
 	if waits {
 		go func() {
 			var text string
-			broken <- client.Call(t.Context(), address, KindQuery, "wait", &text)
+			ended <- client.Call(t.Context(), address, KindQuery, "wait", &text)
 		}()
-		<-came
+		<-received
 	}
 	silenced.Store(true)
-	if waits && <-broken == nil {
+	if waits && <-ended == nil {
 		t.Error("a call was answered over a silent connection")
 	}
 	<-session.CloseChan()
--- a/pkg/link/stream.go
+++ b/pkg/link/stream.go
@@ -1,7 +1,7 @@
 // ================================================================
-// A stream: one exchange of messages between two processes. Many share a
-// connection; yamux multiplexes them, each with its own flow control, so a
-// chunk in transit does not hold up a token.
+// A stream is one exchange of messages between two processes. yamux multiplexes
+// many streams over a connection, each with its own flow control, so that a
+// chunk in transit does not delay a token.
 // ================================================================
 
 package link
@@ -30,10 +30,10 @@
 	mu sync.Mutex
 }
 
-// Peer returns who is at the other end.
+// Peer returns the authenticated identity of the peer.
 func (s *Stream) Peer() vm.Identity { return s.peer }
 
-// Send writes a message.
+// Send encodes v as msgpack and writes it as one message.
 func (s *Stream) Send(v any) error {
 	body, err := msgpack.Marshal(v)
 	if err != nil {
@@ -51,7 +51,7 @@
 	return s.write(frameFailure, body)
 }
 
-// End ends the exchange in good order.
+// End marks the exchange as complete.
 func (s *Stream) End() error { return s.write(frameEnd, nil) }
 
 func (s *Stream) write(typ frameType, body []byte) error {
@@ -60,9 +60,9 @@
 	return writeFrame(s.conn, frame{typ: typ, stamp: s.clock.Next(), body: body})
 }
 
-// Receive reads the next message into v. It returns io.EOF after End, the
-// failure that the other side ended with, and io.ErrUnexpectedEOF when the
-// stream broke off: only the first of these is a whole exchange.
+// Receive reads the next message into v. It returns io.EOF after the peer's End, the
+// failure that the peer sent with Fail, or io.ErrUnexpectedEOF if the stream ended without
+// either. Only io.EOF means that the exchange is complete.
 func (s *Stream) Receive(v any) error {
 	f, err := readFrame(s.conn)
 	if err == io.EOF {
@@ -86,9 +86,9 @@
 	}
 }
 
-// OnPeerClosed calls f, from a goroutine of its own, once the other side has closed
-// the stream or the stream broke. It is for a side that expects no more
-// messages: whatever comes ends the wait too.
+// OnPeerClosed calls f in its own goroutine once the peer has closed the stream or the
+// stream has failed. It is for a side that expects no further message: one that arrives
+// also triggers the call.
 func (s *Stream) OnPeerClosed(f func()) {
 	go func() {
 		_, _ = readFrame(s.conn)
@@ -96,9 +96,9 @@
 	}()
 }
 
-// OnReplaced calls f, from a goroutine of its own, once the connection is found silent
-// and another one takes its place; call stop when done. On the accepting side it never
-// does.
+// OnReplaced calls f in its own goroutine once the connection is found silent and another
+// one replaces it. The caller calls stop when done. On the accepting side f is never
+// called.
 func (s *Stream) OnReplaced(f func()) (stop func() bool) {
 	if s.dialed == nil {
 		return func() bool { return true }
@@ -106,16 +106,16 @@
 	return context.AfterFunc(s.dialed.inUse, f)
 }
 
-// IsReplaced tells whether another connection took the place of this stream's.
+// IsReplaced reports whether another connection has replaced the one of this stream.
 func (s *Stream) IsReplaced() bool { return s.dialed != nil && s.dialed.inUse.Err() != nil }
 
-// SetDeadline bounds every later read and write.
+// SetDeadline sets the deadline of all later reads and writes.
 func (s *Stream) SetDeadline(t time.Time) { _ = s.conn.SetDeadline(t) }
 
 // Close closes the stream in both directions.
 func (s *Stream) Close() { _ = s.conn.Close() }
 
-// closeOnDone closes the stream when the context ends; call stop when done.
+// closeOnDone closes the stream when the context ends; stop cancels that.
 func (s *Stream) closeOnDone(ctx context.Context) (stop func() bool) {
 	return context.AfterFunc(ctx, func() {
 		_ = s.conn.SetDeadline(time.Unix(1, 0))
--- a/pkg/link/tcp.go
+++ b/pkg/link/tcp.go
@@ -1,10 +1,8 @@
 // ================================================================
-// The TCP options of a link. A VM without power or behind a cut answers
-// nothing, and by default a connection to it hangs for many minutes; bounded
-// by these options it breaks in about two seconds and is dialed again.
-//
-// Rejected: a ping of our own on every link. The kernel does the same without
-// waking the process.
+// TCP dialing and options of a link. A VM that lost its power or its network
+// answers nothing, and by default a connection to it hangs for many minutes;
+// with these options it fails in about two seconds and is dialed again.
+// The kernel sends the probes without waking the process.
 // ================================================================
 
 package link
@@ -19,43 +17,42 @@
 )
 
 const (
-	// unackedTimeout is how long sent bytes may wait for their acknowledgement.
+	// unackedTimeout is how long sent bytes may remain unacknowledged.
 	unackedTimeout = 2 * time.Second
-	// tcpKeepAliveIdle and probeInterval, in seconds, and probeCount are the TCP
-	// keep-alive of connections that say nothing.
+	// tcpKeepAliveIdle and tcpKeepAliveInterval, in seconds, and tcpKeepAliveCount are the
+	// TCP keep-alive options of idle connections.
 	tcpKeepAliveIdle     = 2
 	tcpKeepAliveInterval = 1
 	tcpKeepAliveCount    = 3
 )
 
-// firstDialTimeout is how long the first try of a dial may take; each further one may
-// take twice as long. Ways between the users' VMs take 6 ms there and back.
+// firstDialTimeout is the timeout of the first attempt of a dial; it doubles with each
+// further attempt. The round trip between VMs takes 6 ms.
 const firstDialTimeout = 150 * time.Millisecond
 
-// dialTCP opens a connection that breaks when the other side falls silent.
+// dialTCP opens a connection that fails when the peer stops responding.
 func dialTCP(ctx context.Context, address string) (net.Conn, error) {
 	d := net.Dialer{Timeout: dialTimeout, Control: tcpKeepAliveControl, KeepAlive: -1}
 	return dialWithRetries(ctx, firstDialTimeout, func(ctx context.Context) (net.Conn, error) { return d.DialContext(ctx, "tcp", address) })
 }
 
-// dialWithRetries dials anew while nobody answers. The kernel sends an opening
-// packet that was lost again after a second; VMs that got their power back
-// together found each other a second late, since the first packets went to VMs
-// that were not up yet.
-func dialWithRetries(ctx context.Context, try time.Duration, dial func(context.Context) (net.Conn, error)) (net.Conn, error) {
+// dialWithRetries dials again while the peer does not answer. The kernel retransmits a
+// lost SYN packet only after a second: VMs that regained power together connected a second
+// late, since their first packets went to VMs that were not up yet.
+func dialWithRetries(ctx context.Context, timeout time.Duration, dial func(context.Context) (net.Conn, error)) (net.Conn, error) {
 	for {
-		trying, cancel := context.WithTimeout(ctx, try)
-		conn, err := dial(trying)
-		silent := trying.Err() != nil
+		attempt, cancel := context.WithTimeout(ctx, timeout)
+		conn, err := dial(attempt)
+		timedOut := attempt.Err() != nil
 		cancel()
-		if err == nil || !silent || ctx.Err() != nil {
+		if err == nil || !timedOut || ctx.Err() != nil {
 			return conn, err
 		}
-		try *= 2
+		timeout *= 2
 	}
 }
 
-// applyTCPKeepAlive sets the options on a connection; others than TCP are left.
+// applyTCPKeepAlive sets the options on a TCP connection and ignores other connections.
 func applyTCPKeepAlive(conn net.Conn) {
 	tcp, ok := conn.(*net.TCPConn)
 	if !ok {
@@ -68,8 +65,8 @@
 	_ = raw.Control(func(fd uintptr) { setTCPKeepAlive(int(fd), unackedTimeout) })
 }
 
-// setTCPKeepAlive sets the options on a socket. An option that the kernel lacks is
-// left out: the link then breaks later.
+// setTCPKeepAlive sets the options on a socket. It ignores options that the kernel lacks:
+// the link then fails later.
 func setTCPKeepAlive(fd int, timeout time.Duration) {
 	_ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(timeout.Milliseconds()))
 	_ = unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_KEEPALIVE, 1)
@@ -78,8 +75,8 @@
 	_ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_KEEPCNT, tcpKeepAliveCount)
 }
 
-// tcpKeepAliveControl sets the options before a connection is made, so that they
-// bound the making too.
+// tcpKeepAliveControl sets the options before a connection is established, so that they
+// also apply to its establishment.
 func tcpKeepAliveControl(_, _ string, raw syscall.RawConn) error {
 	return raw.Control(func(fd uintptr) { setTCPKeepAlive(int(fd), unackedTimeout) })
 }
--- a/pkg/link/tcp_test.go
+++ b/pkg/link/tcp_test.go
@@ -8,11 +8,12 @@
 	"time"
 )
 
-// VMs that got their power back together found each other a second late.
+// A dial without an answer is retried before the kernel retransmits its SYN packet after a
+// second: VMs that regained power together connected a second late without this.
 func TestUnansweredDialIsRetried(t *testing.T) {
-	tries := 0
+	attempts := 0
 	conn, err := dialWithRetries(t.Context(), time.Millisecond, func(ctx context.Context) (net.Conn, error) {
-		if tries++; tries < 3 {
+		if attempts++; attempts < 3 {
 			<-ctx.Done()
 			return nil, ctx.Err()
 		}
@@ -20,19 +21,20 @@
 		_ = server.Close()
 		return client, nil
 	})
-	if err != nil || conn == nil || tries != 3 {
-		t.Fatalf("%v after %d tries", err, tries)
+	if err != nil || conn == nil || attempts != 3 {
+		t.Fatalf("%v after %d attempts", err, attempts)
 	}
 }
 
+// A dial that the peer refuses returns its error at once.
 func TestRefusedDialIsNotRetried(t *testing.T) {
-	tries := 0
+	attempts := 0
 	refused := errors.New("connection refused")
 	_, err := dialWithRetries(t.Context(), time.Hour, func(context.Context) (net.Conn, error) {
-		tries++
+		attempts++
 		return nil, refused
 	})
-	if err != refused || tries != 1 {
-		t.Fatalf("%v after %d tries", err, tries)
+	if err != refused || attempts != 1 {
+		t.Fatalf("%v after %d attempts", err, attempts)
 	}
 }
--- a/pkg/link/tls_test.go
+++ b/pkg/link/tls_test.go
@@ -22,7 +22,7 @@
 	"github.com/tidepost/tidepost/pkg/vm"
 )
 
-// authority signs certificates for a test.
+// authority is a certificate authority for tests.
 type authority struct {
 	t    *testing.T
 	key  *ecdsa.PrivateKey
@@ -61,8 +61,8 @@
 	return path
 }
 
-// config returns the TLS of a process whose certificate the authority signed,
-// and which trusts the authority named.
+// config returns the TLS configuration of a process whose certificate this authority
+// signed and which trusts the given authority.
 func (a *authority) config(trusts *authority) *tls.Config {
 	key := newKey(a.t)
 	template := &x509.Certificate{
@@ -84,6 +84,8 @@
 	return c
 }
 
+// With mutual TLS, a server accepts only clients with a certificate that its own authority
+// signed.
 func TestMutualTLSAcceptsOnlyCertificatesOfTheAuthority(t *testing.T) {
 	ours, theirs := newAuthority(t), newAuthority(t)
 	endpoint := func(name string, c *tls.Config) *Endpoint {
@@ -99,9 +101,9 @@
 	})
 	address := serveEndpoint(t, server)
 	cases := []struct {
-		name   string
-		config *tls.Config
-		in     bool
+		name     string
+		config   *tls.Config
+		accepted bool
 	}{
 		{"signed by our authority", ours.config(ours), true},
 		{"signed by another authority", theirs.config(ours), false},
@@ -112,8 +114,8 @@
 		var answer string
 		err := client.Call(context.Background(), address, KindQuery, "hello", &answer)
 		client.Close()
-		if in := err == nil && answer == "hello"; in != c.in {
-			t.Errorf("%s: let in %t, error %v", c.name, in, err)
+		if accepted := err == nil && answer == "hello"; accepted != c.accepted {
+			t.Errorf("%s: accepted %t, error %v", c.name, accepted, err)
 		}
 	}
 }
--- a/pkg/spread/bitmap.go
+++ b/pkg/spread/bitmap.go
@@ -1,10 +1,11 @@
 // ================================================================
-// A set of chunks, as bits: chunk i is bit i%8 of byte i/8.
+// A set of chunks as a bitmap: chunk i is bit i%8 of byte i/8.
 // ================================================================
 
 // Package spread decides which chunk comes from where: Swarm on each agent,
-// Coordinator on one entry of each failure domain. Both are plain objects:
-// reports and a time go in, fetches and plans come out.
+// Coordinator on one entry of each failure domain. Both are plain objects without
+// goroutines or a clock: they take reports and the current time, and return fetches
+// and plans.
 package spread
 
 import "math/bits"
@@ -23,8 +24,8 @@
 	return Bitmap{bytes: make([]byte, (total+bitsPerByte-1)/bitsPerByte), total: total}
 }
 
-// BitmapOf reads a set from its bytes. Missing bytes are empty, and bits at or
-// above total are dropped: the bytes come from another process.
+// BitmapOf reads a set from its bytes, which come from another process: missing bytes
+// count as 0, and bits at or above total are ignored.
 func BitmapOf(raw []byte, total int) Bitmap {
 	b := NewBitmap(total)
 	copy(b.bytes, raw)
@@ -37,12 +38,12 @@
 	return b
 }
 
-// Has tells whether chunk i is in the set.
+// Has reports whether chunk i is in the set.
 func (b Bitmap) Has(i int) bool {
 	return i >= 0 && i < b.total && b.bytes[i/bitsPerByte]&(1<<(i%bitsPerByte)) != 0
 }
 
-// Add puts chunk i into the set and tells whether it is new there.
+// Add adds chunk i to the set and reports whether it was not in it before.
 func (b *Bitmap) Add(i int) bool {
 	if i < 0 || i >= b.total || b.Has(i) {
 		return false
@@ -58,8 +59,8 @@
 // Total returns how many chunks there are.
 func (b Bitmap) Total() int { return b.total }
 
-// Full tells whether all chunks are in the set.
+// Full reports whether all chunks are in the set.
 func (b Bitmap) Full() bool { return b.count == b.total }
 
-// Bytes returns a copy of the bits.
+// Bytes returns a copy of the bitmap's bytes.
 func (b Bitmap) Bytes() []byte { return append([]byte(nil), b.bytes...) }
--- a/pkg/spread/coordinator.go
+++ b/pkg/spread/coordinator.go
@@ -1,13 +1,13 @@
 // ================================================================
-// The coordinator of one copy in one failure domain. It hands out neighbours
-// and leases, and holds no state that cannot be lost: the agents' next reports
-// rebuild it on whichever entry takes over.
+// The coordinator of one copy in one failure domain. It assigns neighbours and
+// leases to agents. Its state may be lost: the agents' next reports rebuild it
+// on the entry that takes over.
 //
-// Each chunk belongs to one of the domains that take part, by rendezvous hash.
-// The owner draws it from the origin; the others import it from wherever it is
-// held by then. A domain that is cut off, or whose owner is, finds no holder
-// and draws for itself after a while: that costs origin bytes, and time only
-// where there was none to win.
+// Rendezvous hashing assigns each chunk to one of the domains that fetch the
+// copy. The owner fetches it from the origin, and the others import it from a
+// domain that holds it. A domain that is partitioned from the others or from a
+// chunk's owner later fetches the chunk from the origin itself, which costs
+// origin traffic but no time that could have been saved.
 // ================================================================
 
 package spread
@@ -25,34 +25,38 @@
 
 // Defaults of a coordinator.
 const (
-	// DefaultNeighbours is how many neighbours an agent gets.
+	// DefaultNeighbours is the number of neighbours of an agent.
 	DefaultNeighbours = 24
-	// DefaultOriginFetches is how many draws all domains together have under way.
+	// DefaultOriginFetches is how many chunks all domains together fetch from the origin
+	// at one time.
 	DefaultOriginFetches = 32
-	// minOriginFetches is how many of them a domain has at least.
+	// minOriginFetches is the least number of these that each domain may have.
 	minOriginFetches = 2
-	// DefaultLeaseDuration is how long a lease lasts without the chunk's arrival.
+	// DefaultLeaseDuration is how long a lease lasts if the chunk does not arrive.
 	DefaultLeaseDuration = 20 * time.Second
-	// leasesPerAgent bounds the leases that one agent holds.
+	// leasesPerAgent is the most leases that one agent holds at one time.
 	leasesPerAgent = 4
-	// agentTimeout is when an agent that reports no more is dropped, and its
-	// leases given out again. Agents report every second.
+	// agentTimeout is how long an agent may send no report before it is dropped and its
+	// leases are reassigned. Agents report every second.
 	agentTimeout = 3500 * time.Millisecond
-	// completeAgentTimeout is the same for agents whose copy is whole: they report less
+	// completeAgentTimeout is the same for agents whose copy is complete: they report less
 	// often and hold no leases.
 	completeAgentTimeout = 13 * time.Second
-	// startupDelay is how long a new coordinator listens before it draws, so that it
-	// hears of the other domains and of the agents' reports.
+	// startupDelay is how long a new coordinator waits before it grants origin fetches, so
+	// that it first hears from the other domains and its agents.
 	startupDelay = 300 * time.Millisecond
-	// stuckTimeout is when a domain that brings in nothing loses its chunks.
+	// stuckTimeout is how long a domain may gain no chunk before it loses the ownership of
+	// its chunks.
 	stuckTimeout = 10 * time.Second
-	// soleHolderTimeout is how long a chunk may stay with its first holder.
+	// soleHolderTimeout is how long a chunk may have a single holder in the domain before
+	// it is brought in again.
 	soleHolderTimeout = 40 * time.Second
-	// domainTimeout is when another domain that is not heard of is dropped.
+	// domainTimeout is how long another domain may send nothing before it is dropped.
 	domainTimeout = 10 * time.Second
 )
 
-// CoordinatorConfig are the constants of a coordinator.
+// CoordinatorConfig is the configuration of a coordinator. Zero values of Neighbours,
+// OriginFetches and LeaseDuration select the defaults. Total is the number of chunks.
 type CoordinatorConfig struct {
 	Domain        string
 	Digest        contract.Digest
@@ -73,7 +77,8 @@
 	leases     int
 }
 
-// lease lets one agent bring one chunk into the domain.
+// lease allows one agent to bring one chunk into the domain, from the origin or from a
+// holder in another domain.
 type lease struct {
 	agent      vm.ID
 	expires    time.Time
@@ -81,33 +86,33 @@
 	holder     vm.Identity
 }
 
-// remoteDomain is what another domain's coordinator has said.
+// remoteDomain is the last message from the coordinator of another domain.
 type remoteDomain struct {
 	sources  contract.DomainSources
 	lastSeen time.Time
-	// heldCount is how many chunks the domain held, and progressed when that last
+	// heldCount is how many chunks the domain holds, and progressedAt is when that last
 	// grew.
 	heldCount    int
 	progressedAt time.Time
 }
 
-// Coordinator decides for one copy in one failure domain. It is used by one
-// goroutine.
+// Coordinator assigns the neighbours and leases for one copy in one failure domain. It is
+// not safe for concurrent use.
 type Coordinator struct {
 	config       CoordinatorConfig
 	members      map[vm.ID]*member
 	leases       map[int]lease
 	holderCounts []int       // per chunk, how many members hold it
-	firstHeldAt  []time.Time // per chunk, when its first copy came
+	firstHeldAt  []time.Time // per chunk, when it got its first holder
 	remotes      map[string]remoteDomain
-	owners       []string // per chunk, the domain that draws it
-	ownerKey     string   // those that owners was made for
-	ownerDomains int      // how many they are
-	originLeases int      // how many draw leases are out
+	owners       []string // per chunk, the domain that fetches it from the origin
+	ownerKey     string   // the domains that owners was computed for
+	ownerDomains int      // the number of these domains
+	originLeases int      // the number of origin leases that agents hold
 	started      time.Time
 }
 
-// NewCoordinator returns a coordinator that knows of nobody yet.
+// NewCoordinator returns a coordinator without agents.
 func NewCoordinator(c CoordinatorConfig, now time.Time) *Coordinator {
 	if c.Neighbours == 0 {
 		c.Neighbours = DefaultNeighbours
@@ -136,17 +141,17 @@
 func (c *Coordinator) Report(r contract.SpreadReport, now time.Time) contract.SpreadPlan {
 	m := c.update(r, now)
 	c.expire(now)
-	draw, imports := c.leasesOf(m, now)
+	originChunks, imports := c.leasesOf(m, now)
 	neighbours := c.neighboursOf(m)
 	if NeighbourHash(neighbours) == r.Neighbours() {
-		// Two dozen identities a second to each agent were most of what a
-		// coordinator sent.
-		return contract.NewSpreadPlan(nil, true, draw, imports)
+		// Unchanged neighbours are not sent again: two dozen identities per second and
+		// agent were most of a coordinator's traffic.
+		return contract.NewSpreadPlan(nil, true, originChunks, imports)
 	}
-	return contract.NewSpreadPlan(neighbours, false, draw, imports)
+	return contract.NewSpreadPlan(neighbours, false, originChunks, imports)
 }
 
-// NeighbourHash tells one set of neighbours from another, whatever their order.
+// NeighbourHash returns a hash of a set of neighbours that does not depend on their order.
 func NeighbourHash(neighbours []vm.Identity) uint64 {
 	hash := uint64(0)
 	for _, n := range neighbours {
@@ -193,7 +198,7 @@
 	m.held = held
 }
 
-// releaseLease ends the lease of a chunk if the agent holds it.
+// releaseLease ends the lease of a chunk if the given agent holds it.
 func (c *Coordinator) releaseLease(chunk int, agent vm.ID) {
 	if l, ok := c.leases[chunk]; ok && l.agent == agent {
 		c.endLease(chunk, l)
@@ -217,7 +222,7 @@
 	return completeAgentTimeout
 }
 
-// Incomplete tells whether an agent of the domain lacks chunks.
+// Incomplete reports whether an agent of the domain lacks chunks.
 func (c *Coordinator) Incomplete() bool {
 	for _, m := range c.members {
 		if m.incomplete {
@@ -227,7 +232,7 @@
 	return false
 }
 
-// expire drops agents and domains that are heard of no more, and their leases.
+// expire drops agents and domains that have timed out, and expired leases.
 func (c *Coordinator) expire(now time.Time) {
 	for id, m := range c.members {
 		if now.Sub(m.lastSeen) > m.timeout() {
@@ -267,8 +272,9 @@
 // ----------------------------------------------------------------
 // Neighbours
 
-// neighboursOf keeps an agent's neighbours, and fills up for those that went.
-// A random set keeps the domain connected without anybody knowing all of it.
+// neighboursOf keeps the neighbours of an agent that are still members and replaces the
+// others at random. Random neighbours keep the domain connected without any agent knowing
+// all others.
 func (c *Coordinator) neighboursOf(m *member) []vm.Identity {
 	var kept []vm.ID
 	chosen := map[vm.ID]bool{m.identity.ID(): true}
@@ -282,7 +288,8 @@
 		kept = append(kept, c.pickMembers(chosen, c.config.Neighbours-len(kept))...)
 	}
 	m.neighbours = kept
-	// What they hold comes from the neighbours themselves, sooner.
+	// The plan does not say what the neighbours hold: they tell the agent directly, which
+	// is faster.
 	identities := make([]vm.Identity, 0, len(kept))
 	for _, id := range kept {
 		identities = append(identities, c.members[id].identity)
@@ -290,10 +297,10 @@
 	return identities
 }
 
-func (c *Coordinator) pickMembers(not map[vm.ID]bool, n int) []vm.ID {
+func (c *Coordinator) pickMembers(excluded map[vm.ID]bool, n int) []vm.ID {
 	var candidates []vm.ID
 	for id := range c.members {
-		if !not[id] {
+		if !excluded[id] {
 			candidates = append(candidates, id)
 		}
 	}
--- a/pkg/spread/coordinator_domains.go
+++ b/pkg/spread/coordinator_domains.go
@@ -1,6 +1,6 @@
 // ================================================================
-// What the coordinators of different failure domains tell each other: one
-// holder for each chunk, and whether the domain still wants chunks.
+// The exchange between the coordinators of different failure domains. Each
+// sends one holder of each chunk, and whether its domain still lacks chunks.
 // ================================================================
 
 package spread
@@ -13,15 +13,15 @@
 	"github.com/tidepost/tidepost/pkg/vm"
 )
 
-// UpdateRemote takes in what the coordinator of another domain says.
+// UpdateRemote records a message of the coordinator of another domain.
 func (c *Coordinator) UpdateRemote(s contract.DomainSources, now time.Time) {
 	if s.Domain() == c.config.Domain {
 		return
 	}
 	r, known := c.remotes[s.Domain()]
 	held := 0
-	for _, place := range s.Holders() {
-		if place > 0 {
+	for _, position := range s.Holders() {
+		if position > 0 {
 			held++
 		}
 	}
@@ -32,15 +32,15 @@
 	c.remotes[s.Domain()] = r
 }
 
-// Sources returns what the coordinators of other domains are told: one holder
-// for each chunk, at random, so that imports spread over all holders.
+// Sources returns the message to the coordinators of other domains. It names one random
+// holder of each chunk, so that imports spread over all holders.
 func (c *Coordinator) Sources(now time.Time) contract.DomainSources {
 	c.expire(now)
 	ids := make([]vm.ID, 0, len(c.members))
-	wants := false
+	incomplete := false
 	for id, m := range c.members {
 		ids = append(ids, id)
-		wants = wants || m.incomplete
+		incomplete = incomplete || m.incomplete
 	}
 	sort.Slice(ids, func(i, j int) bool { return ids[i] < ids[j] })
 	agents := make([]vm.Identity, 0, len(ids))
@@ -51,18 +51,20 @@
 	for chunk := range holders {
 		holders[chunk] = c.randomHolder(chunk, ids)
 	}
-	return contract.NewDomainSources(c.config.Digest, c.config.Domain, wants, agents, holders)
+	return contract.NewDomainSources(c.config.Digest, c.config.Domain, incomplete, agents, holders)
 }
 
+// randomHolder returns the position of a random holder of a chunk in ids plus one, or 0 if
+// the domain does not hold the chunk.
 func (c *Coordinator) randomHolder(chunk int, ids []vm.ID) uint16 {
 	if c.holderCounts[chunk] == 0 {
 		return 0
 	}
 	start := c.config.Random.IntN(len(ids))
 	for k := range ids {
-		place := (start + k) % len(ids)
-		if c.members[ids[place]].held.Has(chunk) {
-			return uint16(place + 1)
+		position := (start + k) % len(ids)
+		if c.members[ids[position]].held.Has(chunk) {
+			return uint16(position + 1)
 		}
 	}
 	return 0
--- a/pkg/spread/coordinator_leases.go
+++ b/pkg/spread/coordinator_leases.go
@@ -1,7 +1,6 @@
 // ================================================================
-// Leases: who brings which chunk into the failure domain, from the origin or
-// from another domain. Each chunk belongs to one of the domains that take part,
-// by rendezvous hash; the owner draws it, the others import it.
+// Leases decide which agent brings which chunk into the failure domain, from
+// the origin or from another domain, so that each chunk enters the domain once.
 // ================================================================
 
 package spread
@@ -16,30 +15,31 @@
 	"github.com/tidepost/tidepost/pkg/vm"
 )
 
-// leasesOf returns the agent's leases, after adding what it may have more. All of
-// them are sent each time, so that a lost answer loses no lease.
+// leasesOf grants an incomplete agent further leases and returns all that it holds, as the
+// chunks to fetch from the origin and the imports. Each response carries all leases, so
+// that a lost response loses none.
 func (c *Coordinator) leasesOf(m *member, now time.Time) ([]uint32, []contract.Import) {
 	if m.incomplete {
 		c.addLeases(m, now)
 	}
-	var draw []uint32
+	var originChunks []uint32
 	var imports []contract.Import
 	for chunk, l := range c.leases {
 		switch {
 		case l.agent != m.identity.ID():
 		case l.fromOrigin:
-			draw = append(draw, uint32(chunk))
+			originChunks = append(originChunks, uint32(chunk))
 		default:
 			imports = append(imports, contract.NewImport(uint32(chunk), l.holder))
 		}
 	}
-	sort.Slice(draw, func(i, j int) bool { return draw[i] < draw[j] })
+	sort.Slice(originChunks, func(i, j int) bool { return originChunks[i] < originChunks[j] })
 	sort.Slice(imports, func(i, j int) bool { return imports[i].Index() < imports[j].Index() })
-	return draw, imports
+	return originChunks, imports
 }
 
-// addLeases walks the chunks from a random place, so that domains and agents
-// do not all begin with the first.
+// addLeases grants the agent leases up to leasesPerAgent. It starts at a random chunk, so
+// that domains and agents do not all begin with the first one.
 func (c *Coordinator) addLeases(m *member, now time.Time) {
 	c.assignOwners(now)
 	start := c.config.Random.IntN(max(c.config.Total, 1))
@@ -58,13 +58,16 @@
 	}
 }
 
-// missing tells whether the domain has to bring the chunk in. One that stays
-// with its first holder counts as missing again: a VM whose link has stalled
-// takes chunks and gives none.
+// missing reports whether the domain has to bring the chunk in. A chunk that has had a
+// single holder for soleHolderTimeout counts as missing again: a VM whose uplink has
+// stalled receives chunks and serves none.
 func (c *Coordinator) missing(chunk int, now time.Time) bool {
 	return c.holderCounts[chunk] == 0 || c.holderCounts[chunk] == 1 && now.Sub(c.firstHeldAt[chunk]) > soleHolderTimeout
 }
 
+// leaseChunk grants the agent a lease to fetch a chunk from the origin, if the domain may
+// do so, or else from a holder in another domain. It grants none if the domain has reached
+// its limit of origin fetches or if no other domain holds the chunk.
 func (c *Coordinator) leaseChunk(m *member, chunk int, now time.Time) {
 	l := lease{agent: m.identity.ID(), expires: now.Add(c.config.LeaseDuration)}
 	if c.mayFetchFromOrigin(chunk, now) {
@@ -84,8 +87,8 @@
 	m.leases++
 }
 
-// mayFetchFromOrigin tells whether the domain draws the chunk itself: it owns it, and
-// nobody elsewhere has it already.
+// mayFetchFromOrigin reports whether the domain fetches the chunk from the origin: the
+// startup delay has passed, the domain owns the chunk, and no other domain holds it.
 func (c *Coordinator) mayFetchFromOrigin(chunk int, now time.Time) bool {
 	if now.Sub(c.started) < startupDelay {
 		return false
@@ -104,9 +107,9 @@
 		if chunk >= len(s.Holders()) {
 			continue
 		}
-		place := int(s.Holders()[chunk])
-		if place > 0 && place <= len(s.Agents()) {
-			candidates = append(candidates, s.Agents()[place-1])
+		position := int(s.Holders()[chunk])
+		if position > 0 && position <= len(s.Agents()) {
+			candidates = append(candidates, s.Agents()[position-1])
 		}
 	}
 	if len(candidates) == 0 {
@@ -124,32 +127,33 @@
 	return domains
 }
 
-// assignOwners gives each chunk to one of the domains that still want chunks
-// and get some. One that is stuck (it may be heard and yet not reach the
-// origin) loses its chunks to the others.
+// assignOwners assigns each chunk to one of the domains that still lack chunks and make
+// progress. A domain that is stuck (it may reach the other domains but not the origin)
+// loses its chunks to the others.
 func (c *Coordinator) assignOwners(now time.Time) {
-	taking := []string{c.config.Domain}
+	active := []string{c.config.Domain}
 	for _, domain := range c.remoteDomains() {
 		r := c.remotes[domain]
 		if r.sources.Incomplete() && now.Sub(r.progressedAt) < stuckTimeout {
-			taking = append(taking, domain)
+			active = append(active, domain)
 		}
 	}
-	sort.Strings(taking)
+	sort.Strings(active)
 	key := ""
-	for _, domain := range taking {
+	for _, domain := range active {
 		key += domain + ","
 	}
 	if key == c.ownerKey {
 		return
 	}
-	c.ownerKey, c.ownerDomains = key, len(taking)
+	c.ownerKey, c.ownerDomains = key, len(active)
 	c.owners = make([]string, c.config.Total)
 	for chunk := range c.owners {
-		c.owners[chunk] = owner(c.config.Digest, chunk, taking)
+		c.owners[chunk] = owner(c.config.Digest, chunk, active)
 	}
 }
 
+// owner returns the domain of highest rank for a chunk, by rendezvous hashing.
 func owner(digest contract.Digest, chunk int, domains []string) string {
 	subject := digest.Short() + "/" + strconv.Itoa(chunk)
 	best, bestRank := "", uint64(0)
--- a/pkg/spread/spread_test.go
+++ b/pkg/spread/spread_test.go
@@ -20,13 +20,14 @@
 	}, now)
 }
 
-func reportOf(from vm.Identity, held Bitmap, wants bool) contract.SpreadReport {
-	return contract.NewSpreadReport(from, contract.DigestOf([]byte("x")), held.Bytes(), nil, wants, 0)
+func reportOf(from vm.Identity, held Bitmap, incomplete bool) contract.SpreadReport {
+	return contract.NewSpreadReport(from, contract.DigestOf([]byte("x")), held.Bytes(), nil, incomplete, 0)
 }
 
-// drain has an agent take leases until it gets no more, as if each chunk
-// arrived at once.
-func fetchLeasedChunks(c *Coordinator, from vm.Identity, now time.Time) (drawn, imported int) {
+// fetchLeasedChunks reports for an agent until it gets no more leases, as if each leased
+// chunk arrived at once. It returns how many chunks came from the origin and how many were
+// imported.
+func fetchLeasedChunks(c *Coordinator, from vm.Identity, now time.Time) (fetched, imported int) {
 	held := NewBitmap(16)
 	for range 32 {
 		plan := c.Report(reportOf(from, held, !held.Full()), now)
@@ -35,20 +36,20 @@
 		}
 		for _, chunk := range plan.OriginChunks() {
 			held.Add(int(chunk))
-			drawn++
+			fetched++
 		}
 		for _, i := range plan.Imports() {
 			held.Add(int(i.Index()))
 			imported++
 		}
 	}
-	return drawn, imported
+	return fetched, imported
 }
 
 func TestSingleDomainFetchesEachChunkFromOriginOnce(t *testing.T) {
 	now := time.Unix(1000, 0)
-	if drawn, _ := fetchLeasedChunks(testCoordinator("a", now), testIdentity("a1", "a"), now.Add(startupDelay)); drawn != 16 {
-		t.Errorf("drew %d of 16 chunks", drawn)
+	if fetched, _ := fetchLeasedChunks(testCoordinator("a", now), testIdentity("a1", "a"), now.Add(startupDelay)); fetched != 16 {
+		t.Errorf("fetched %d of 16 chunks from the origin", fetched)
 	}
 }
 
@@ -60,26 +61,26 @@
 	b.Report(reportOf(testIdentity("b1", "b"), empty, true), now)
 	a.UpdateRemote(b.Sources(now), now)
 	b.UpdateRemote(a.Sources(now), now)
-	heard := now.Add(startupDelay)
-	drawnA, _ := fetchLeasedChunks(a, testIdentity("a1", "a"), heard)
-	drawnB, _ := fetchLeasedChunks(b, testIdentity("b1", "b"), heard)
-	if drawnA+drawnB != 16 || drawnA == 0 || drawnB == 0 {
-		t.Errorf("drew %d and %d of 16 chunks", drawnA, drawnB)
+	started := now.Add(startupDelay)
+	fetchedA, _ := fetchLeasedChunks(a, testIdentity("a1", "a"), started)
+	fetchedB, _ := fetchLeasedChunks(b, testIdentity("b1", "b"), started)
+	if fetchedA+fetchedB != 16 || fetchedA == 0 || fetchedB == 0 {
+		t.Errorf("fetched %d and %d of 16 chunks from the origin", fetchedA, fetchedB)
 	}
 }
 
-// TestNoOriginFetchDuringStartupDelay keeps a new coordinator from drawing
-// what another domain owns.
+// A new coordinator must not fetch chunks from the origin that another domain owns, before
+// it has heard from that domain.
 func TestNoOriginFetchDuringStartupDelay(t *testing.T) {
 	now := time.Unix(1000, 0)
 	plan := testCoordinator("a", now).Report(reportOf(testIdentity("a1", "a"), NewBitmap(16), true), now)
 	if len(plan.OriginChunks()) > 0 {
-		t.Errorf("a coordinator that has just started gave %d draws", len(plan.OriginChunks()))
+		t.Errorf("a coordinator that has just started granted %d origin fetches", len(plan.OriginChunks()))
 	}
 }
 
-// TestStuckDomainLosesItsChunks is the case of a domain that is heard and
-// brings nothing in: found by killing the only agent of a domain.
+// A domain whose coordinator is reachable but which gains no chunks, for instance because
+// its only agent was killed, must lose its chunks to the others.
 func TestStuckDomainLosesItsChunks(t *testing.T) {
 	now := time.Unix(1000, 0)
 	a, b := testCoordinator("a", now), testCoordinator("b", now)
@@ -87,8 +88,8 @@
 	a.UpdateRemote(b.Sources(now), now)
 	later := now.Add(stuckTimeout)
 	a.UpdateRemote(b.Sources(now), later)
-	if drawn, _ := fetchLeasedChunks(a, testIdentity("a1", "a"), later); drawn != 16 {
-		t.Errorf("drew %d of 16 chunks", drawn)
+	if fetched, _ := fetchLeasedChunks(a, testIdentity("a1", "a"), later); fetched != 16 {
+		t.Errorf("fetched %d of 16 chunks from the origin", fetched)
 	}
 }
 
@@ -100,8 +101,8 @@
 	if len(first.OriginChunks()) != leasesPerAgent {
 		t.Fatalf("%d leases", len(first.OriginChunks()))
 	}
-	if drawn, _ := fetchLeasedChunks(c, testIdentity("a2", "a"), now.Add(2*agentTimeout)); drawn != 16 {
-		t.Errorf("drew %d of 16 chunks after an agent died", drawn)
+	if fetched, _ := fetchLeasedChunks(c, testIdentity("a2", "a"), now.Add(2*agentTimeout)); fetched != 16 {
+		t.Errorf("fetched %d of 16 chunks from the origin after an agent died", fetched)
 	}
 }
 
@@ -116,13 +117,13 @@
 	digest := contract.DigestOf([]byte("x"))
 	again := contract.NewSpreadReport(testIdentity("a2", "a"), digest, nil, nil, true, NeighbourHash(first.Peers()))
 	if plan := c.Report(again, now); !plan.Unchanged() || len(plan.Peers()) != 0 {
-		t.Errorf("known neighbours were sent again: %d", len(plan.Peers()))
+		t.Errorf("unchanged neighbours were sent again: %d", len(plan.Peers()))
 	}
 }
 
-// TestSenderOfCorruptChunkIsRetriedAfterBackoff was found by the bench: with 1% of
-// chunks corrupt, VMs of small domains had banned all their neighbours for
-// good and were never ready.
+// A neighbour that sent a corrupt chunk must be asked again after a backoff. When such
+// neighbours were excluded permanently, with 1% of chunks corrupt, VMs of small domains
+// excluded all their neighbours and never became ready.
 func TestSenderOfCorruptChunkIsRetriedAfterBackoff(t *testing.T) {
 	now := time.Unix(1000, 0)
 	s := NewSwarm(SwarmConfig{Total: 4, Fetches: 1, Random: rand.New(rand.NewPCG(1, 1))}, NewBitmap(4))
@@ -137,7 +138,7 @@
 		t.Errorf("the sender of a corrupt chunk is asked at once: %+v", again)
 	}
 	if again := s.Next(now.Add(corruptBackoff)); len(again) != 1 {
-		t.Error("the only neighbour is never asked again")
+		t.Error("the only neighbour is not asked again after the backoff")
 	}
 }
 
@@ -165,8 +166,8 @@
 	}
 }
 
-// TestChunkOfStalledHolderIsFetchedAgain was found by the bench: a VM that
-// takes chunks and gives none kept its whole domain from ever being ready.
+// A chunk whose only holder does not serve it must be brought into the domain again. A VM
+// that received chunks and served none kept its whole domain from becoming ready.
 func TestChunkOfStalledHolderIsFetchedAgain(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := testCoordinator("a", now)
@@ -174,14 +175,14 @@
 	full := BitmapOf([]byte{0xff, 0xff}, 16)
 	stalled, other := testIdentity("stalled", "a"), testIdentity("other", "a")
 	if plan := c.Report(reportOf(stalled, full, false), now); len(plan.OriginChunks()) > 0 {
-		t.Fatalf("a whole copy draws %d chunks", len(plan.OriginChunks()))
+		t.Fatalf("an agent with a complete copy fetches %d chunks from the origin", len(plan.OriginChunks()))
 	}
 	if plan := c.Report(reportOf(other, NewBitmap(16), true), now); len(plan.OriginChunks()) > 0 {
-		t.Fatalf("%d draws while a holder may still give", len(plan.OriginChunks()))
+		t.Fatalf("%d origin fetches while the holder may still serve the chunks", len(plan.OriginChunks()))
 	}
 	later := now.Add(soleHolderTimeout + time.Second)
 	c.Report(reportOf(stalled, full, false), later)
 	if plan := c.Report(reportOf(other, NewBitmap(16), true), later); len(plan.OriginChunks()) == 0 {
-		t.Error("chunks that a stalled VM holds are never brought in again")
+		t.Error("chunks that only a stalled VM holds are not brought in again")
 	}
 }
--- a/pkg/spread/swarm.go
+++ b/pkg/spread/swarm.go
@@ -1,12 +1,11 @@
 // ================================================================
-// The swarm: one agent's part in spreading one copy. It knows which chunks
-// are here, which its neighbours hold, what is on its way, and decides what
-// to fetch next from whom.
+// The swarm decides for one copy on one agent which chunk to fetch next and
+// from whom. It tracks the chunks of this agent, those of its neighbours and
+// the fetches in flight.
 //
-// A chunk comes from a neighbour of the same failure domain whenever one has
-// it. It comes from the origin or from another domain only under a lease of
-// the coordinator, so that each chunk leaves the origin once and enters each
-// domain once.
+// A chunk is fetched from a neighbour in the same failure domain if one holds
+// it. It is fetched from the origin or another domain only under a lease of the
+// coordinator, so that it leaves the origin once and enters each domain once.
 // ================================================================
 
 package spread
@@ -21,38 +20,40 @@
 
 // Defaults of a swarm.
 const (
-	// DefaultFetches is how many chunks are on their way at one time.
+	// DefaultFetches is the limit of fetches in flight.
 	DefaultFetches = 10
-	// DefaultFetchesPerPeer bounds those from one neighbour.
+	// DefaultFetchesPerPeer is the limit of fetches in flight from one neighbour.
 	DefaultFetchesPerPeer = 2
-	// DefaultStallTimeout is when a fetch counts as stalled.
+	// DefaultStallTimeout is how long a fetch may take before it counts as stalled.
 	DefaultStallTimeout = 30 * time.Second
 
-	// busyBackoff is how long a peer that is busy is left alone: about as long as
-	// it takes to pass a chunk on.
+	// busyBackoff is how long a busy peer is not asked again: about as long as it takes
+	// to transfer a chunk.
 	busyBackoff = 200 * time.Millisecond
-	minBackoff  = 250 * time.Millisecond
-	// corruptBackoff follows the first corrupt chunk of a peer.
+	// minBackoff and maxBackoff bound the doubling backoff of a peer after failed fetches.
+	minBackoff = 250 * time.Millisecond
+	// corruptBackoff is the backoff after the first corrupt chunk from a peer.
 	corruptBackoff = 5 * time.Second
 	maxBackoff     = 30 * time.Second
-	// hedgeFactor is how many times the usual duration a fetch may take
-	// before a second one is started elsewhere.
+	// hedgeFactor is how many times the mean duration a fetch may take before a second
+	// one of the same chunk is started from another peer.
 	hedgeFactor = 4
-	// durationWeight is the part of a new sample in the usual duration.
+	// durationWeight is the weight of a new sample in the moving average of durations.
 	durationWeight = 0.1
 )
 
-// Origin is the source that is no peer.
+// Origin is the ID that stands for the origin instead of a peer.
 const Origin vm.ID = ""
 
 // Fetch is a chunk to fetch from a source.
 type Fetch struct {
 	Chunk int
-	// Peer is who to ask; its ID is Origin for the origin.
+	// Peer is the source; its ID is Origin for the origin.
 	Peer vm.Identity
 }
 
-// SwarmConfig are the constants of a swarm.
+// SwarmConfig is the configuration of a swarm. Zero values of Fetches, FetchesPerPeer and
+// StallTimeout select the defaults. Total is the number of chunks.
 type SwarmConfig struct {
 	Total          int
 	Fetches        int
@@ -70,26 +71,27 @@
 	backoffUntil time.Time
 }
 
-// activeFetch is a chunk on its way.
+// activeFetch is a fetch in flight.
 type activeFetch struct {
 	peer    vm.ID
 	started time.Time
 }
 
-// Swarm decides for one copy on one agent. It is used by one goroutine.
+// Swarm decides which chunks one agent fetches for one copy. It is not safe for concurrent
+// use.
 type Swarm struct {
 	config       SwarmConfig
 	held         Bitmap
 	neighbours   map[vm.ID]*neighbour
-	order        []vm.ID
-	availability []int
-	leased       map[int]vm.Identity
+	order        []vm.ID             // the neighbours in the order of their arrival
+	availability []int               // per chunk, how many neighbours hold it
+	leased       map[int]vm.Identity // per leased chunk, its source
 	active       map[int][]activeFetch
 	inFlight     int
-	meanDuration time.Duration
+	meanDuration time.Duration // moving average over successful fetches; 0 before the first
 }
 
-// NewSwarm returns a swarm that holds some chunks already.
+// NewSwarm returns a swarm of an agent that holds the given chunks already.
 func NewSwarm(c SwarmConfig, held Bitmap) *Swarm {
 	if c.Fetches == 0 {
 		c.Fetches = DefaultFetches
@@ -110,20 +112,19 @@
 	}
 }
 
-// Held returns the chunks that are here.
+// Held returns a copy of the set of chunks that the agent holds.
 func (s *Swarm) Held() Bitmap { return BitmapOf(s.held.bytes, s.held.total) }
 
-// Total returns how many chunks there are, and Count how many are here, without
-// the copy that Held makes.
+// Total returns how many chunks there are.
 func (s *Swarm) Total() int { return s.config.Total }
 
-// Count returns how many chunks are here.
+// Count returns how many chunks the agent holds, without the copy that Held makes.
 func (s *Swarm) Count() int { return s.held.Count() }
 
-// Done tells whether all chunks are here.
+// Done reports whether the agent holds all chunks.
 func (s *Swarm) Done() bool { return s.held.Full() }
 
-// Neighbours returns whom the swarm listens to.
+// Neighbours returns the current neighbours.
 func (s *Swarm) Neighbours() []vm.Identity {
 	var identities []vm.Identity
 	for _, id := range s.order {
@@ -133,10 +134,10 @@
 }
 
 // ----------------------------------------------------------------
-// What others hold
+// Chunks that other agents hold
 
-// SetNeighbours replaces the set of neighbours. What is known of those that
-// stay is kept.
+// SetNeighbours replaces the set of neighbours. It keeps the state of those that remain,
+// unless they have restarted.
 func (s *Swarm) SetNeighbours(identities []vm.Identity) {
 	wanted := map[vm.ID]bool{}
 	for _, identity := range identities {
@@ -174,7 +175,7 @@
 	}
 }
 
-// PeerHasChunks says that a neighbour holds a set of chunks.
+// PeerHasChunks records that a neighbour holds a set of chunks.
 func (s *Swarm) PeerHasChunks(id vm.ID, held Bitmap) {
 	for i := range s.config.Total {
 		if held.Has(i) {
@@ -183,15 +184,15 @@
 	}
 }
 
-// PeerHasChunk says that a neighbour holds a chunk.
+// PeerHasChunk records that a neighbour holds a chunk.
 func (s *Swarm) PeerHasChunk(id vm.ID, chunk int) {
 	if n := s.neighbours[id]; n != nil && n.held.Add(chunk) {
 		s.availability[chunk]++
 	}
 }
 
-// Lease lets the swarm fetch a chunk from the origin or from an agent of
-// another failure domain.
+// Lease records a lease, which allows the swarm to fetch a chunk from the origin or from an
+// agent of another failure domain.
 func (s *Swarm) Lease(chunk int, from vm.Identity) {
 	if chunk >= 0 && chunk < s.config.Total && !s.held.Has(chunk) {
 		s.leased[chunk] = from
@@ -199,10 +200,10 @@
 }
 
 // ----------------------------------------------------------------
-// What came of fetches
+// Results of fetches
 
-// FetchSucceeded says that a chunk came and was verified. It returns the other fetches
-// of the chunk, which are to be cancelled.
+// FetchSucceeded records that a chunk has arrived and been verified. It returns the other
+// fetches of the chunk, which the caller cancels.
 func (s *Swarm) FetchSucceeded(chunk int, from vm.ID, now time.Time) []Fetch {
 	for _, f := range s.active[chunk] {
 		if f.peer == from {
@@ -231,13 +232,13 @@
 	s.meanDuration += time.Duration(durationWeight * float64(d-s.meanDuration))
 }
 
-// FetchFailed says that a fetch failed. The peer is left alone for a while: a short
-// one when it was busy, a longer one each time when it was slow or gone, and
-// the longest when it sent a corrupt chunk. Nobody is left alone for good: in a
-// small domain a few flipped bits would then leave nobody to ask.
+// FetchFailed records that a fetch failed. The peer is not asked again for a while: for a
+// short time if it was busy, with a doubling backoff if it was slow or unreachable, and
+// with a backoff that starts higher if it sent a corrupt chunk. No peer is excluded
+// permanently: in a small domain a few flipped bits would then leave no peer to ask.
 func (s *Swarm) FetchFailed(chunk int, from vm.ID, kind failure.Kind, now time.Time) {
 	s.endFetch(chunk, from)
-	// A lease goes back to the coordinator, which gives it out again.
+	// The lease returns to the coordinator, which grants it again.
 	delete(s.leased, chunk)
 	n := s.neighbours[from]
 	if n == nil {
@@ -255,14 +256,14 @@
 	n.backoffUntil = now.Add(n.backoff)
 }
 
-// endFetch takes one fetch of a chunk out of flight.
+// endFetch removes one fetch of a chunk from those in flight.
 func (s *Swarm) endFetch(chunk int, from vm.ID) {
-	flights := s.active[chunk]
-	for i, f := range flights {
+	fetches := s.active[chunk]
+	for i, f := range fetches {
 		if f.peer != from {
 			continue
 		}
-		s.active[chunk] = append(flights[:i:i], flights[i+1:]...)
+		s.active[chunk] = append(fetches[:i:i], fetches[i+1:]...)
 		s.inFlight--
 		if n := s.neighbours[from]; n != nil && n.outstanding > 0 {
 			n.outstanding--
@@ -281,8 +282,8 @@
 	return vm.NewIdentity(id, 0, "", "", "")
 }
 
-// DropStalled takes fetches out of flight that have taken too long, and returns
-// them to be cancelled.
+// DropStalled records fetches that have exceeded the stall timeout as failed and returns
+// them; the caller cancels them.
 func (s *Swarm) DropStalled(now time.Time) []Fetch {
 	var stalled []Fetch
 	for chunk := range s.config.Total {
@@ -297,5 +298,5 @@
 	return stalled
 }
 
-// InFlight returns how many fetches are on their way.
+// InFlight returns the number of fetches in flight.
 func (s *Swarm) InFlight() int { return s.inFlight }
--- a/pkg/spread/swarm_choice.go
+++ b/pkg/spread/swarm_choice.go
@@ -1,6 +1,6 @@
 // ================================================================
-// The choice of the next fetch: leases first, then any chunk that a neighbour
-// holds, then, at the end, a second try of what is slow.
+// The choice of the next fetch: leased chunks first, then chunks that a
+// neighbour holds, and last a second fetch of a chunk whose first one is slow.
 // ================================================================
 
 package spread
@@ -44,7 +44,7 @@
 	}
 }
 
-// chooseLeased returns the lowest leased chunk that is not on its way.
+// chooseLeased returns a fetch of the lowest leased chunk that is not in flight.
 func (s *Swarm) chooseLeased() (Fetch, bool) {
 	chunks := make([]int, 0, len(s.leased))
 	for chunk := range s.leased {
@@ -59,13 +59,13 @@
 	return Fetch{Chunk: chunks[0], Peer: s.leased[chunks[0]]}, true
 }
 
-// chooseFromNeighbour picks at random among the chunks that are missing, not on their
-// way, and held by a neighbour who may be asked.
+// chooseFromNeighbour chooses at random among the chunks that are missing, not in flight,
+// and held by a neighbour that may be asked.
 //
-// Rejected: the rarest chunk first. The agents of a domain see almost the same
-// neighbours, so all of them run to the same rare chunk and its one holder:
-// at 100 VMs the time was 1.22 of the fluid bound against 1.20, and 1.58
-// against 1.39 when holders take twice as many uploads.
+// The choice is random and not rarest first: the agents of a domain have almost the same
+// neighbours and would all ask the one holder of the same rare chunk. At 100 VMs, rarest
+// first took 1.22 times the lower bound of a fluid model instead of 1.20, and 1.58 times
+// instead of 1.39 if holders accept twice as many uploads.
 func (s *Swarm) chooseFromNeighbour(now time.Time) (Fetch, bool) {
 	best, ties := -1, 0
 	for chunk, available := range s.availability {
@@ -86,8 +86,8 @@
 	return Fetch{Chunk: best, Peer: s.bestHolder(best, now).identity}, true
 }
 
-// bestHolder returns the neighbour with the chunk that has the fewest of our
-// fetches, at random among equals; nil when all are busy or quiet.
+// bestHolder returns the holder of a chunk with the fewest outstanding fetches, at random
+// among equals; nil if no holder may be asked now.
 func (s *Swarm) bestHolder(chunk int, now time.Time) *neighbour {
 	var best *neighbour
 	ties := 0
@@ -113,17 +113,17 @@
 	return n.outstanding < s.config.FetchesPerPeer && !now.Before(n.backoffUntil)
 }
 
-// chooseHedge starts a second fetch of the chunk that has been on its way the
-// longest, if that is far longer than usual and somebody else has it.
+// chooseHedge returns a second fetch of the chunk whose only fetch has been in flight the
+// longest, if that is hedgeFactor times the mean duration and another neighbour holds it.
 func (s *Swarm) chooseHedge(now time.Time) (Fetch, bool) {
 	if s.meanDuration == 0 {
 		return Fetch{}, false
 	}
 	oldest, since := -1, now.Add(-hedgeFactor*s.meanDuration)
 	for chunk := range s.config.Total {
-		flights := s.active[chunk]
-		if len(flights) == 1 && flights[0].started.Before(since) && s.otherHolder(chunk, flights[0].peer, now) != nil {
-			oldest, since = chunk, flights[0].started
+		fetches := s.active[chunk]
+		if len(fetches) == 1 && fetches[0].started.Before(since) && s.otherHolder(chunk, fetches[0].peer, now) != nil {
+			oldest, since = chunk, fetches[0].started
 		}
 	}
 	if oldest < 0 {
@@ -132,10 +132,10 @@
 	return Fetch{Chunk: oldest, Peer: s.otherHolder(oldest, s.active[oldest][0].peer, now).identity}, true
 }
 
-func (s *Swarm) otherHolder(chunk int, not vm.ID, now time.Time) *neighbour {
+func (s *Swarm) otherHolder(chunk int, excluded vm.ID, now time.Time) *neighbour {
 	for _, id := range s.order {
 		n := s.neighbours[id]
-		if id != not && n.held.Has(chunk) && s.mayAsk(n, now) {
+		if id != excluded && n.held.Has(chunk) && s.mayAsk(n, now) {
 			return n
 		}
 	}
