--- a/cmd/tidepost-agent/main.go
+++ b/cmd/tidepost-agent/main.go
@@ -11,7 +11,7 @@
 
 func main() {
 	os.Exit(daemon.Main("tidepost-agent", settings.LoadAgent, func(s settings.Agent, signals <-chan os.Signal) error {
-		a, err := agent.New(s, agent.Seams{})
+		a, err := agent.New(s, agent.Hooks{})
 		if err != nil {
 			return err
 		}
--- a/cmd/tidepost-entry/main.go
+++ b/cmd/tidepost-entry/main.go
@@ -11,7 +11,7 @@
 
 func main() {
 	os.Exit(daemon.Main("tidepost-entry", settings.LoadEntry, func(s settings.Entry, signals <-chan os.Signal) error {
-		e, err := entry.New(s, entry.Seams{})
+		e, err := entry.New(s, entry.Hooks{})
 		if err != nil {
 			return err
 		}
--- a/pkg/agent/agent.go
+++ b/pkg/agent/agent.go
@@ -36,46 +36,46 @@
 const (
 	weightsFolder = "weights"
 	configFile    = "config"
-	// chunkBurst is what the pacing of chunks lets through at once, in bytes.
-	chunkBurst = 256 << 10
+	// chunkRateBurst is what the pacing of chunks lets through at once, in bytes.
+	chunkRateBurst = 256 << 10
 )
 
 // Agent is one agent process.
 type Agent struct {
-	settings settings.Agent
-	seams    Seams
-	process  *daemon.Process
-	folder   *disk.Folder
-	state    *configstate.State
-	store    *weights.Store
-	copies   *copyTable
-	loader   *loader
-	gate     *gate
-	services map[string]*engine.Engine
-	engine   *engine.Engine
-	download *rate.Limiter
-	upload   *rate.Limiter
-	uploads  chan struct{}
-	traffic  traffic
-	metrics  *metrics
-	// swept is the revision that leftover files were looked for at; only the
+	settings  settings.Agent
+	hooks     Hooks
+	process   *daemon.Process
+	folder    *disk.Folder
+	state     *configstate.State
+	store     *weights.Store
+	copies    *copyTable
+	loader    *loader
+	admission *admission
+	services  map[string]*engine.Engine
+	engine    *engine.Engine
+	download  *rate.Limiter
+	upload    *rate.Limiter
+	uploads   chan struct{}
+	traffic   traffic
+	metrics   *metrics
+	// sweptRevision is the revision that leftover files were looked for at; only the
 	// reconciler uses it.
-	swept uint64
+	sweptRevision uint64
 
-	changed chan struct{}
-	drain   *daemon.Drain
+	configChanged chan struct{}
+	drain         *daemon.Drain
 }
 
-// Seams are where a test replaces what lies outside of the process. The zero
+// Hooks are where a test replaces what lies outside of the process. The zero
 // value is the real outside.
-type Seams struct {
+type Hooks struct {
 	daemon.Seams
 	// Engine is the model engine; by the settings when nil.
 	Engine *engine.Engine
 	// Services are the plain services; by the settings when nil.
 	Services map[string]*engine.Engine
-	// Draw reads a chunk from a source.
-	Draw func(ctx context.Context, url string, a configstate.Assignment, chunk int) ([]byte, error)
+	// FetchFromSource reads a chunk from a source.
+	FetchFromSource func(ctx context.Context, url string, a configstate.Assignment, chunk int) ([]byte, error)
 	// SendAnswer sends one part of an answer to an entry.
 	SendAnswer func(send func(contract.ResponsePart) error, part contract.ResponsePart) error
 	// Faults leave safeguards out.
@@ -87,33 +87,33 @@
 type Faults struct {
 	// SkipVerify stores chunks whatever their digest.
 	SkipVerify bool
-	// DrainAtOnce leaves without waiting for what is in flight.
-	DrainAtOnce bool
-	// SkipQuiet gives orders right after a restart.
-	SkipQuiet bool
-	// TakeWhileDraining goes on taking requests.
-	TakeWhileDraining bool
+	// SkipDrainWait leaves without waiting for what is in flight.
+	SkipDrainWait bool
+	// SkipOrderWait gives orders right after a restart.
+	SkipOrderWait bool
+	// AdmitWhileDraining goes on taking requests.
+	AdmitWhileDraining bool
 }
 
 // New returns an agent that is not running yet.
-func New(s settings.Agent, seams Seams) (*Agent, error) {
-	if seams.SendAnswer == nil {
-		seams.SendAnswer = func(send func(contract.ResponsePart) error, part contract.ResponsePart) error { return send(part) }
+func New(s settings.Agent, hooks Hooks) (*Agent, error) {
+	if hooks.SendAnswer == nil {
+		hooks.SendAnswer = func(send func(contract.ResponsePart) error, part contract.ResponsePart) error { return send(part) }
 	}
-	if seams.Draw == nil {
-		seams.Draw = drawOverHTTP
+	if hooks.FetchFromSource == nil {
+		hooks.FetchFromSource = fetchFromSourceOverHTTP
 	}
 	folder, err := disk.NewFolder(s.Common().DataFolder())
 	if err != nil {
 		return nil, err
 	}
 	_, err = folder.Read(fenceFile)
-	fresh := os.IsNotExist(err)
+	newFolder := os.IsNotExist(err)
 	incarnation, err := controllog.LoadOrCreateIncarnation(folder)
 	if err != nil {
 		return nil, err
 	}
-	process, err := daemon.New(s.Common(), incarnation, seams.Seams)
+	process, err := daemon.New(s.Common(), incarnation, hooks.Seams)
 	if err != nil {
 		return nil, err
 	}
@@ -122,29 +122,29 @@
 		return nil, err
 	}
 	a := &Agent{
-		settings: s,
-		seams:    seams,
-		process:  process,
-		folder:   folder,
-		state:    configstate.NewState(),
-		store:    store,
-		copies:   newCopyTable(process.Recorder),
-		services: map[string]*engine.Engine{},
-		download: rate.NewLimiter(rate.Limit(s.ChunkRate()), chunkBurst),
-		upload:   rate.NewLimiter(rate.Limit(s.ChunkRate()), chunkBurst),
-		uploads:  make(chan struct{}, s.Uploads()),
-		metrics:  newMetrics(process.Registry),
-		changed:  make(chan struct{}, 1),
-		drain:    process.NewDrain(),
+		settings:      s,
+		hooks:         hooks,
+		process:       process,
+		folder:        folder,
+		state:         configstate.NewState(),
+		store:         store,
+		copies:        newCopyTable(process.Recorder),
+		services:      map[string]*engine.Engine{},
+		download:      rate.NewLimiter(rate.Limit(s.ChunkRate()), chunkRateBurst),
+		upload:        rate.NewLimiter(rate.Limit(s.ChunkRate()), chunkRateBurst),
+		uploads:       make(chan struct{}, s.Uploads()),
+		metrics:       newMetrics(process.Registry),
+		configChanged: make(chan struct{}, 1),
+		drain:         process.NewDrain(),
 	}
-	store.SkipVerify = seams.Faults.SkipVerify
-	a.gate = newGate(s.MaxInFlight())
-	a.gate.takeDraining = seams.Faults.TakeWhileDraining
+	store.SkipVerify = hooks.Faults.SkipVerify
+	a.admission = newAdmission(s.MaxInFlight())
+	a.admission.admitWhileDraining = hooks.Faults.AdmitWhileDraining
 	a.connectBackends()
-	a.loader = newLoader(a, fresh)
+	a.loader = newLoader(a, newFolder)
 	a.restoreConfig()
-	a.state.OnChange(func(contract.Delta) { a.onConfig() })
-	a.handleLinks()
+	a.state.OnChange(func(contract.Delta) { a.onConfigChange() })
+	a.registerHandlers()
 	return a, nil
 }
 
@@ -156,20 +156,20 @@
 	if a.settings.EngineURL() != "" {
 		a.engine = engine.NewHTTP(a.settings.EngineURL())
 	}
-	for name, service := range a.seams.Services {
+	for name, service := range a.hooks.Services {
 		a.services[name] = service
 	}
-	if a.seams.Engine != nil {
-		a.engine = a.seams.Engine
+	if a.hooks.Engine != nil {
+		a.engine = a.hooks.Engine
 	}
 }
 
-func (a *Agent) handleLinks() {
+func (a *Agent) registerHandlers() {
 	e := a.process.Endpoint
 	e.Handle(link.KindRequest, a.serveRequest)
 	e.Handle(link.KindChunk, a.serveChunk)
 	e.Handle(link.KindDrain, a.serveDrain)
-	e.HandleTopic(link.KindSubscribe, bus.TopicHave, a.serveHave)
+	e.HandleTopic(link.KindSubscribe, bus.TopicHave, a.serveAnnouncements)
 }
 
 // Run runs the agent until it is drained by a signal or an operator.
--- a/pkg/agent/chunks.go
+++ b/pkg/agent/chunks.go
@@ -20,10 +20,10 @@
 )
 
 const (
-	// partSize is how much of a chunk goes into one message.
-	partSize = 64 << 10
-	// haveEvery is the time between announcements to a neighbour.
-	haveEvery = 100 * time.Millisecond
+	// chunkPartSize is how much of a chunk goes into one message.
+	chunkPartSize = 64 << 10
+	// announceInterval is the time between announcements to a neighbour.
+	announceInterval = 100 * time.Millisecond
 )
 
 // traffic counts the bytes of chunks that came here.
@@ -76,8 +76,8 @@
 	if err != nil {
 		return err
 	}
-	for start := 0; start < len(data); start += partSize {
-		part := data[start:min(start+partSize, len(data))]
+	for start := 0; start < len(data); start += chunkPartSize {
+		part := data[start:min(start+chunkPartSize, len(data))]
 		if err := waitBytes(ctx, a.upload, int64(len(part))); err != nil {
 			return err
 		}
@@ -89,9 +89,9 @@
 	return s.End()
 }
 
-// serveHave tells a neighbour which chunks are here, first all and then what
+// serveAnnouncements tells a neighbour which chunks are here, first all and then what
 // comes, until the copy is whole or the neighbour goes.
-func (a *Agent) serveHave(ctx context.Context, s *link.Stream) error {
+func (a *Agent) serveAnnouncements(ctx context.Context, s *link.Stream) error {
 	var digest contract.Digest
 	if err := s.Receive(&digest); err != nil {
 		return err
@@ -100,19 +100,19 @@
 	if c == nil {
 		return failure.New(failure.NotReady, "no copy of %s here", digest.Short())
 	}
-	told := c.Held()
-	if err := s.Send(contract.NewHeldChunks(digest, told.Bytes(), nil)); err != nil {
+	announced := c.Held()
+	if err := s.Send(contract.NewHeldChunks(digest, announced.Bytes(), nil)); err != nil {
 		return err
 	}
-	ticker := time.NewTicker(haveEvery)
+	ticker := time.NewTicker(announceInterval)
 	defer ticker.Stop()
-	for !told.Full() {
+	for !announced.Full() {
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-ticker.C:
 		}
-		added := addedSince(&told, c.Held())
+		added := addNewChunks(&announced, c.Held())
 		if len(added) == 0 {
 			continue
 		}
@@ -121,15 +121,15 @@
 		}
 	}
 	// The neighbour keeps the stream open for as long as it wants chunks.
-	var nothing contract.Digest
-	_ = s.Receive(&nothing)
+	var ignored contract.Digest
+	_ = s.Receive(&ignored)
 	return nil
 }
 
-func addedSince(told *spread.Bitmap, held spread.Bitmap) []uint32 {
+func addNewChunks(announced *spread.Bitmap, held spread.Bitmap) []uint32 {
 	var added []uint32
 	for i := range held.Total() {
-		if held.Has(i) && told.Add(i) {
+		if held.Has(i) && announced.Add(i) {
 			added = append(added, uint32(i))
 		}
 	}
@@ -139,17 +139,17 @@
 // ----------------------------------------------------------------
 // From origin and store
 
-func drawOverHTTP(ctx context.Context, url string, a configstate.Assignment, chunk int) ([]byte, error) {
+func fetchFromSourceOverHTTP(ctx context.Context, url string, a configstate.Assignment, chunk int) ([]byte, error) {
 	return source.NewClient(url).Chunk(ctx, a.Model, a.Version, a.Manifest, chunk)
 }
 
-// drawChunk reads a chunk from the first source that gives it: the origin,
+// fetchFromSources reads a chunk from the first source that gives it: the origin,
 // and the weight store when the origin refuses.
-func (a *Agent) drawChunk(ctx context.Context, assignment configstate.Assignment, index int) ([]byte, error) {
+func (a *Agent) fetchFromSources(ctx context.Context, assignment configstate.Assignment, index int) ([]byte, error) {
 	err := error(failure.New(failure.SourceRefused, "no source is configured"))
 	for _, spec := range orderedSources(a.state.View().Sources()) {
 		var data []byte
-		data, err = a.seams.Draw(ctx, spec.URL(), assignment, index)
+		data, err = a.hooks.FetchFromSource(ctx, spec.URL(), assignment, index)
 		if err == nil {
 			return data, nil
 		}
--- a/pkg/agent/configuration.go
+++ b/pkg/agent/configuration.go
@@ -55,8 +55,8 @@
 	a.state.ApplyDelta(d)
 }
 
-// onConfig stores the configuration and wakes the reconciler.
-func (a *Agent) onConfig() {
+// onConfigChange stores the configuration and wakes the reconciler.
+func (a *Agent) onConfigChange() {
 	if d, ok := a.state.Since(0); ok {
 		if raw, err := msgpack.Marshal(d); err == nil {
 			if err := a.folder.Replace(configFile, raw); err != nil {
@@ -65,11 +65,11 @@
 		}
 	}
 	a.process.Recorder.Record(event.ConfigApplied, string(a.process.Identity.ID()), revisionText(a.state.Revision()))
-	a.wake()
+	a.wakeReconciler()
 }
 
-func (a *Agent) wake() {
-	daemon.Wake(a.changed)
+func (a *Agent) wakeReconciler() {
+	daemon.Wake(a.configChanged)
 }
 
 // labels returns the labels in force on this VM.
@@ -77,12 +77,12 @@
 	return a.state.View().LabelsOf(a.process.Identity.ID(), a.settings.Labels())
 }
 
-// reconcileEvery bounds how long a missed wake-up can go unnoticed.
-const reconcileEvery = time.Second
+// reconcileInterval bounds how long a missed wake-up can go unnoticed.
+const reconcileInterval = time.Second
 
 // reconcile starts and ends copies as the configuration says.
 func (a *Agent) reconcile(ctx context.Context) error {
-	ticker := time.NewTicker(reconcileEvery)
+	ticker := time.NewTicker(reconcileInterval)
 	defer ticker.Stop()
 	running := map[contract.Digest]context.CancelFunc{}
 	for {
@@ -90,7 +90,7 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-a.changed:
+		case <-a.configChanged:
 		case <-ticker.C:
 		}
 	}
@@ -105,18 +105,18 @@
 		}
 	}
 	for digest, assignment := range wanted {
-		a.copies.want(assignment)
+		a.copies.markWanted(assignment)
 		if running[digest] == nil {
 			copyContext, cancel := context.WithCancel(ctx)
 			running[digest] = cancel
-			go a.copyLoop(copyContext, assignment)
+			go a.copyWithRetries(copyContext, assignment)
 		}
 	}
 	for digest, cancel := range running {
 		if _, ok := wanted[digest]; !ok {
 			cancel()
 			delete(running, digest)
-			a.copies.unwant(digest)
+			a.copies.markUnwanted(digest)
 		}
 	}
 	a.loader.wake()
@@ -135,21 +135,21 @@
 		}
 		a.removeCopy(digest)
 	}
-	a.sweepLeftovers(view, wanted)
+	a.removeLeftovers(view, wanted)
 }
 
-// sweepLeftovers removes files of copies that no configuration names. What is
+// removeLeftovers removes files of copies that no configuration names. What is
 // left over changes with the configuration only, so the folder is read once a
 // revision and not once a second.
-func (a *Agent) sweepLeftovers(view *configstate.View, wanted map[contract.Digest]configstate.Assignment) {
-	if a.swept == view.Revision() {
+func (a *Agent) removeLeftovers(view *configstate.View, wanted map[contract.Digest]configstate.Assignment) {
+	if a.sweptRevision == view.Revision() {
 		return
 	}
 	leftovers, err := a.store.Leftovers()
 	if err != nil {
 		return
 	}
-	a.swept = view.Revision()
+	a.sweptRevision = view.Revision()
 	for _, digest := range leftovers {
 		_, inUse := wanted[digest]
 		if _, known := view.Manifest(digest); !known && !inUse {
@@ -163,7 +163,7 @@
 		_ = level.Error(a.process.Logger).Log("msg", "copy not removed", "digest", digest.Short(), "err", err)
 		return
 	}
-	a.copies.forget(digest)
+	a.copies.remove(digest)
 	a.process.Recorder.Record(event.CopyRemoved, digest.Short(), "no configuration names it")
 }
 
--- a/pkg/agent/copier.go
+++ b/pkg/agent/copier.go
@@ -22,63 +22,63 @@
 )
 
 const (
-	// reportEvery is the time between reports to the coordinator when nothing
+	// reportInterval is the time between reports to the coordinator when nothing
 	// has happened that it waits for.
-	reportEvery = time.Second
-	// doneReportEvery is the time between those of a whole copy, which others
+	reportInterval = time.Second
+	// doneReportInterval is the time between those of a whole copy, which others
 	// only need to find it.
-	doneReportEvery = 4 * time.Second
+	doneReportInterval = 4 * time.Second
 	// firstReports come sooner, so that a burst starts at once.
-	firstReportEvery = 100 * time.Millisecond
-	firstReports     = 10
-	// openRetry is the time before a copy is opened again after a disk error.
-	openRetry = 5 * time.Second
+	initialReportInterval = 100 * time.Millisecond
+	initialReports        = 10
+	// copyRetryDelay is the time before a copy is opened again after a disk error.
+	copyRetryDelay = 5 * time.Second
 	// fetchTimeout bounds one fetch of a chunk.
 	fetchTimeout = 60 * time.Second
-	// corruptPause follows a chunk of the origin that does not verify.
-	corruptPause = 500 * time.Millisecond
+	// corruptChunkDelay follows a chunk of the origin that does not verify.
+	corruptChunkDelay = 500 * time.Millisecond
 )
 
 // copier brings one copy to this VM.
 type copier struct {
-	agent      *Agent
-	assignment configstate.Assignment
-	copy       *weights.Copy
-	swarm      *spread.Swarm
-	events     chan func(now time.Time)
-	cancels    map[spread.Fetch]context.CancelFunc
-	listening  map[vm.ID]context.CancelFunc
-	drawn      []uint32
-	reporting  bool
+	agent          *Agent
+	assignment     configstate.Assignment
+	copy           *weights.Copy
+	swarm          *spread.Swarm
+	events         chan func(now time.Time)
+	cancels        map[spread.Fetch]context.CancelFunc
+	subscriptions  map[vm.ID]context.CancelFunc
+	endedLeases    []uint32
+	reportInFlight bool
 	// reportAgain asks for another report once the one under way is answered.
 	reportAgain bool
-	reports     int
+	reportsSent int
 }
 
-// copyLoop brings a copy here and goes on serving it to others, until the
+// copyWithRetries brings a copy here and goes on serving it to others, until the
 // context ends.
-func (a *Agent) copyLoop(ctx context.Context, assignment configstate.Assignment) {
+func (a *Agent) copyWithRetries(ctx context.Context, assignment configstate.Assignment) {
 	for ctx.Err() == nil {
-		err := a.copyOnce(ctx, assignment)
+		err := a.runCopier(ctx, assignment)
 		if err == nil || ctx.Err() != nil {
 			return
 		}
 		_ = level.Error(a.process.Logger).Log("msg", "copy failed; trying again", "digest", assignment.Digest.Short(), "err", err)
 		a.copies.setPhase(assignment.Digest, contract.PhaseFailed)
 		select {
-		case <-time.After(openRetry):
+		case <-time.After(copyRetryDelay):
 		case <-ctx.Done():
 		}
 	}
 }
 
-func (a *Agent) copyOnce(ctx context.Context, assignment configstate.Assignment) error {
+func (a *Agent) runCopier(ctx context.Context, assignment configstate.Assignment) error {
 	c, err := a.store.Open(assignment.Manifest)
 	if err != nil {
 		return err
 	}
 	held := c.Held()
-	a.copies.progress(assignment.Digest, held.Count())
+	a.copies.setVerifiedChunks(assignment.Digest, held.Count())
 	cp := &copier{
 		agent:      a,
 		assignment: assignment,
@@ -87,9 +87,9 @@
 			Total:  held.Total(),
 			Random: rand.New(rand.NewPCG(rand.Uint64(), a.process.Identity.Incarnation())),
 		}, held),
-		events:    make(chan func(time.Time), eventBuffer),
-		cancels:   map[spread.Fetch]context.CancelFunc{},
-		listening: map[vm.ID]context.CancelFunc{},
+		events:        make(chan func(time.Time), eventBuffer),
+		cancels:       map[spread.Fetch]context.CancelFunc{},
+		subscriptions: map[vm.ID]context.CancelFunc{},
 	}
 	return cp.run(ctx)
 }
@@ -107,12 +107,12 @@
 	defer timer.Stop()
 	for {
 		if c.swarm.Done() && !completed {
-			c.stopListening()
+			c.cancelSubscriptions()
 			if err := c.copy.Complete(); err != nil {
 				return err
 			}
 			completed = true
-			c.agent.copies.verified(c.assignment.Digest)
+			c.agent.copies.markVerified(c.assignment.Digest)
 			c.agent.loader.wake()
 			c.report(ctx)
 		}
@@ -122,17 +122,17 @@
 			return nil
 		case f := <-c.events:
 			f(time.Now())
-			c.drainEvents()
+			c.handlePendingEvents()
 		case <-timer.C:
 			c.onTimer(ctx)
-			timer.Reset(c.reportInterval())
+			timer.Reset(c.nextReportDelay())
 		}
 	}
 }
 
-// drainEvents takes what else waits, so that a burst of announcements makes
+// handlePendingEvents takes what else waits, so that a burst of announcements makes
 // one choice and not one each.
-func (c *copier) drainEvents() {
+func (c *copier) handlePendingEvents() {
 	for {
 		select {
 		case f := <-c.events:
@@ -143,14 +143,14 @@
 	}
 }
 
-func (c *copier) reportInterval() time.Duration {
+func (c *copier) nextReportDelay() time.Duration {
 	switch {
 	case c.swarm.Done():
-		return doneReportEvery
-	case c.reports < firstReports:
-		return firstReportEvery
+		return doneReportInterval
+	case c.reportsSent < initialReports:
+		return initialReportInterval
 	default:
-		return reportEvery
+		return reportInterval
 	}
 }
 
@@ -174,23 +174,23 @@
 
 // report tells the coordinator what is here and takes its plan.
 func (c *copier) report(ctx context.Context) {
-	if c.reporting {
+	if c.reportInFlight {
 		// What happened since it was sent must not wait for the next tick: a
 		// finished lease stands for the next one.
 		c.reportAgain = true
 		return
 	}
-	c.reporting = true
-	c.reports++
+	c.reportInFlight = true
+	c.reportsSent++
 	report := contract.NewSpreadReport(c.agent.process.Identity, c.assignment.Digest,
-		c.swarm.Held().Bytes(), c.drawn, !c.swarm.Done(), spread.NeighbourHash(c.swarm.Neighbours()))
-	c.drawn = nil
+		c.swarm.Held().Bytes(), c.endedLeases, !c.swarm.Done(), spread.NeighbourHash(c.swarm.Neighbours()))
+	c.endedLeases = nil
 	go func() {
-		plan, ok := c.agent.askCoordinator(ctx, report)
+		plan, ok := c.agent.sendReport(ctx, report)
 		c.post(ctx, func(time.Time) {
-			c.reporting = false
+			c.reportInFlight = false
 			if ok {
-				c.takePlan(ctx, plan)
+				c.applyPlan(ctx, plan)
 			}
 			if c.reportAgain {
 				c.reportAgain = false
@@ -203,9 +203,9 @@
 // reportTimeout bounds one report.
 const reportTimeout = 3 * time.Second
 
-// askCoordinator asks the entries in the order that all agents of the domain
+// sendReport asks the entries in the order that all agents of the domain
 // share for this digest; the first that answers is the coordinator.
-func (a *Agent) askCoordinator(ctx context.Context, r contract.SpreadReport) (contract.SpreadPlan, bool) {
+func (a *Agent) sendReport(ctx context.Context, r contract.SpreadReport) (contract.SpreadPlan, bool) {
 	for _, address := range a.rankedEntries(r.Digest().String()) {
 		callContext, cancel := context.WithTimeout(ctx, reportTimeout)
 		var plan contract.SpreadPlan
@@ -218,14 +218,14 @@
 	return contract.SpreadPlan{}, false
 }
 
-func (c *copier) takePlan(ctx context.Context, plan contract.SpreadPlan) {
+func (c *copier) applyPlan(ctx context.Context, plan contract.SpreadPlan) {
 	if c.swarm.Done() {
 		return
 	}
 	if !plan.Unchanged() {
 		c.swarm.SetNeighbours(plan.Peers())
 	}
-	c.listen(ctx, c.swarm.Neighbours())
+	c.updateSubscriptions(ctx, c.swarm.Neighbours())
 	for _, chunk := range plan.OriginChunks() {
 		c.swarm.Lease(int(chunk), vm.Identity{})
 	}
--- a/pkg/agent/copier_fetches.go
+++ b/pkg/agent/copier_fetches.go
@@ -44,49 +44,49 @@
 	if f.Peer.ID() == spread.Origin && failure.Is(err, failure.CorruptChunk) {
 		// The version changed at the origin, or a proxy before it is broken:
 		// asking again at once would only draw the same bytes again.
-		c.agent.pause(fetchContext, corruptPause)
+		c.agent.pause(fetchContext, corruptChunkDelay)
 	}
 	c.post(ctx, func(now time.Time) {
 		c.cancel(f)
 		if err != nil {
-			c.lost(f, err, now)
+			c.fetchFailed(f, err, now)
 			return
 		}
-		c.got(ctx, f, now, int64(len(data)))
+		c.fetchSucceeded(ctx, f, now, int64(len(data)))
 	})
 }
 
-func (c *copier) got(ctx context.Context, f spread.Fetch, now time.Time, size int64) {
+func (c *copier) fetchSucceeded(ctx context.Context, f spread.Fetch, now time.Time, size int64) {
 	for _, other := range c.swarm.FetchSucceeded(f.Chunk, f.Peer.ID(), now) {
 		c.cancel(other)
 	}
 	c.agent.traffic.add(f.Peer.ID() == spread.Origin, size)
-	c.agent.copies.progress(c.assignment.Digest, c.swarm.Count())
-	if c.leased(f) {
-		c.drawn = append(c.drawn, uint32(f.Chunk))
+	c.agent.copies.setVerifiedChunks(c.assignment.Digest, c.swarm.Count())
+	if c.underLease(f) {
+		c.endedLeases = append(c.endedLeases, uint32(f.Chunk))
 		c.report(ctx)
 	}
 }
 
-// leased tells whether a fetch was made under a lease of the coordinator, who
+// underLease tells whether a fetch was made under a lease of the coordinator, who
 // then hears of its end.
-func (c *copier) leased(f spread.Fetch) bool {
+func (c *copier) underLease(f spread.Fetch) bool {
 	return f.Peer.ID() == spread.Origin || f.Peer.Domain() != c.agent.process.Identity.Domain()
 }
 
-func (c *copier) lost(f spread.Fetch, err error, now time.Time) {
+func (c *copier) fetchFailed(f spread.Fetch, err error, now time.Time) {
 	kind := failure.Of(err).Kind()
 	c.swarm.FetchFailed(f.Chunk, f.Peer.ID(), kind, now)
-	if c.leased(f) {
-		c.drawn = append(c.drawn, uint32(f.Chunk))
+	if c.underLease(f) {
+		c.endedLeases = append(c.endedLeases, uint32(f.Chunk))
 	}
 	if kind == failure.CorruptChunk {
-		from := string(f.Peer.ID())
+		source := string(f.Peer.ID())
 		if f.Peer.ID() == spread.Origin {
-			from = "origin"
+			source = "origin"
 		}
 		c.agent.metrics.corruptChunks.Inc()
-		c.agent.process.Recorder.Record(event.ChunkRefused, c.assignment.Digest.Short(), from+": "+err.Error())
+		c.agent.process.Recorder.Record(event.ChunkRefused, c.assignment.Digest.Short(), source+": "+err.Error())
 	}
 }
 
@@ -97,7 +97,7 @@
 		return nil, err
 	}
 	if f.Peer.ID() == spread.Origin {
-		return a.drawChunk(ctx, assignment, f.Chunk)
+		return a.fetchFromSources(ctx, assignment, f.Chunk)
 	}
 	return a.fetchFromPeer(ctx, assignment.Digest, f, length)
 }
--- a/pkg/agent/copier_neighbours.go
+++ b/pkg/agent/copier_neighbours.go
@@ -15,35 +15,35 @@
 	"github.com/tidepost/tidepost/pkg/vm"
 )
 
-// listen keeps one stream of announcements open from each neighbour.
-func (c *copier) listen(ctx context.Context, neighbours []vm.Identity) {
+// updateSubscriptions keeps one stream of announcements open from each neighbour.
+func (c *copier) updateSubscriptions(ctx context.Context, neighbours []vm.Identity) {
 	wanted := map[vm.ID]bool{}
 	for _, n := range neighbours {
 		wanted[n.ID()] = true
-		if c.listening[n.ID()] != nil {
+		if c.subscriptions[n.ID()] != nil {
 			continue
 		}
 		listenContext, cancel := context.WithCancel(ctx)
-		c.listening[n.ID()] = cancel
-		go c.listenTo(listenContext, n)
+		c.subscriptions[n.ID()] = cancel
+		go c.receiveAnnouncements(listenContext, n)
 	}
-	for id, cancel := range c.listening {
+	for id, cancel := range c.subscriptions {
 		if !wanted[id] {
 			cancel()
-			delete(c.listening, id)
+			delete(c.subscriptions, id)
 		}
 	}
 }
 
-func (c *copier) stopListening() {
-	for id, cancel := range c.listening {
+func (c *copier) cancelSubscriptions() {
+	for id, cancel := range c.subscriptions {
 		cancel()
-		delete(c.listening, id)
+		delete(c.subscriptions, id)
 	}
 }
 
-func (c *copier) listenTo(ctx context.Context, n vm.Identity) {
-	defer c.post(ctx, func(time.Time) { delete(c.listening, n.ID()) })
+func (c *copier) receiveAnnouncements(ctx context.Context, n vm.Identity) {
+	defer c.post(ctx, func(time.Time) { delete(c.subscriptions, n.ID()) })
 	s, err := c.agent.process.Endpoint.Open(ctx, n.Address(), link.KindSubscribe, bus.TopicHave)
 	if err != nil {
 		return
--- a/pkg/agent/copy_table.go
+++ b/pkg/agent/copy_table.go
@@ -20,12 +20,12 @@
 
 // copyState is one copy in the table.
 type copyState struct {
-	assignment configstate.Assignment
-	wanted     bool
-	phase      contract.CopyPhase
-	chunks     int
-	total      int
-	pins       int
+	assignment     configstate.Assignment
+	wanted         bool
+	phase          contract.CopyPhase
+	verifiedChunks int
+	totalChunks    int
+	pins           int
 }
 
 // copyTable is safe for use by several goroutines.
@@ -40,21 +40,21 @@
 	return &copyTable{recorder: r, copies: map[contract.Digest]*copyState{}}
 }
 
-// want puts a copy into the table.
-func (t *copyTable) want(a configstate.Assignment) {
+// markWanted puts a copy into the table.
+func (t *copyTable) markWanted(a configstate.Assignment) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	c := t.copies[a.Digest]
 	if c == nil {
-		c = &copyState{phase: contract.PhaseFetching, total: len(a.Manifest.Chunks())}
+		c = &copyState{phase: contract.PhaseFetching, totalChunks: len(a.Manifest.Chunks())}
 		t.copies[a.Digest] = c
 		t.recorder.Record(event.CopyStarted, a.Digest.Short(), contract.ModelKey(a.Model, a.Version))
 	}
 	c.assignment, c.wanted = a, true
 }
 
-// unwant marks a copy that no selector gives this VM any more.
-func (t *copyTable) unwant(d contract.Digest) {
+// markUnwanted marks a copy that no selector gives this VM any more.
+func (t *copyTable) markUnwanted(d contract.Digest) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if c := t.copies[d]; c != nil {
@@ -62,8 +62,8 @@
 	}
 }
 
-// forget takes a copy out.
-func (t *copyTable) forget(d contract.Digest) {
+// remove takes a copy out.
+func (t *copyTable) remove(d contract.Digest) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.copies, d)
@@ -83,12 +83,12 @@
 	return digests
 }
 
-// progress notes how many chunks are verified.
-func (t *copyTable) progress(d contract.Digest, chunks int) {
+// setVerifiedChunks notes how many chunks are verified.
+func (t *copyTable) setVerifiedChunks(d contract.Digest, chunks int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if c := t.copies[d]; c != nil {
-		c.chunks = chunks
+		c.verifiedChunks = chunks
 	}
 }
 
@@ -105,14 +105,14 @@
 	return true
 }
 
-// verified notes that a copy is whole on disk. One that is loading or ready
+// markVerified notes that a copy is whole on disk. One that is loading or ready
 // stays so: it was whole all the time and only wanted again.
-func (t *copyTable) verified(d contract.Digest) {
+func (t *copyTable) markVerified(d contract.Digest) {
 	t.mu.Lock()
 	c := t.copies[d]
-	further := c == nil || c.phase == contract.PhaseLoading || c.phase == contract.PhaseReady
+	alreadyVerified := c == nil || c.phase == contract.PhaseLoading || c.phase == contract.PhaseReady
 	t.mu.Unlock()
-	if !further {
+	if !alreadyVerified {
 		t.setPhase(d, contract.PhaseVerified)
 	}
 }
@@ -173,7 +173,7 @@
 func (t *copyTable) report() []contract.Copy {
 	var copies []contract.Copy
 	for _, c := range t.snapshot() {
-		copies = append(copies, contract.NewCopy(c.assignment.Model, c.assignment.Digest, c.phase, uint32(c.chunks), uint32(c.total)))
+		copies = append(copies, contract.NewCopy(c.assignment.Model, c.assignment.Digest, c.phase, uint32(c.verifiedChunks), uint32(c.totalChunks)))
 	}
 	return copies
 }
--- a/pkg/agent/copy_table_test.go
+++ b/pkg/agent/copy_table_test.go
@@ -9,16 +9,16 @@
 	"github.com/tidepost/tidepost/pkg/event"
 )
 
-func TestCopyWantedAgainStaysInService(t *testing.T) {
+func TestCopyWantedAgainStaysReady(t *testing.T) {
 	table := newCopyTable(event.NewRecorder("agent", event.NewClock(time.Now), 16))
 	manifest := contract.ManifestOf([]byte("weights"), 4)
 	a := configstate.Assignment{Model: "menu", Digest: manifest.Digest(), Manifest: manifest, Role: contract.RoleServe}
-	table.want(a)
-	table.verified(a.Digest)
+	table.markWanted(a)
+	table.markVerified(a.Digest)
 	table.setPhase(a.Digest, contract.PhaseReady)
-	table.unwant(a.Digest)
-	table.want(a)
-	table.verified(a.Digest)
+	table.markUnwanted(a.Digest)
+	table.markWanted(a)
+	table.markVerified(a.Digest)
 	if !table.pin(a.Digest) {
 		t.Error("a copy that is loaded went out of service when it was wanted again")
 	}
--- a/pkg/agent/drain.go
+++ b/pkg/agent/drain.go
@@ -16,9 +16,9 @@
 	"github.com/tidepost/tidepost/pkg/link"
 )
 
-// lastWord is how long an idle agent stays, so that its last heartbeats and
+// finalHeartbeatPeriod is how long an idle agent stays, so that its last heartbeats and
 // refusals reach the entries.
-const lastWord = 500 * time.Millisecond
+const finalHeartbeatPeriod = 500 * time.Millisecond
 
 func (a *Agent) serveDrain(_ context.Context, s *link.Stream) error {
 	var d contract.Drain
@@ -26,11 +26,11 @@
 		return err
 	}
 	a.beginDrain(d.Reason())
-	inFlight, _ := a.gate.state()
-	return s.Send(contract.NewAcknowledgement(drainNote(inFlight)))
+	inFlight, _ := a.admission.state()
+	return s.Send(contract.NewAcknowledgement(drainStatus(inFlight)))
 }
 
-func drainNote(inFlight int) string {
+func drainStatus(inFlight int) string {
 	if inFlight == 0 {
 		return "draining; nothing in flight"
 	}
@@ -38,23 +38,23 @@
 }
 
 func (a *Agent) beginDrain(reason string) {
-	if first, _ := a.gate.close(reason); first {
+	if first, _ := a.admission.close(reason); first {
 		a.drain.Begin(reason)
 	}
 }
 
 // waitDrain returns once the agent may go.
 func (a *Agent) waitDrain(ctx context.Context, signals <-chan os.Signal) error {
-	if !a.drain.Await(ctx, signals, a.beginDrain) || a.seams.Faults.DrainAtOnce {
+	if !a.drain.Await(ctx, signals, a.beginDrain) || a.hooks.Faults.SkipDrainWait {
 		return nil
 	}
-	_, idle := a.gate.close("")
+	_, idle := a.admission.close("")
 	select {
 	case <-idle:
 	case <-time.After(a.settings.DrainLimit()):
 		_ = level.Warn(a.process.Logger).Log("msg", "drain.limit reached with requests in flight")
 	case <-ctx.Done():
 	}
-	time.Sleep(lastWord)
+	time.Sleep(finalHeartbeatPeriod)
 	return nil
 }
--- a/pkg/agent/gate.go
+++ b/pkg/agent/gate.go
@@ -18,120 +18,120 @@
 )
 
 const (
-	// rememberAfter is how long an attempt is remembered after its deadline:
+	// attemptRetention is how long an attempt is remembered after its deadline:
 	// more than clocks of two VMs may differ.
-	rememberAfter = time.Minute
-	// maxRemembered bounds the remembered attempts.
-	maxRemembered = 1 << 16
+	attemptRetention = time.Minute
+	// maxKnownAttempts bounds the remembered attempts.
+	maxKnownAttempts = 1 << 16
 )
 
-// gate admits requests; safe for use by several goroutines.
-type gate struct {
+// admission admits requests; safe for use by several goroutines.
+type admission struct {
 	limit int
-	// takeDraining is a seeded fault.
-	takeDraining bool
-
-	mu       sync.Mutex
-	inFlight int
-	draining string
-	known    map[string]bool
-	expiry   expiryHeap
-	idle     chan struct{}
-	shut     chan struct{}
+	// admitWhileDraining is a seeded fault.
+	admitWhileDraining bool
+
+	mu            sync.Mutex
+	inFlight      int
+	closeReason   string
+	knownAttempts map[string]bool
+	expiries      expiryHeap
+	idle          chan struct{}
+	closed        chan struct{}
 }
 
-func newGate(limit int) *gate {
-	return &gate{limit: limit, known: map[string]bool{}, idle: make(chan struct{}), shut: make(chan struct{})}
+func newAdmission(limit int) *admission {
+	return &admission{limit: limit, knownAttempts: map[string]bool{}, idle: make(chan struct{}), closed: make(chan struct{})}
 }
 
 // admit takes a request in, or says why not.
-func (g *gate) admit(r contract.Request, now time.Time) error {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.expire(now)
+func (a *admission) admit(r contract.Request, now time.Time) error {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.forgetExpired(now)
 	switch {
-	case g.draining != "" && !g.takeDraining:
-		return failure.New(failure.Draining, "this VM is leaving: %s", g.draining)
+	case a.closeReason != "" && !a.admitWhileDraining:
+		return failure.New(failure.Draining, "this VM is leaving: %s", a.closeReason)
 	case !now.Before(r.DeadlineTime()):
 		return failure.New(failure.DeadlineExceeded, "the deadline passed %s before execution", now.Sub(r.DeadlineTime()))
-	case g.known[r.Attempt()]:
+	case a.knownAttempts[r.Attempt()]:
 		return failure.New(failure.DuplicateAttempt, "attempt %q", r.Attempt()).WithRan(failure.RanUnknown)
-	case g.inFlight >= g.limit || len(g.known) >= maxRemembered:
-		return failure.New(failure.Overloaded, "%d requests in flight on this VM", g.inFlight)
+	case a.inFlight >= a.limit || len(a.knownAttempts) >= maxKnownAttempts:
+		return failure.New(failure.Overloaded, "%d requests in flight on this VM", a.inFlight)
 	}
-	g.known[r.Attempt()] = true
-	heap.Push(&g.expiry, expiry{attempt: r.Attempt(), at: r.DeadlineTime().Add(rememberAfter)})
-	g.inFlight++
+	a.knownAttempts[r.Attempt()] = true
+	heap.Push(&a.expiries, attemptExpiry{attempt: r.Attempt(), at: r.DeadlineTime().Add(attemptRetention)})
+	a.inFlight++
 	return nil
 }
 
-// leave ends an admitted request.
-func (g *gate) leave() {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.inFlight--
-	g.signalIdle()
+// release ends an admitted request.
+func (a *admission) release() {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.inFlight--
+	a.signalIdle()
 }
 
 // close lets nothing in any more; idle is closed once nothing is in flight.
-func (g *gate) close(reason string) (first bool, idle <-chan struct{}) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	first = g.draining == ""
+func (a *admission) close(reason string) (first bool, idle <-chan struct{}) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	first = a.closeReason == ""
 	if first {
-		g.draining = reason
-		close(g.shut)
-		g.signalIdle()
+		a.closeReason = reason
+		close(a.closed)
+		a.signalIdle()
 	}
-	return first, g.idle
+	return first, a.idle
 }
 
-// closing returns a channel that is closed when the gate is.
-func (g *gate) closing() <-chan struct{} { return g.shut }
+// done returns a channel that is closed when the gate is.
+func (a *admission) done() <-chan struct{} { return a.closed }
 
-func (g *gate) signalIdle() {
-	if g.draining == "" || g.inFlight > 0 {
+func (a *admission) signalIdle() {
+	if a.closeReason == "" || a.inFlight > 0 {
 		return
 	}
 	select {
-	case <-g.idle:
+	case <-a.idle:
 	default:
-		close(g.idle)
+		close(a.idle)
 	}
 }
 
 // state returns how many requests are in flight and why the gate is closed.
-func (g *gate) state() (inFlight int, draining string) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.inFlight, g.draining
+func (a *admission) state() (inFlight int, draining string) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.inFlight, a.closeReason
 }
 
-func (g *gate) expire(now time.Time) {
-	for len(g.expiry) > 0 && now.After(g.expiry[0].at) {
-		e := heap.Pop(&g.expiry).(expiry)
-		delete(g.known, e.attempt)
+func (a *admission) forgetExpired(now time.Time) {
+	for len(a.expiries) > 0 && now.After(a.expiries[0].at) {
+		e := heap.Pop(&a.expiries).(attemptExpiry)
+		delete(a.knownAttempts, e.attempt)
 	}
 }
 
 // ----------------------------------------------------------------
 // Expiry
 
-// expiry says when an attempt may be forgotten.
-type expiry struct {
+// attemptExpiry says when an attempt may be forgotten.
+type attemptExpiry struct {
 	attempt string
 	at      time.Time
 }
 
 // expiryHeap has the earliest first.
-type expiryHeap []expiry
+type expiryHeap []attemptExpiry
 
 func (h expiryHeap) Len() int           { return len(h) }
 func (h expiryHeap) Less(i, j int) bool { return h[i].at.Before(h[j].at) }
 func (h expiryHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
 
 // Push adds an element, for container/heap.
-func (h *expiryHeap) Push(x any) { *h = append(*h, x.(expiry)) }
+func (h *expiryHeap) Push(x any) { *h = append(*h, x.(attemptExpiry)) }
 
 // Pop removes the last element, for container/heap.
 func (h *expiryHeap) Pop() any {
--- a/pkg/agent/heartbeats.go
+++ b/pkg/agent/heartbeats.go
@@ -20,8 +20,8 @@
 	"github.com/tidepost/tidepost/pkg/link"
 )
 
-// now is the wall clock that requests are checked against.
-func now() time.Time { return time.Now() }
+// wallClock is the wall clock that requests are checked against.
+func wallClock() time.Time { return time.Now() }
 
 func revisionText(revision uint64) string { return "revision " + strconv.FormatUint(revision, 10) }
 
@@ -43,7 +43,7 @@
 	var sequence uint64
 	reachable := true
 	// Every entry is told at once when the agent begins to drain.
-	closing := a.gate.closing()
+	admissionClosed := a.admission.done()
 	for {
 		sequence++
 		err := a.sendHeartbeat(publisher, sequence)
@@ -55,8 +55,8 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-		case <-closing:
-			closing = nil
+		case <-admissionClosed:
+			admissionClosed = nil
 		}
 	}
 }
@@ -70,16 +70,16 @@
 }
 
 func (a *Agent) heartbeat(sequence uint64) contract.Heartbeat {
-	inFlight, draining := a.gate.state()
+	inFlight, draining := a.admission.state()
 	state, _ := a.loader.lastState()
 	load := contract.NewLoad(uint32(inFlight), uint32(state.Queued), state.CacheFree, state.TokensPerSecond,
 		uint32(a.settings.MaxInFlight()))
 	return contract.NewHeartbeat(a.process.Identity, sequence, a.state.Revision(), a.settings.Labels(),
-		a.copies.report(), a.serving(), load, draining != "", a.traffic.origin.Load(), a.traffic.peers.Load())
+		a.copies.report(), a.servedServices(), load, draining != "", a.traffic.origin.Load(), a.traffic.peers.Load())
 }
 
-// serving returns the plain services that the configuration lets this VM front.
-func (a *Agent) serving() []string {
+// servedServices returns the plain services that the configuration lets this VM front.
+func (a *Agent) servedServices() []string {
 	var names []string
 	for _, name := range a.state.View().ServicesOf(a.labels()) {
 		if a.services[name] != nil {
--- a/pkg/agent/loader.go
+++ b/pkg/agent/loader.go
@@ -30,45 +30,45 @@
 
 const (
 	fenceFile = "fence"
-	// orderDone and orderOpen are the two states of the marker.
-	orderDone = "done"
-	orderOpen = "open"
-	// pollEvery is the time between questions to the engine.
-	pollEvery   = 500 * time.Millisecond
-	pollTimeout = 2 * time.Second
+	// markerDone and orderOpen are the two states of the marker.
+	markerDone = "done"
+	markerOpen = "open"
+	// pollInterval is the time between questions to the engine.
+	pollInterval = 500 * time.Millisecond
+	pollTimeout  = 2 * time.Second
 )
 
 // loader orders copies into the engine.
 type loader struct {
-	agent *Agent
-	woken chan struct{}
-	quiet time.Time
-	fence uint64
+	agent       *Agent
+	wakeup      chan struct{}
+	nextOrderAt time.Time
+	fence       uint64
 
-	mu       sync.Mutex
-	state    engine.State
-	known    bool
-	failures int
+	mu          sync.Mutex
+	state       engine.State
+	reachable   bool
+	failedPolls int
 }
 
 // newLoader reads the marker; fresh says that the data folder is new.
-func newLoader(a *Agent, fresh bool) *loader {
-	l := &loader{agent: a, woken: make(chan struct{}, 1)}
-	interrupted := fresh
+func newLoader(a *Agent, newFolder bool) *loader {
+	l := &loader{agent: a, wakeup: make(chan struct{}, 1)}
+	interrupted := newFolder
 	if raw, err := a.folder.Read(fenceFile); err == nil {
 		var marker string
-		if _, err := fmt.Sscanf(string(raw), "%d %s", &l.fence, &marker); err != nil || marker == orderOpen {
+		if _, err := fmt.Sscanf(string(raw), "%d %s", &l.fence, &marker); err != nil || marker == markerOpen {
 			interrupted = true
 		}
 	}
-	if interrupted && !a.settings.EngineFences() && !a.seams.Faults.SkipQuiet {
-		l.quiet = time.Now().Add(a.settings.OrderLimit())
+	if interrupted && !a.settings.EngineFences() && !a.hooks.Faults.SkipOrderWait {
+		l.nextOrderAt = time.Now().Add(a.settings.OrderLimit())
 	}
 	return l
 }
 
 func (l *loader) wake() {
-	daemon.Wake(l.woken)
+	daemon.Wake(l.wakeup)
 }
 
 // run asks the engine and gives it orders until the context ends.
@@ -77,15 +77,15 @@
 		<-ctx.Done()
 		return nil
 	}
-	ticker := time.NewTicker(pollEvery)
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for {
 		l.poll(ctx)
-		l.orderNext(ctx)
+		l.sendNextOrder(ctx)
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-l.woken:
+		case <-l.wakeup:
 		case <-ticker.C:
 		}
 	}
@@ -98,21 +98,21 @@
 	defer cancel()
 	s, err := l.agent.engine.ReadState(pollContext)
 	if err != nil {
-		l.noteLost(err)
+		l.handlePollFailure(err)
 		return
 	}
-	l.take(s)
+	l.applyState(s)
 }
 
-// lostAfter is how many questions in a row an engine may leave unanswered.
-const lostAfter = 2
+// maxFailedPolls is how many questions in a row an engine may leave unanswered.
+const maxFailedPolls = 2
 
-func (l *loader) noteLost(err error) {
+func (l *loader) handlePollFailure(err error) {
 	l.mu.Lock()
-	l.failures++
-	lost := l.failures == lostAfter
+	l.failedPolls++
+	lost := l.failedPolls == maxFailedPolls
 	if lost {
-		l.known = false
+		l.reachable = false
 	}
 	l.mu.Unlock()
 	if !lost {
@@ -126,10 +126,10 @@
 	}
 }
 
-func (l *loader) take(s engine.State) {
+func (l *loader) applyState(s engine.State) {
 	l.mu.Lock()
-	restarted := l.known && l.state.Instance != s.Instance
-	l.state, l.known, l.failures = s, true, 0
+	restarted := l.reachable && l.state.Instance != s.Instance
+	l.state, l.reachable, l.failedPolls = s, true, 0
 	l.mu.Unlock()
 	if restarted {
 		l.agent.process.Recorder.Record(event.EngineLost, string(l.agent.process.Identity.ID()), "it was restarted")
@@ -145,15 +145,15 @@
 func (l *loader) lastState() (engine.State, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.state, l.known
+	return l.state, l.reachable
 }
 
 // ----------------------------------------------------------------
 // Orders
 
-// orderNext gives the one order that is most needed, if any.
-func (l *loader) orderNext(ctx context.Context) {
-	if _, known := l.lastState(); !known || time.Now().Before(l.quiet) {
+// sendNextOrder gives the one order that is most needed, if any.
+func (l *loader) sendNextOrder(ctx context.Context) {
+	if _, known := l.lastState(); !known || time.Now().Before(l.nextOrderAt) {
 		return
 	}
 	copies := l.agent.copies.snapshot()
@@ -193,7 +193,7 @@
 		return
 	}
 	l.agent.copies.setPhase(c.assignment.Digest, contract.PhaseLoading)
-	s, err := l.give(ctx, engine.Order{
+	s, err := l.sendOrder(ctx, engine.Order{
 		Action:    engine.ActionLoad,
 		Model:     c.assignment.Model,
 		Digest:    c.assignment.Digest.String(),
@@ -209,7 +209,7 @@
 }
 
 func (l *loader) unload(ctx context.Context, c copyState) {
-	_, _ = l.give(ctx, engine.Order{
+	_, _ = l.sendOrder(ctx, engine.Order{
 		Action: engine.ActionUnload,
 		Model:  c.assignment.Model,
 		Digest: c.assignment.Digest.String(),
@@ -217,41 +217,41 @@
 	l.wake()
 }
 
-// give writes the marker, gives the order and writes that it is done. If the
+// sendOrder writes the marker, gives the order and writes that it is done. If the
 // order's end is not known, the next one waits until it must be over.
-func (l *loader) give(ctx context.Context, o engine.Order) (engine.State, error) {
+func (l *loader) sendOrder(ctx context.Context, o engine.Order) (engine.State, error) {
 	state, _ := l.lastState()
 	l.fence = max(l.fence, state.Fence) + 1
 	o.Fence = l.fence
-	if err := l.mark(orderOpen); err != nil {
+	if err := l.writeMarker(markerOpen); err != nil {
 		return engine.State{}, err
 	}
 	orderContext, cancel := context.WithTimeout(ctx, l.agent.settings.OrderLimit())
 	defer cancel()
-	l.agent.process.Recorder.Record(event.OrderGiven, o.Digest[:min(len(o.Digest), shortDigest)],
+	l.agent.process.Recorder.Record(event.OrderGiven, o.Digest[:min(len(o.Digest), shortDigestLength)],
 		fmt.Sprintf("%s %s, fence %d", o.Action, o.Model, o.Fence))
 	s, err := l.agent.engine.SendOrder(orderContext, o)
 	if err != nil {
 		_ = level.Warn(l.agent.process.Logger).Log("msg", "order failed", "action", o.Action, "model", o.Model, "err", err)
 		if failure.Of(err).Ran() != failure.NotRun && !l.agent.settings.EngineFences() {
-			l.quiet = time.Now().Add(l.agent.settings.OrderLimit())
+			l.nextOrderAt = time.Now().Add(l.agent.settings.OrderLimit())
 			return engine.State{}, err
 		}
-		return engine.State{}, l.markDone(err)
+		return engine.State{}, l.writeDoneMarker(err)
 	}
-	l.take(s)
-	return s, l.markDone(nil)
+	l.applyState(s)
+	return s, l.writeDoneMarker(nil)
 }
 
-// shortDigest is how much of a digest the time line shows.
-const shortDigest = 12
+// shortDigestLength is how much of a digest the time line shows.
+const shortDigestLength = 12
 
-func (l *loader) mark(what string) error {
-	return l.agent.folder.Replace(fenceFile, []byte(fmt.Sprintf("%d %s\n", l.fence, what)))
+func (l *loader) writeMarker(marker string) error {
+	return l.agent.folder.Replace(fenceFile, []byte(fmt.Sprintf("%d %s\n", l.fence, marker)))
 }
 
-func (l *loader) markDone(err error) error {
-	if markErr := l.mark(orderDone); err == nil {
+func (l *loader) writeDoneMarker(err error) error {
+	if markErr := l.writeMarker(markerDone); err == nil {
 		return markErr
 	}
 	return err
--- a/pkg/agent/requests.go
+++ b/pkg/agent/requests.go
@@ -18,12 +18,12 @@
 )
 
 const (
-	// answerPart is how much of an answer goes into one message at most.
-	answerPart = 32 << 10
-	// streamEnd is the last event of a whole streamed answer.
-	streamEnd = "data: [DONE]"
-	// streamTail is how much of a stream is kept to look for its end.
-	streamTail = 64
+	// maxAnswerPart is how much of an answer goes into one message at most.
+	maxAnswerPart = 32 << 10
+	// streamEndEvent is the last event of a whole streamed answer.
+	streamEndEvent = "data: [DONE]"
+	// streamTailSize is how much of a stream is kept to look for its end.
+	streamTailSize = 64
 )
 
 func (a *Agent) serveRequest(ctx context.Context, s *link.Stream) error {
@@ -56,18 +56,18 @@
 // admit makes every check, and returns what the request goes to. Nothing has
 // been sent to a backend server when it fails.
 func (a *Agent) admit(r contract.Request) (*engine.Engine, func(), error) {
-	backend, pinned, err := a.pinBackend(r)
+	backend, pinned, err := a.findBackend(r)
 	if err != nil {
 		return nil, nil, err
 	}
-	if err := a.gate.admit(r, now()); err != nil {
+	if err := a.admission.admit(r, wallClock()); err != nil {
 		if pinned {
 			a.copies.unpin(r.Digest())
 		}
 		return nil, nil, err
 	}
 	release := func() {
-		a.gate.leave()
+		a.admission.release()
 		if pinned {
 			a.copies.unpin(r.Digest())
 		}
@@ -75,9 +75,9 @@
 	return backend, release, nil
 }
 
-// pinBackend finds the service, or the engine with the very digest that the
+// findBackend finds the service, or the engine with the very digest that the
 // request was pinned to.
-func (a *Agent) pinBackend(r contract.Request) (*engine.Engine, bool, error) {
+func (a *Agent) findBackend(r contract.Request) (*engine.Engine, bool, error) {
 	if r.Service() != "" {
 		backend := a.services[r.Service()]
 		if backend == nil {
@@ -101,7 +101,7 @@
 	if err := checkDigest(r, response.Header); err != nil {
 		return err
 	}
-	return a.forward(s, r, response)
+	return a.forwardAnswer(s, r, response)
 }
 
 // checkDigest refuses an answer of another version than was asked for.
@@ -109,29 +109,29 @@
 	if r.Model() == "" {
 		return nil
 	}
-	answered := h.Get(engine.DigestHeader)
-	return invariant.Check(answered == "" || answered == r.Digest().String(), "answer_of_other_version",
-		"%s asked of %s, answered by %s", r.Attempt(), r.Digest(), answered)
+	servedDigest := h.Get(engine.DigestHeader)
+	return invariant.Check(servedDigest == "" || servedDigest == r.Digest().String(), "answer_of_other_version",
+		"%s asked of %s, answered by %s", r.Attempt(), r.Digest(), servedDigest)
 }
 
-// forward sends the answer in numbered parts. The last one says that the
+// forwardAnswer sends the answer in numbered parts. The last one says that the
 // answer is whole, which for a stream takes its closing event as well.
-func (a *Agent) forward(s *link.Stream, r contract.Request, response *http.Response) error {
+func (a *Agent) forwardAnswer(s *link.Stream, r contract.Request, response *http.Response) error {
 	sequence := uint64(0)
 	send := func(status int, contentType string, body []byte, end bool) error {
 		part := contract.NewResponsePart(r.Attempt(), sequence, status, contentType, body, end, nil, r.Digest())
 		sequence++
-		return a.seams.SendAnswer(func(p contract.ResponsePart) error { return s.Send(p) }, part)
+		return a.hooks.SendAnswer(func(p contract.ResponsePart) error { return s.Send(p) }, part)
 	}
 	if err := send(response.StatusCode, response.Header.Get("Content-Type"), nil, false); err != nil {
 		return err
 	}
 	var tail []byte
-	buffer := make([]byte, answerPart)
+	buffer := make([]byte, maxAnswerPart)
 	for {
 		n, err := response.Body.Read(buffer)
 		if n > 0 {
-			tail = keepTail(tail, buffer[:n])
+			tail = appendTail(tail, buffer[:n])
 			if sendErr := send(0, "", buffer[:n], false); sendErr != nil {
 				return sendErr
 			}
@@ -144,13 +144,13 @@
 		}
 	}
 	streamed := r.Stream() && response.StatusCode == http.StatusOK
-	if streamed && !bytes.Contains(tail, []byte(streamEnd)) {
+	if streamed && !bytes.Contains(tail, []byte(streamEndEvent)) {
 		return failure.New(failure.BackendFailed, "the stream ended without its closing event").WithRan(failure.RanUnknown)
 	}
 	return send(0, "", nil, true)
 }
 
-func keepTail(tail, data []byte) []byte {
+func appendTail(tail, data []byte) []byte {
 	tail = append(tail, data...)
-	return append([]byte(nil), tail[max(0, len(tail)-streamTail):]...)
+	return append([]byte(nil), tail[max(0, len(tail)-streamTailSize):]...)
 }
--- a/pkg/entry/beats.go
+++ b/pkg/entry/beats.go
@@ -27,22 +27,22 @@
 )
 
 const (
-	// beatEvery is the time between beats to another entry.
-	beatEvery = time.Second
-	// entryTimeout is how old another entry's beat may be.
-	entryTimeout = 5 * time.Second
-	// watchEvery is the time between looks for silent agents.
-	watchEvery = 250 * time.Millisecond
-	// platformEvery is the time between reads of the platform's list.
-	platformEvery = 2 * time.Second
-	// maxPlatformList bounds the platform's list, in bytes.
-	maxPlatformList = 8 << 20
+	// entryHeartbeatInterval is the time between beats to another entry.
+	entryHeartbeatInterval = time.Second
+	// entryHeartbeatTTL is how old another entry's beat may be.
+	entryHeartbeatTTL = 5 * time.Second
+	// agentExpiryInterval is the time between looks for silent agents.
+	agentExpiryInterval = 250 * time.Millisecond
+	// platformPollInterval is the time between reads of the platform's list.
+	platformPollInterval = 2 * time.Second
+	// maxPlatformListBytes bounds the platform's list, in bytes.
+	maxPlatformListBytes = 8 << 20
 )
 
 // ----------------------------------------------------------------
 // Agents
 
-func (e *Entry) heardAgent(b contract.Heartbeat) {
+func (e *Entry) handleHeartbeat(b contract.Heartbeat) {
 	now := time.Now()
 	id := b.From().ID()
 	change := e.agents.RecordHeartbeat(b, now)
@@ -62,28 +62,28 @@
 	})
 }
 
-func (e *Entry) watchAgents(ctx context.Context) error {
-	return daemon.Every(ctx, watchEvery, func() {
+func (e *Entry) expireAgents(ctx context.Context) error {
+	return daemon.Every(ctx, agentExpiryInterval, func() {
 		for _, id := range e.agents.Expire(time.Now()) {
 			e.router.Remove(id)
 			e.process.Recorder.Record(event.AgentLost, string(id), "no heartbeat for "+e.settings.AgentTimeout().String())
 		}
 		e.metrics.agents.Set(float64(len(e.agents.Agents())))
-		e.admission.SetLimit(e.shareOfCapacity(time.Now()))
+		e.admission.SetLimit(e.admissionLimit(time.Now()))
 	})
 }
 
-// shareOfCapacity is this entry's part of what the failure domain's agents
+// admissionLimit is this entry's part of what the failure domain's agents
 // take at one time: all entries of the domain get about as many requests, since
 // the balancer knows no difference. What is over the part of one entry while
 // another is idle, the agents still refuse.
-func (e *Entry) shareOfCapacity(now time.Time) int {
+func (e *Entry) admissionLimit(now time.Time) int {
 	capacity := 0
 	for _, a := range e.agents.Usable(now) {
 		capacity += int(a.LastHeartbeat.Load().Limit())
 	}
 	entries := 1
-	for _, b := range e.entries.all(now) {
+	for _, b := range e.entries.live(now) {
 		if b.From().Domain() == e.process.Identity.Domain() && !b.Draining() {
 			entries++
 		}
@@ -92,68 +92,68 @@
 		// Nothing of this domain's own: what is admitted goes to others.
 		return e.settings.MaxInFlight()
 	}
-	return min(e.settings.MaxInFlight(), (capacity+entries-1)/entries*shareSlack)
+	return min(e.settings.MaxInFlight(), (capacity+entries-1)/entries*admissionLimitFactor)
 }
 
-// shareSlack lets an entry admit more than its even part, as balancers are not
+// admissionLimitFactor lets an entry admit more than its even part, as balancers are not
 // even: the agents' own limits are what protects the engines.
-const shareSlack = 2
+const admissionLimitFactor = 2
 
 // ----------------------------------------------------------------
 // Entries
 
 // entryTable holds the last beat of each other entry.
 type entryTable struct {
-	mu    sync.RWMutex
-	beats map[vm.ID]heardBeat
+	mu         sync.RWMutex
+	heartbeats map[vm.ID]receivedHeartbeat
 }
 
-// heardBeat is a beat and when it came.
-type heardBeat struct {
-	beat contract.EntryHeartbeat
-	at   time.Time
+// receivedHeartbeat is a beat and when it came.
+type receivedHeartbeat struct {
+	heartbeat  contract.EntryHeartbeat
+	receivedAt time.Time
 }
 
-func newEntryTable() *entryTable { return &entryTable{beats: map[vm.ID]heardBeat{}} }
+func newEntryTable() *entryTable { return &entryTable{heartbeats: map[vm.ID]receivedHeartbeat{}} }
 
-func (t *entryTable) heard(b contract.EntryHeartbeat, now time.Time) {
+func (t *entryTable) update(b contract.EntryHeartbeat, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.beats[b.From().ID()] = heardBeat{b, now}
+	t.heartbeats[b.From().ID()] = receivedHeartbeat{b, now}
 }
 
-// all returns the beats that are not too old, by name.
-func (t *entryTable) all(now time.Time) []contract.EntryHeartbeat {
+// live returns the beats that are not too old, by name.
+func (t *entryTable) live(now time.Time) []contract.EntryHeartbeat {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	var beats []contract.EntryHeartbeat
-	for _, h := range t.beats {
-		if now.Sub(h.at) <= entryTimeout {
-			beats = append(beats, h.beat)
+	for _, h := range t.heartbeats {
+		if now.Sub(h.receivedAt) <= entryHeartbeatTTL {
+			beats = append(beats, h.heartbeat)
 		}
 	}
 	sort.Slice(beats, func(i, j int) bool { return beats[i].From().ID() < beats[j].From().ID() })
 	return beats
 }
 
-func (e *Entry) heardEntry(b contract.EntryHeartbeat) { e.entries.heard(b, time.Now()) }
+func (e *Entry) handleEntryHeartbeat(b contract.EntryHeartbeat) { e.entries.update(b, time.Now()) }
 
-// sendBeats tells every other entry what this failure domain can serve.
-func (e *Entry) sendBeats(ctx context.Context) error {
+// sendHeartbeats tells every other entry what this failure domain can serve.
+func (e *Entry) sendHeartbeats(ctx context.Context) error {
 	for _, address := range e.settings.Entries() {
-		go e.sendBeatsTo(ctx, address)
+		go e.sendHeartbeatsTo(ctx, address)
 	}
 	<-ctx.Done()
 	return nil
 }
 
-func (e *Entry) sendBeatsTo(ctx context.Context, address string) {
+func (e *Entry) sendHeartbeatsTo(ctx context.Context, address string) {
 	publisher := link.NewPublisher(e.process.Endpoint, address)
 	defer publisher.Close()
-	ticker := time.NewTicker(beatEvery)
+	ticker := time.NewTicker(entryHeartbeatInterval)
 	defer ticker.Stop()
 	for {
-		if m, err := bus.Encode(e.beat()); err == nil {
+		if m, err := bus.Encode(e.heartbeat()); err == nil {
 			_ = publisher.Publish(bus.TopicEntryHeartbeat, m)
 		}
 		select {
@@ -164,7 +164,7 @@
 	}
 }
 
-func (e *Entry) beat() contract.EntryHeartbeat {
+func (e *Entry) heartbeat() contract.EntryHeartbeat {
 	digests := map[contract.Digest]bool{}
 	services := map[string]bool{}
 	inFlight, queued := uint32(0), uint32(0)
@@ -212,17 +212,17 @@
 	Leaving bool   `json:"leaving"`
 }
 
-// watchPlatform marks the VMs that the platform is about to take. A VM that
+// pollPlatform marks the VMs that the platform is about to take. A VM that
 // the list lacks is not dropped for it: the list lags, heartbeats do not.
-func (e *Entry) watchPlatform(ctx context.Context) error {
+func (e *Entry) pollPlatform(ctx context.Context) error {
 	if e.settings.PlatformURL() == "" {
 		<-ctx.Done()
 		return nil
 	}
-	ticker := time.NewTicker(platformEvery)
+	ticker := time.NewTicker(platformPollInterval)
 	defer ticker.Stop()
 	for {
-		if err := e.readPlatform(ctx); err != nil {
+		if err := e.readPlatformList(ctx); err != nil {
 			_ = level.Debug(e.process.Logger).Log("msg", "platform's list not read", "err", err)
 		}
 		select {
@@ -233,8 +233,8 @@
 	}
 }
 
-func (e *Entry) readPlatform(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, platformEvery)
+func (e *Entry) readPlatformList(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, platformPollInterval)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, e.settings.PlatformURL()+"/vms", nil)
 	if err != nil {
@@ -246,7 +246,7 @@
 	}
 	defer response.Body.Close()
 	var list []platformVM
-	if err := json.NewDecoder(io.LimitReader(response.Body, maxPlatformList)).Decode(&list); err != nil {
+	if err := json.NewDecoder(io.LimitReader(response.Body, maxPlatformListBytes)).Decode(&list); err != nil {
 		return err
 	}
 	for _, v := range list {
--- a/pkg/entry/callers.go
+++ b/pkg/entry/callers.go
@@ -37,11 +37,11 @@
 
 // The headers of callers.
 const (
-	HeaderOrganisation = "X-Tidepost-Organisation"
-	HeaderDeadline     = "X-Tidepost-Deadline"
-	HeaderKey          = "Idempotency-Key"
-	HeaderRepeatable   = "X-Tidepost-Repeatable"
-	HeaderPriority     = "X-Tidepost-Priority"
+	HeaderOrganisation   = "X-Tidepost-Organisation"
+	HeaderDeadline       = "X-Tidepost-Deadline"
+	HeaderIdempotencyKey = "Idempotency-Key"
+	HeaderRepeatable     = "X-Tidepost-Repeatable"
+	HeaderPriority       = "X-Tidepost-Priority"
 	// HeaderRan says in an answer whether the request ran.
 	HeaderRan = "X-Tidepost-Ran"
 )
@@ -69,21 +69,21 @@
 // Handler returns the callers' routes.
 func (e *Entry) Handler() http.Handler {
 	router := chi.NewRouter()
-	router.Use(e.tellDraining)
+	router.Use(e.closeConnectionsWhenDraining)
 	router.Get("/healthz", daemon.Healthy)
 	router.Get("/readyz", e.serveReady)
 	router.Post("/v1/chat/completions", e.serveChat)
 	router.HandleFunc("/services/{service}", e.serveService)
 	router.HandleFunc("/services/{service}/*", e.serveService)
 	router.NotFound(func(w http.ResponseWriter, r *http.Request) {
-		e.refuse(w, failure.New(failure.BadRequest, "no such path: %s", r.URL.Path))
+		e.writeError(w, failure.New(failure.BadRequest, "no such path: %s", r.URL.Path))
 	})
 	return router
 }
 
-// tellDraining has each answer of an entry that drains say that its connection closes: a
+// closeConnectionsWhenDraining has each answer of an entry that drains say that its connection closes: a
 // caller that kept it would send a request as the entry goes.
-func (e *Entry) tellDraining(next http.Handler) http.Handler {
+func (e *Entry) closeConnectionsWhenDraining(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if e.draining.Load() {
 			w.Header().Set("Connection", "close")
@@ -97,7 +97,7 @@
 	switch {
 	case e.draining.Load():
 		http.Error(w, "draining", http.StatusServiceUnavailable)
-	case e.mayServe() != nil:
+	case e.checkReady() != nil:
 		http.Error(w, "no confirmed configuration yet", http.StatusServiceUnavailable)
 	default:
 		_, _ = io.WriteString(w, "ready\n")
@@ -107,8 +107,8 @@
 // ----------------------------------------------------------------
 // What all requests have
 
-// caller is what the headers of a request say.
-type caller struct {
+// callHeaders is what the headers of a request say.
+type callHeaders struct {
 	organisation admission.Organisation
 	deadline     time.Time
 	key          string
@@ -116,9 +116,9 @@
 	priority     int
 }
 
-func (e *Entry) readCaller(r *http.Request, now time.Time) (caller, error) {
-	var c caller
-	if err := e.mayServe(); err != nil {
+func (e *Entry) readHeaders(r *http.Request, now time.Time) (callHeaders, error) {
+	var c callHeaders
+	if err := e.checkReady(); err != nil {
 		return c, err
 	}
 	name := r.Header.Get(HeaderOrganisation)
@@ -131,9 +131,9 @@
 	if c.deadline, err = e.readDeadline(r.Header.Get(HeaderDeadline), now); err != nil {
 		return c, err
 	}
-	c.key = r.Header.Get(HeaderKey)
+	c.key = r.Header.Get(HeaderIdempotencyKey)
 	if len(c.key) > maxKeyLength {
-		return c, failure.New(failure.TooLarge, "%s of %d bytes; the bound is %d", HeaderKey, len(c.key), maxKeyLength)
+		return c, failure.New(failure.TooLarge, "%s of %d bytes; the bound is %d", HeaderIdempotencyKey, len(c.key), maxKeyLength)
 	}
 	if text := r.Header.Get(HeaderRepeatable); text != "" {
 		repeatable, err := strconv.ParseBool(text)
@@ -157,11 +157,11 @@
 	}
 	deadline, err := time.Parse(time.RFC3339Nano, text)
 	if err != nil {
-		left, durationErr := time.ParseDuration(text)
+		remaining, durationErr := time.ParseDuration(text)
 		if durationErr != nil {
 			return time.Time{}, failure.New(failure.BadRequest, "%s %q is neither a duration nor an RFC 3339 time", HeaderDeadline, text)
 		}
-		deadline = now.Add(left)
+		deadline = now.Add(remaining)
 	}
 	if !deadline.After(now) {
 		return time.Time{}, failure.New(failure.DeadlineExceeded, "the deadline %s has passed", text)
@@ -187,9 +187,9 @@
 	return nil, failure.New(failure.BadRequest, "the body cannot be read: %v", err)
 }
 
-// nextAttempt returns an id that no other entry, and no other life of this
+// nextRequestID returns an id that no other entry, and no other life of this
 // one, gives out.
-func (e *Entry) nextAttempt() string {
+func (e *Entry) nextRequestID() string {
 	return fmt.Sprintf("%s/%d", e.process.Identity, e.requests.Add(1))
 }
 
@@ -209,12 +209,12 @@
 	RetryAfter float64 `json:"retry_after_seconds,omitempty"`
 }
 
-func errorOf(f *failure.Failure) errorBody {
+func newErrorBody(f *failure.Failure) errorBody {
 	return errorBody{errorDetail{string(f.Kind()), f.Message(), f.Remedy(), f.Ran().String(), f.RetryAfter().Seconds()}}
 }
 
-// refuse answers with a failure before anything else was written.
-func (e *Entry) refuse(w http.ResponseWriter, err error) {
+// writeError answers with a failure before anything else was written.
+func (e *Entry) writeError(w http.ResponseWriter, err error) {
 	f := failure.Of(err)
 	e.metrics.requests.WithLabelValues(string(f.Kind())).Inc()
 	e.process.Recorder.Record(event.RequestRefused, string(f.Kind()), f.Message())
@@ -224,13 +224,13 @@
 		w.Header().Set("Retry-After", strconv.Itoa(int(math.Ceil(f.RetryAfter().Seconds()))))
 	}
 	w.WriteHeader(f.Status())
-	_ = json.NewEncoder(w).Encode(errorOf(f))
+	_ = json.NewEncoder(w).Encode(newErrorBody(f))
 }
 
-// stream passes an answer to the caller as it comes.
-func (e *Entry) stream(w http.ResponseWriter) *sink {
+// newStreamSink passes an answer to the caller as it comes.
+func (e *Entry) newStreamSink(w http.ResponseWriter) *sink {
 	controller := http.NewResponseController(w)
-	return &sink{take: func(part contract.ResponsePart) error {
+	return &sink{write: func(part contract.ResponsePart) error {
 		if part.Status() != 0 {
 			w.Header().Set("Content-Type", part.ContentType())
 			w.Header().Set(HeaderRan, failure.RanYes.String())
@@ -255,14 +255,14 @@
 		return
 	}
 	if !out.started {
-		e.refuse(w, err)
+		e.writeError(w, err)
 		return
 	}
 	f := failure.Of(err)
 	e.metrics.requests.WithLabelValues(string(f.Kind())).Inc()
 	e.process.Recorder.Record(event.RequestEnded, string(f.Kind()), f.Message())
 	if streamed {
-		raw, _ := json.Marshal(errorOf(f))
+		raw, _ := json.Marshal(newErrorBody(f))
 		_, _ = fmt.Fprintf(w, "event: error\ndata: %s\n\n", raw)
 	}
 	panic(http.ErrAbortHandler)
--- a/pkg/entry/calls.go
+++ b/pkg/entry/calls.go
@@ -15,24 +15,24 @@
 
 // serveCall reads a call, has build make the work of it, and serves it if the
 // organisation is admitted.
-func (e *Entry) serveCall(w http.ResponseWriter, r *http.Request, build func(c caller, body []byte) (*work, error)) {
+func (e *Entry) serveCall(w http.ResponseWriter, r *http.Request, build func(c callHeaders, body []byte) (*pendingRequest, error)) {
 	now := time.Now()
-	c, work, err := e.readCall(w, r, now, build)
+	c, pending, err := e.readCall(w, r, now, build)
 	if err != nil {
-		e.refuse(w, err)
+		e.writeError(w, err)
 		return
 	}
 	ticket, err := e.admission.Admit(c.organisation, c.deadline, now)
 	if err != nil {
-		e.refuse(w, err)
+		e.writeError(w, err)
 		return
 	}
 	defer func() { ticket.Release(time.Now()) }()
-	e.serveWork(w, r, work, c)
+	e.servePending(w, r, pending, c)
 }
 
-func (e *Entry) readCall(w http.ResponseWriter, r *http.Request, now time.Time, build func(c caller, body []byte) (*work, error)) (caller, *work, error) {
-	c, err := e.readCaller(r, now)
+func (e *Entry) readCall(w http.ResponseWriter, r *http.Request, now time.Time, build func(c callHeaders, body []byte) (*pendingRequest, error)) (callHeaders, *pendingRequest, error) {
+	c, err := e.readHeaders(r, now)
 	if err != nil {
 		return c, nil, err
 	}
@@ -40,30 +40,30 @@
 	if err != nil {
 		return c, nil, err
 	}
-	work, err := build(c, body)
-	return c, work, err
+	pending, err := build(c, body)
+	return c, pending, err
 }
 
-// serveWork executes a request and answers its caller.
-func (e *Entry) serveWork(w http.ResponseWriter, r *http.Request, work *work, c caller) {
+// servePending executes a request and answers its caller.
+func (e *Entry) servePending(w http.ResponseWriter, r *http.Request, pending *pendingRequest, c callHeaders) {
 	// The deadline bounds everything from here, the claim's quorum included.
-	ctx, cancel := context.WithDeadline(r.Context(), work.request.DeadlineTime())
+	ctx, cancel := context.WithDeadline(r.Context(), pending.request.DeadlineTime())
 	defer cancel()
-	if c.key != "" && !work.request.Repeatable() {
-		e.serveClaimed(ctx, w, work, c.key)
+	if c.key != "" && !pending.request.Repeatable() {
+		e.serveClaimed(ctx, w, pending, c.key)
 		return
 	}
-	out := e.stream(w)
-	err := e.execute(ctx, work, out)
-	e.finish(w, out, work.request.Stream(), err)
+	out := e.newStreamSink(w)
+	err := e.execute(ctx, pending, out)
+	e.finish(w, out, pending.request.Stream(), err)
 }
 
 // serveClaimed answers a keyed request that may not be repeated. Its answer is
 // whole before it goes out, since the same bytes are stored for a resend.
-func (e *Entry) serveClaimed(ctx context.Context, w http.ResponseWriter, work *work, key string) {
-	outcome, err := e.executeClaimed(ctx, work, key)
+func (e *Entry) serveClaimed(ctx context.Context, w http.ResponseWriter, pending *pendingRequest, key string) {
+	outcome, err := e.executeClaimed(ctx, pending, key)
 	if err != nil {
-		e.refuse(w, err)
+		e.writeError(w, err)
 		return
 	}
 	e.metrics.requests.WithLabelValues("answered").Inc()
--- a/pkg/entry/catch_up.go
+++ b/pkg/entry/catch_up.go
@@ -23,36 +23,36 @@
 )
 
 const (
-	// catchUpPoll is the time between two rounds over the entries.
-	catchUpPoll = 100 * time.Millisecond
-	// catchUpAlone is how long a quorum is waited for.
-	catchUpAlone = 5 * time.Second
-	// catchUpCall bounds the question to one entry.
-	catchUpCall = time.Second
+	// catchUpInterval is the time between two rounds over the entries.
+	catchUpInterval = 100 * time.Millisecond
+	// quorumWaitTimeout is how long a quorum is waited for.
+	quorumWaitTimeout = 5 * time.Second
+	// revisionCallTimeout bounds the question to one entry.
+	revisionCallTimeout = time.Second
 )
 
 // catchUp returns once this entry may serve.
 func (e *Entry) catchUp(ctx context.Context) {
-	began := time.Now()
+	start := time.Now()
 	for ctx.Err() == nil {
-		target, confirmed, known := e.askRevision(ctx)
-		enough := confirmed || known && time.Since(began) > catchUpAlone
-		if enough && e.state.Revision() >= target {
+		target, confirmed, known := e.targetRevision(ctx)
+		sufficient := confirmed || known && time.Since(start) > quorumWaitTimeout
+		if sufficient && e.state.Revision() >= target {
 			e.caughtUp.Store(true)
 			_ = level.Info(e.process.Logger).Log("msg", "caught up", "revision", e.state.Revision(), "confirmed", confirmed)
 			return
 		}
-		if !sleep(ctx, catchUpPoll) {
+		if !sleep(ctx, catchUpInterval) {
 			return
 		}
 	}
 }
 
-// askRevision returns the revision to reach: what a quorum confirms, or else
+// targetRevision returns the revision to reach: what a quorum confirms, or else
 // the highest that anyone in reach has.
-func (e *Entry) askRevision(ctx context.Context) (revision uint64, confirmed, known bool) {
+func (e *Entry) targetRevision(ctx context.Context) (revision uint64, confirmed, known bool) {
 	if e.runner != nil {
-		readContext, cancel := context.WithTimeout(ctx, catchUpCall)
+		readContext, cancel := context.WithTimeout(ctx, revisionCallTimeout)
 		defer cancel()
 		if e.runner.ConfirmedRead(readContext) == nil {
 			return e.state.Revision(), true, true
@@ -60,10 +60,10 @@
 		revision, known = e.state.Revision(), e.state.Revision() > 0
 	}
 	for _, address := range e.settings.Entries() {
-		for _, ask := range []bool{true, false} {
+		for _, requireConfirmed := range []bool{true, false} {
 			var q contract.QueryResult
-			callContext, cancel := context.WithTimeout(ctx, catchUpCall)
-			query := contract.NewQuery(contract.KindSource, "-", ask)
+			callContext, cancel := context.WithTimeout(ctx, revisionCallTimeout)
+			query := contract.NewQuery(contract.KindSource, "-", requireConfirmed)
 			err := e.process.Endpoint.Call(callContext, address, link.KindQuery, query, &q)
 			cancel()
 			if err != nil {
@@ -78,8 +78,8 @@
 	return revision, false, known
 }
 
-// mayServe refuses callers until the entry has caught up.
-func (e *Entry) mayServe() error {
+// checkReady refuses callers until the entry has caught up.
+func (e *Entry) checkReady() error {
 	if e.caughtUp.Load() && e.state.Revision() > 0 {
 		return nil
 	}
--- a/pkg/entry/chat.go
+++ b/pkg/entry/chat.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	chatPath = "/v1/chat/completions"
-	jsonType = "application/json"
+	chatPath        = "/v1/chat/completions"
+	contentTypeJSON = "application/json"
 	// prefixBytes is how much of a prompt is hashed to find replicas that
 	// have its beginning in their cache.
 	prefixBytes = 1024
@@ -35,19 +35,19 @@
 }
 
 func (e *Entry) serveChat(w http.ResponseWriter, r *http.Request) {
-	e.serveCall(w, r, func(c caller, raw []byte) (*work, error) {
-		body, err := e.readChat(raw)
+	e.serveCall(w, r, func(c callHeaders, raw []byte) (*pendingRequest, error) {
+		body, err := e.parseChat(raw)
 		if err != nil {
 			return nil, err
 		}
 		repeatable := c.repeatable == nil || *c.repeatable
-		request := contract.NewRequest(e.nextAttempt(), c.organisation.Name, body.Model, contract.Digest{}, "",
-			http.MethodPost, chatPath, jsonType, raw, c.deadline.UnixNano(), body.Stream, repeatable, c.priority)
-		return &work{request: request, prefix: prefixOf(body)}, nil
+		request := contract.NewRequest(e.nextRequestID(), c.organisation.Name, body.Model, contract.Digest{}, "",
+			http.MethodPost, chatPath, contentTypeJSON, raw, c.deadline.UnixNano(), body.Stream, repeatable, c.priority)
+		return &pendingRequest{request: request, prefix: prefixHash(body)}, nil
 	})
 }
 
-func (e *Entry) readChat(raw []byte) (chatBody, error) {
+func (e *Entry) parseChat(raw []byte) (chatBody, error) {
 	var body chatBody
 	if err := json.Unmarshal(raw, &body); err != nil {
 		return body, failure.New(failure.BadRequest, "the body is not a chat request: %v", err)
@@ -58,20 +58,20 @@
 	return body, nil
 }
 
-// prefixOf hashes the beginning of the conversation.
-func prefixOf(body chatBody) string {
+// prefixHash hashes the beginning of the conversation.
+func prefixHash(body chatBody) string {
 	h := xxhash.New()
-	left := prefixBytes
+	remaining := prefixBytes
 	for _, m := range body.Messages {
-		content := m.Content[:min(len(m.Content), left)]
+		content := m.Content[:min(len(m.Content), remaining)]
 		_, _ = h.WriteString(m.Role)
 		_, _ = h.Write(content)
-		left -= len(content)
-		if left == 0 {
+		remaining -= len(content)
+		if remaining == 0 {
 			break
 		}
 	}
-	if left == prefixBytes {
+	if remaining == prefixBytes {
 		return ""
 	}
 	return strconv.FormatUint(h.Sum64(), 16)
--- a/pkg/entry/claims.go
+++ b/pkg/entry/claims.go
@@ -26,29 +26,29 @@
 
 // executeClaimed runs a keyed request once over all entries. It returns the
 // answer as stored, also to a resend.
-func (e *Entry) executeClaimed(ctx context.Context, w *work, key string) (contract.Outcome, error) {
-	r := w.request
-	if e.seams.Faults.SkipClaim {
-		return e.runClaimed(ctx, w, key)
+func (e *Entry) executeClaimed(ctx context.Context, p *pendingRequest, key string) (contract.Outcome, error) {
+	r := p.request
+	if e.hooks.Faults.SkipClaim {
+		return e.runClaimed(ctx, p, key)
 	}
 	claim := contract.NewClaim(r.Organisation(), key, r.Attempt(), contract.DigestOf(append([]byte(r.Method()+" "+r.Path()+"\n"), r.Body()...)), r.Deadline())
-	var granted contract.ClaimResult
-	if err := e.proposals.propose(ctx, agreed.CommandClaim, claim, &granted); err != nil {
+	var result contract.ClaimResult
+	if err := e.proposals.propose(ctx, agreed.CommandClaim, claim, &result); err != nil {
 		// This call sent nothing to an agent, whatever became of the claim. What
 		// an earlier call with the key did, nobody here can tell.
 		f := failure.Of(err)
 		return contract.Outcome{}, failure.New(f.Kind(),
 			"no claim for key %q: %s; this call did not run, whether an earlier one with the key did is not known here", key, f.Message())
 	}
-	if granted.Refusal() != nil {
-		return contract.Outcome{}, granted.Refusal()
+	if result.Refusal() != nil {
+		return contract.Outcome{}, result.Refusal()
 	}
-	switch granted.State() {
+	switch result.State() {
 	case contract.ClaimGranted:
 		e.process.Recorder.Record(event.ClaimTaken, r.Attempt(), r.Organisation()+" "+key)
-		return e.runClaimed(ctx, w, key)
+		return e.runClaimed(ctx, p, key)
 	case contract.ClaimDone:
-		return storedOutcome(granted.Outcome(), key)
+		return storedOutcome(result.Outcome(), key)
 	default:
 		return contract.Outcome{}, failure.New(failure.ClaimedElsewhere, "key %q", key).WithRan(failure.RanUnknown)
 	}
@@ -66,13 +66,13 @@
 }
 
 // runClaimed sends a claimed request and stores what came of it.
-func (e *Entry) runClaimed(ctx context.Context, w *work, key string) (contract.Outcome, error) {
+func (e *Entry) runClaimed(ctx context.Context, p *pendingRequest, key string) (contract.Outcome, error) {
 	c := collector{}
-	err := e.execute(ctx, w, c.sink())
+	err := e.execute(ctx, p, c.sink())
 	f := failure.Of(err)
 	ran := err == nil || f.Ran() != failure.NotRun
 	outcome := c.outcome(err == nil)
-	e.settle(ctx, contract.NewSettle(w.request.Organisation(), key, w.request.Attempt(), ran, outcome.Stored()))
+	e.settle(ctx, contract.NewSettle(p.request.Organisation(), key, p.request.Attempt(), ran, outcome.Stored()))
 	if err != nil {
 		return outcome, f
 	}
@@ -87,7 +87,7 @@
 	var settled bool
 	err := e.proposals.propose(ctx, agreed.CommandSettle, s, &settled)
 	if err != nil || !settled {
-		e.metrics.unsettled.Inc()
+		e.metrics.unsettledClaims.Inc()
 		return
 	}
 	e.process.Recorder.Record(event.ClaimSettled, s.Attempt(), s.Organisation()+" "+s.Key())
@@ -104,7 +104,7 @@
 }
 
 func (c *collector) sink() *sink {
-	return &sink{take: func(part contract.ResponsePart) error {
+	return &sink{write: func(part contract.ResponsePart) error {
 		if part.Status() != 0 {
 			c.status, c.contentType = part.Status(), part.ContentType()
 		}
--- a/pkg/entry/control.go
+++ b/pkg/entry/control.go
@@ -23,13 +23,13 @@
 const operatorTimeout = 5 * time.Second
 
 func (e *Entry) openControlLog(folder *disk.Folder) error {
-	e.machine = agreed.NewMachine(e.state)
+	e.stateMachine = agreed.NewMachine(e.state)
 	self := controllog.NewMember(e.process.Identity.ID(), e.process.Identity.Incarnation(), e.process.Identity.Address(), false, "")
 	runner, err := controllog.NewRunner(controllog.RunnerConfig{
 		Self:    self,
 		Folder:  folder,
-		Machine: e.machine.StateMachine(),
-		Send:    e.sendToMember,
+		Machine: e.stateMachine.StateMachine(),
+		Send:    e.sendControlLogMessage,
 		Record:  e.process.Recorder.Record,
 		Logger:  e.process.Logger,
 		Seed:    e.process.Identity.Incarnation(),
@@ -49,23 +49,23 @@
 	return nil
 }
 
-// leaderPoll is the time between looks at who leads.
-const leaderPoll = 500 * time.Millisecond
+// leaderPollInterval is the time between looks at who leads.
+const leaderPollInterval = 500 * time.Millisecond
 
 // watchLeader notes that a leader is known, for the mark "confirmed" of what
 // followers get.
 func (e *Entry) watchLeader(ctx context.Context) {
-	_ = daemon.Every(ctx, leaderPoll, func() {
+	_ = daemon.Every(ctx, leaderPollInterval, func() {
 		s := e.runner.State()
 		if s.Leader.ID() != "" {
-			e.heardQuorum.Store(time.Now().UnixNano())
+			e.leaderSeenAt.Store(time.Now().UnixNano())
 		}
 		e.metrics.term.Set(float64(s.Term))
-		e.metrics.leads.Set(boolValue(s.Role == controllog.Leader))
+		e.metrics.isLeader.Set(gaugeValue(s.Role == controllog.Leader))
 	})
 }
 
-func boolValue(b bool) float64 {
+func gaugeValue(b bool) float64 {
 	if b {
 		return 1
 	}
@@ -75,7 +75,7 @@
 // ----------------------------------------------------------------
 // Messages
 
-func (e *Entry) sendToMember(to controllog.MemberID, address string, m controllog.Message) {
+func (e *Entry) sendControlLogMessage(to controllog.MemberID, address string, m controllog.Message) {
 	e.peers.Send(string(to.VM()), address, m)
 }
 
@@ -113,8 +113,8 @@
 	if e.runner == nil {
 		return failure.New(failure.NotLeader, "this entry keeps no control log")
 	}
-	do := voterActions[c.Action()]
-	if do == nil {
+	applyChange := voterActions[c.Action()]
+	if applyChange == nil {
 		return failure.New(failure.BadRequest, "voter action %q", c.Action())
 	}
 	if c.Action() != contract.VoterBootstrap {
@@ -122,7 +122,7 @@
 			return err
 		}
 	}
-	if err := do(e, ctx, c); err != nil {
+	if err := applyChange(e, ctx, c); err != nil {
 		return err
 	}
 	return s.Send(contract.NewAcknowledgement(string(c.Action()) + " accepted"))
--- a/pkg/entry/drain.go
+++ b/pkg/entry/drain.go
@@ -15,8 +15,8 @@
 	"github.com/tidepost/tidepost/pkg/link"
 )
 
-// idlePoll is the time between looks at what is still in flight.
-const idlePoll = 20 * time.Millisecond
+// drainPollInterval is the time between looks at what is still in flight.
+const drainPollInterval = 20 * time.Millisecond
 
 // serveDrain drains this entry, or passes the word on to an agent.
 func (e *Entry) serveDrain(ctx context.Context, s *link.Stream) error {
@@ -51,12 +51,12 @@
 
 // waitDrain returns once the entry may go.
 func (e *Entry) waitDrain(ctx context.Context, signals <-chan os.Signal) error {
-	if !e.drain.Await(ctx, signals, e.beginDrain) || e.seams.Faults.DrainAtOnce || !sleep(ctx, e.settings.DrainNotice()) {
+	if !e.drain.Await(ctx, signals, e.beginDrain) || e.hooks.Faults.SkipDrainWait || !sleep(ctx, e.settings.DrainNotice()) {
 		return nil
 	}
-	limit := time.Now().Add(e.settings.DrainLimit())
-	for e.inFlight.Load() > 0 && time.Now().Before(limit) {
-		if !sleep(ctx, idlePoll) {
+	deadline := time.Now().Add(e.settings.DrainLimit())
+	for e.inFlight.Load() > 0 && time.Now().Before(deadline) {
+		if !sleep(ctx, drainPollInterval) {
 			return nil
 		}
 	}
--- a/pkg/entry/entry.go
+++ b/pkg/entry/entry.go
@@ -35,35 +35,35 @@
 
 // Entry is one entry process.
 type Entry struct {
-	settings    settings.Entry
-	seams       Seams
-	folder      *disk.Folder // nil unless this entry is a voter
-	process     *daemon.Process
-	state       *configstate.State
-	machine     *agreed.Machine
-	runner      *controllog.Runner // nil unless this entry is a voter
-	peers       *link.Messenger[controllog.Message]
-	proposals   *proposer
-	agents      *membership.View
-	entries     *entryTable
-	router      *route.Router
-	budget      *route.Budget
-	admission   *admission.Controller
-	spread      *coordinators
-	distributor *configstate.Distributor
-	metrics     *metrics
-
-	draining    atomic.Bool
-	caughtUp    atomic.Bool
-	drain       *daemon.Drain
-	heardQuorum atomic.Int64
-	requests    atomic.Uint64
-	inFlight    atomic.Int64
+	settings     settings.Entry
+	hooks        Hooks
+	folder       *disk.Folder // nil unless this entry is a voter
+	process      *daemon.Process
+	state        *configstate.State
+	stateMachine *agreed.Machine
+	runner       *controllog.Runner // nil unless this entry is a voter
+	peers        *link.Messenger[controllog.Message]
+	proposals    *proposer
+	agents       *membership.View
+	entries      *entryTable
+	router       *route.Router
+	budget       *route.Budget
+	admission    *admission.Controller
+	coordinators *coordinators
+	distributor  *configstate.Distributor
+	metrics      *metrics
+
+	draining     atomic.Bool
+	caughtUp     atomic.Bool
+	drain        *daemon.Drain
+	leaderSeenAt atomic.Int64
+	requests     atomic.Uint64
+	inFlight     atomic.Int64
 }
 
-// Seams are where a test replaces what lies outside of the process. The zero
+// Hooks are where a test replaces what lies outside of the process. The zero
 // value is the real outside.
-type Seams struct {
+type Hooks struct {
 	daemon.Seams
 	// Manifest resolves a version name at a source.
 	Manifest func(ctx context.Context, url string, name contract.ModelName) (contract.Manifest, error)
@@ -78,27 +78,27 @@
 type Faults struct {
 	// SkipClaim runs a keyed request without a claim.
 	SkipClaim bool
-	// RetryAnything tries again whatever may have run.
-	RetryAnything bool
+	// RetryAlways tries again whatever may have run.
+	RetryAlways bool
 	// SkipAnswerCheck passes on any part of an answer.
 	SkipAnswerCheck bool
-	// SayNotRun calls every failure "not run".
-	SayNotRun bool
-	// DrainAtOnce leaves without waiting for what is in flight.
-	DrainAtOnce bool
+	// ReportNotRun calls every failure "not run".
+	ReportNotRun bool
+	// SkipDrainWait leaves without waiting for what is in flight.
+	SkipDrainWait bool
 	// Config leaves safeguards of the configuration out.
 	Config configstate.Faults
-	// IgnoreLeaving goes on sending to agents that are leaving.
-	IgnoreLeaving bool
+	// SendToLeavingAgents goes on sending to agents that are leaving.
+	SendToLeavingAgents bool
 }
 
 // New returns an entry that is not running yet.
-func New(s settings.Entry, seams Seams) (*Entry, error) {
-	if seams.Manifest == nil {
-		seams.Manifest = manifestOverHTTP
+func New(s settings.Entry, hooks Hooks) (*Entry, error) {
+	if hooks.Manifest == nil {
+		hooks.Manifest = fetchManifest
 	}
-	if seams.BeforeSend == nil {
-		seams.BeforeSend = func(string) {}
+	if hooks.BeforeSend == nil {
+		hooks.BeforeSend = func(string) {}
 	}
 	incarnation := vm.NewIncarnation()
 	var folder *disk.Folder
@@ -111,13 +111,13 @@
 			return nil, err
 		}
 	}
-	process, err := daemon.New(s.Common(), incarnation, seams.Seams)
+	process, err := daemon.New(s.Common(), incarnation, hooks.Seams)
 	if err != nil {
 		return nil, err
 	}
 	e := &Entry{
 		settings:  s,
-		seams:     seams,
+		hooks:     hooks,
 		folder:    folder,
 		process:   process,
 		state:     configstate.NewState(),
@@ -129,10 +129,10 @@
 		metrics:   newMetrics(process.Registry),
 		drain:     process.NewDrain(),
 	}
-	e.state.SetFaults(seams.Faults.Config)
+	e.state.SetFaults(hooks.Faults.Config)
 	e.peers = link.NewMessenger[controllog.Message](process.Endpoint, link.KindControlLog)
-	e.spread = newCoordinators(e)
-	e.distributor = configstate.NewDistributor(e.state, e.confirmed)
+	e.coordinators = newCoordinators(e)
+	e.distributor = configstate.NewDistributor(e.state, e.leaderSeenRecently)
 	e.state.OnChange(func(d contract.Delta) {
 		process.Recorder.Record(event.ConfigApplied, string(process.Identity.ID()), revisionText(d.Revision()))
 		e.metrics.revision.Set(float64(d.Revision()))
@@ -143,11 +143,11 @@
 		}
 	}
 	e.proposals = newProposer(e)
-	e.handleLinks()
+	e.registerHandlers()
 	return e, nil
 }
 
-func (e *Entry) handleLinks() {
+func (e *Entry) registerHandlers() {
 	endpoint := e.process.Endpoint
 	endpoint.Handle(link.KindApply, e.serveApply)
 	endpoint.Handle(link.KindPropose, e.serveProposal)
@@ -155,16 +155,16 @@
 	endpoint.Handle(link.KindStatus, e.serveStatus)
 	endpoint.Handle(link.KindVoterChange, e.serveVoterChange)
 	endpoint.Handle(link.KindVoterIdentity, e.serveVoterIdentity)
-	endpoint.Handle(link.KindSpread, e.spread.serveReport)
-	endpoint.Handle(link.KindDomainSources, e.spread.serveSources)
+	endpoint.Handle(link.KindSpread, e.coordinators.serveReport)
+	endpoint.Handle(link.KindDomainSources, e.coordinators.serveSources)
 	endpoint.Handle(link.KindDrain, e.serveDrain)
 	endpoint.Handle(link.KindRequest, e.serveForwarded)
 	endpoint.HandleTopic(link.KindSubscribe, bus.TopicConfig, e.distributor.Serve)
 	endpoint.Handle(link.KindControlLog, e.serveControlLog)
 
 	subscriber := link.NewSubscriber(endpoint)
-	bus.Handle(e.process.Bus, "agents", bus.TopicHeartbeat, subscriber, e.heardAgent)
-	bus.Handle(e.process.Bus, "entries", bus.TopicEntryHeartbeat, subscriber, e.heardEntry)
+	bus.Handle(e.process.Bus, "agents", bus.TopicHeartbeat, subscriber, e.handleHeartbeat)
+	bus.Handle(e.process.Bus, "entries", bus.TopicEntryHeartbeat, subscriber, e.handleEntryHeartbeat)
 }
 
 // Run runs the entry until it is drained by a signal or an operator.
@@ -189,10 +189,10 @@
 	add(e.serveLinks)
 	add(e.process.ServeObserve)
 	add(e.serveCallers)
-	add(e.sendBeats)
-	add(e.watchAgents)
-	add(e.watchPlatform)
-	add(e.spread.run)
+	add(e.sendHeartbeats)
+	add(e.expireAgents)
+	add(e.pollPlatform)
+	add(e.coordinators.run)
 	add(func(ctx context.Context) error {
 		e.catchUp(ctx)
 		<-ctx.Done()
@@ -227,16 +227,16 @@
 		Addresses: e.settings.Entries,
 		Heard: func(confirmed bool) {
 			if confirmed {
-				e.heardQuorum.Store(time.Now().UnixNano())
+				e.leaderSeenAt.Store(time.Now().UnixNano())
 			}
 		},
 	}
 }
 
-// confirmedFor is how long the word of a quorum's leader counts.
-const confirmedFor = 5 * time.Second
+// leaderSeenTTL is how long the word of a quorum's leader counts.
+const leaderSeenTTL = 5 * time.Second
 
-// confirmed tells whether a quorum's leader was heard of lately.
-func (e *Entry) confirmed() bool {
-	return time.Since(time.Unix(0, e.heardQuorum.Load())) < confirmedFor
+// leaderSeenRecently tells whether a quorum's leader was heard of lately.
+func (e *Entry) leaderSeenRecently() bool {
+	return time.Since(time.Unix(0, e.leaderSeenAt.Load())) < leaderSeenTTL
 }
--- a/pkg/entry/execute.go
+++ b/pkg/entry/execute.go
@@ -23,8 +23,8 @@
 // maxAttempts bounds the attempts of one request.
 const maxAttempts = 4
 
-// work is a request on its way through the entry.
-type work struct {
+// pendingRequest is a request on its way through the entry.
+type pendingRequest struct {
 	request contract.Request
 	prefix  string
 	// forwarded says that another entry sent it: it stays in this domain.
@@ -44,27 +44,27 @@
 // sink takes the parts of an answer. started says whether any part has gone
 // out to the caller.
 type sink struct {
-	take    func(contract.ResponsePart) error
+	write   func(contract.ResponsePart) error
 	started bool
 }
 
 // execute runs a request to its end.
-func (e *Entry) execute(ctx context.Context, w *work, out *sink) error {
+func (e *Entry) execute(ctx context.Context, p *pendingRequest, out *sink) error {
 	e.inFlight.Add(1)
 	defer e.inFlight.Add(-1)
 	e.budget.RecordRequest()
-	w.tried = map[string]bool{}
+	p.tried = map[string]bool{}
 	ran := failure.NotRun
 	for {
-		err := e.attempt(ctx, w, out)
+		err := e.attempt(ctx, p, out)
 		if err == nil {
 			return nil
 		}
 		f := failure.Of(err)
 		// What one attempt may have run, no refusal of a later one undoes.
 		ran = max(ran, f.Ran())
-		if !e.mayRetry(ctx, w, out, f) {
-			if e.seams.Faults.SayNotRun {
+		if !e.mayRetry(ctx, p, out, f) {
+			if e.hooks.Faults.ReportNotRun {
 				ran = failure.NotRun
 			}
 			return f.WithRan(ran)
@@ -74,11 +74,11 @@
 }
 
 // mayRetry tells whether another attempt is safe, useful and paid for.
-func (e *Entry) mayRetry(ctx context.Context, w *work, out *sink, f *failure.Failure) bool {
-	if out.started || ctx.Err() != nil || w.attempts == 0 || w.attempts >= maxAttempts {
+func (e *Entry) mayRetry(ctx context.Context, p *pendingRequest, out *sink, f *failure.Failure) bool {
+	if out.started || ctx.Err() != nil || p.attempts == 0 || p.attempts >= maxAttempts {
 		return false
 	}
-	if f.Ran() != failure.NotRun && !w.request.Repeatable() && !e.seams.Faults.RetryAnything {
+	if f.Ran() != failure.NotRun && !p.request.Repeatable() && !e.hooks.Faults.RetryAlways {
 		return false
 	}
 	return retryable[f.Kind()] && e.budget.TryRetry()
@@ -98,25 +98,25 @@
 
 // attempt makes one attempt. It fails with NotRun and no attempt counted when
 // there is nobody to send to.
-func (e *Entry) attempt(ctx context.Context, w *work, out *sink) error {
-	t, err := e.choose(w)
+func (e *Entry) attempt(ctx context.Context, p *pendingRequest, out *sink) error {
+	t, err := e.chooseTarget(p)
 	if err != nil {
 		return err
 	}
-	w.attempts++
-	w.tried[t.address] = true
-	r := w.request.ForAttempt(fmt.Sprintf("%s/%d", w.request.Attempt(), w.attempts), t.digest)
+	p.attempts++
+	p.tried[t.address] = true
+	r := p.request.ForAttempt(fmt.Sprintf("%s/%d", p.request.Attempt(), p.attempts), t.digest)
 	if t.replica == nil {
 		return e.send(ctx, t, r, out)
 	}
 	t.replica.RequestSent()
 	err = e.send(ctx, t, r, out)
-	t.replica.RequestEnded(0, countsAgainst(err), time.Now())
+	t.replica.RequestEnded(0, isReplicaFailure(err), time.Now())
 	return err
 }
 
-// countsAgainst tells whether a failure is the replica's own.
-func countsAgainst(err error) bool {
+// isReplicaFailure tells whether a failure is the replica's own.
+func isReplicaFailure(err error) bool {
 	if err == nil {
 		return false
 	}
@@ -127,43 +127,43 @@
 // ----------------------------------------------------------------
 // Choosing
 
-// choose picks a replica of this failure domain, or else an entry of another
+// chooseTarget picks a replica of this failure domain, or else an entry of another
 // one that has the digest ready.
-func (e *Entry) choose(w *work) (target, error) {
+func (e *Entry) chooseTarget(p *pendingRequest) (target, error) {
 	now := time.Now()
-	candidates := e.candidates(w, now)
-	if t, ok := e.pick(candidates, w, now); ok {
+	candidates := e.candidates(p, now)
+	if t, ok := e.pickReplica(candidates, p, now); ok {
 		return t, nil
 	}
-	if !w.forwarded {
-		if t, ok := e.chooseEntry(w, now); ok {
+	if !p.forwarded {
+		if t, ok := e.chooseEntry(p, now); ok {
 			return t, nil
 		}
 	}
-	if w.attempts > 0 || len(candidates) > 0 {
+	if p.attempts > 0 || len(candidates) > 0 {
 		return target{}, failure.New(failure.Overloaded, "every replica in reach is full")
 	}
-	return target{}, failure.New(failure.NotReady, "no ready replica of %q in reach", w.request.Model()+w.request.Service())
+	return target{}, failure.New(failure.NotReady, "no ready replica of %q in reach", p.request.Model()+p.request.Service())
 }
 
 // candidates returns the agents that can take the request. Those with a digest
 // that a group serves go before those with an older one that is still loaded:
 // while a version rolls, the old one answers until the new one is ready.
-func (e *Entry) candidates(w *work, now time.Time) []target {
+func (e *Entry) candidates(p *pendingRequest, now time.Time) []target {
 	usable := e.agents.Usable(now)
-	if e.seams.Faults.IgnoreLeaving {
+	if e.hooks.Faults.SendToLeavingAgents {
 		usable = e.agents.Agents()
 	}
-	if w.request.Service() != "" {
-		return e.serviceCandidates(w, usable, now)
+	if p.request.Service() != "" {
+		return e.serviceCandidates(p, usable, now)
 	}
-	served, _ := e.state.View().ServedDigests(w.request.Model())
+	served, _ := e.state.View().ServedDigests(p.request.Model())
 	var current, older []target
 	for _, a := range usable {
-		if w.tried[a.LastHeartbeat.From().Address()] {
+		if p.tried[a.LastHeartbeat.From().Address()] {
 			continue
 		}
-		for _, digest := range a.ReadyDigests(w.request.Model()) {
+		for _, digest := range a.ReadyDigests(p.request.Model()) {
 			t := target{a.LastHeartbeat.From().Address(), digest, link.KindRequest, e.router.Replica(a.LastHeartbeat.From().ID(), now)}
 			if contains(served, digest) {
 				current = append(current, t)
@@ -187,24 +187,24 @@
 	return false
 }
 
-func (e *Entry) serviceCandidates(w *work, usable []membership.Agent, now time.Time) []target {
+func (e *Entry) serviceCandidates(p *pendingRequest, usable []membership.Agent, now time.Time) []target {
 	var targets []target
 	for _, a := range usable {
 		address := a.LastHeartbeat.From().Address()
-		if a.HasService(w.request.Service()) && !w.tried[address] {
+		if a.HasService(p.request.Service()) && !p.tried[address] {
 			targets = append(targets, target{address, contract.Digest{}, link.KindRequest, e.router.Replica(a.LastHeartbeat.From().ID(), now)})
 		}
 	}
 	return targets
 }
 
-// pick has the router choose; false when all are full or there are none.
-func (e *Entry) pick(candidates []target, w *work, now time.Time) (target, bool) {
+// pickReplica has the router choose; false when all are full or there are none.
+func (e *Entry) pickReplica(candidates []target, p *pendingRequest, now time.Time) (target, bool) {
 	replicas := make([]*route.Replica, 0, len(candidates))
 	for _, c := range candidates {
 		replicas = append(replicas, c.replica)
 	}
-	chosen := e.router.Pick(replicas, w.prefix, now)
+	chosen := e.router.Pick(replicas, p.prefix, now)
 	for _, c := range candidates {
 		if c.replica == chosen {
 			return c, true
@@ -214,15 +214,15 @@
 }
 
 // chooseEntry picks the least loaded entry of another domain that can serve.
-func (e *Entry) chooseEntry(w *work, now time.Time) (target, bool) {
-	served, _ := e.state.View().ServedDigests(w.request.Model())
+func (e *Entry) chooseEntry(p *pendingRequest, now time.Time) (target, bool) {
+	served, _ := e.state.View().ServedDigests(p.request.Model())
 	var best contract.EntryHeartbeat
 	found := false
-	for _, b := range e.entries.all(now) {
-		if b.Draining() || b.From().Domain() == e.process.Identity.Domain() || w.tried[b.From().Address()] {
+	for _, b := range e.entries.live(now) {
+		if b.Draining() || b.From().Domain() == e.process.Identity.Domain() || p.tried[b.From().Address()] {
 			continue
 		}
-		if !offers(b, w.request.Service(), served) {
+		if !entryCanServe(b, p.request.Service(), served) {
 			continue
 		}
 		if !found || b.Load().InFlight() < best.Load().InFlight() {
@@ -232,7 +232,7 @@
 	return target{address: best.From().Address(), kind: link.KindRequest}, found
 }
 
-func offers(b contract.EntryHeartbeat, service string, served []contract.Digest) bool {
+func entryCanServe(b contract.EntryHeartbeat, service string, served []contract.Digest) bool {
 	for _, s := range b.Services() {
 		if service != "" && s == service {
 			return true
@@ -252,7 +252,7 @@
 // send sends one attempt and passes the parts of the answer on, each checked
 // to belong to this attempt and to follow the one before.
 func (e *Entry) send(ctx context.Context, t target, r contract.Request, out *sink) error {
-	e.seams.BeforeSend(r.Attempt())
+	e.hooks.BeforeSend(r.Attempt())
 	// The deadline is looked at again here: the entry may have been frozen
 	// since the request was admitted or its claim was granted.
 	if !time.Now().Before(r.DeadlineTime()) {
@@ -266,7 +266,7 @@
 	}
 	defer s.Close()
 	if err := s.Send(r); err != nil {
-		return e.broken(ctx, failure.Of(err), r)
+		return e.classifyAttemptError(ctx, failure.Of(err), r)
 	}
 	return e.receive(ctx, s, r, out)
 }
@@ -275,14 +275,14 @@
 	for sequence := uint64(0); ; sequence++ {
 		var part contract.ResponsePart
 		if err := s.Receive(&part); err != nil {
-			return e.broken(ctx, failure.Of(err), r)
+			return e.classifyAttemptError(ctx, failure.Of(err), r)
 		}
-		if !e.seams.Faults.SkipAnswerCheck {
+		if !e.hooks.Faults.SkipAnswerCheck {
 			if err := checkPart(part, r, sequence); err != nil {
 				return err
 			}
 		}
-		if err := out.take(part); err != nil {
+		if err := out.write(part); err != nil {
 			return failure.New(failure.Unreachable, "the caller went away: %v", err).WithRan(failure.RanYes)
 		}
 		out.started = true
@@ -292,9 +292,9 @@
 	}
 }
 
-// broken types what ended an attempt before its last part. A typed failure of
+// classifyAttemptError types what ended an attempt before its last part. A typed failure of
 // the agent stands as it is; silence means that the outcome is unknown.
-func (e *Entry) broken(ctx context.Context, f *failure.Failure, r contract.Request) error {
+func (e *Entry) classifyAttemptError(ctx context.Context, f *failure.Failure, r contract.Request) error {
 	if f.Kind() != failure.Internal {
 		return f
 	}
--- a/pkg/entry/forwarded.go
+++ b/pkg/entry/forwarded.go
@@ -22,7 +22,7 @@
 	if e.draining.Load() {
 		return failure.New(failure.Draining, "this entry is leaving")
 	}
-	if err := e.mayServe(); err != nil {
+	if err := e.checkReady(); err != nil {
 		return err
 	}
 	ctx, cancel := context.WithDeadline(ctx, r.DeadlineTime())
@@ -31,6 +31,6 @@
 		s.OnPeerClosed(cancel)
 	}
 	e.metrics.forwarded.Inc()
-	out := &sink{take: func(part contract.ResponsePart) error { return s.Send(part) }}
-	return e.execute(ctx, &work{request: r, forwarded: true}, out)
+	out := &sink{write: func(part contract.ResponsePart) error { return s.Send(part) }}
+	return e.execute(ctx, &pendingRequest{request: r, forwarded: true}, out)
 }
--- a/pkg/entry/operators.go
+++ b/pkg/entry/operators.go
@@ -29,7 +29,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, applyTimeout)
 	defer cancel()
-	objects, err := e.resolve(ctx, a)
+	objects, err := e.resolveModels(ctx, a)
 	if err != nil {
 		return err
 	}
@@ -45,9 +45,9 @@
 	return s.Send(result)
 }
 
-// resolve turns version names into manifests, once for everybody: from here on
+// resolveModels turns version names into manifests, once for everybody: from here on
 // only digests travel.
-func (e *Entry) resolve(ctx context.Context, a contract.Apply) ([]contract.Object, error) {
+func (e *Entry) resolveModels(ctx context.Context, a contract.Apply) ([]contract.Object, error) {
 	objects := append([]contract.Object(nil), a.Change().Objects()...)
 	sources := e.state.View().Sources()
 	for _, o := range objects {
@@ -75,14 +75,14 @@
 	return objects, nil
 }
 
-func manifestOverHTTP(ctx context.Context, url string, name contract.ModelName) (contract.Manifest, error) {
+func fetchManifest(ctx context.Context, url string, name contract.ModelName) (contract.Manifest, error) {
 	return source.NewClient(url).Manifest(ctx, name.Model(), name.Version())
 }
 
 func (e *Entry) resolveModel(ctx context.Context, sources []contract.Source, name contract.ModelName) (contract.Manifest, error) {
 	last := error(failure.New(failure.SourceRefused, "no source is configured; apply one with kind source"))
 	for _, spec := range sources {
-		manifest, err := e.seams.Manifest(ctx, spec.URL(), name)
+		manifest, err := e.hooks.Manifest(ctx, spec.URL(), name)
 		if err == nil {
 			return manifest, nil
 		}
@@ -133,5 +133,5 @@
 			voters = append(voters, contract.NewVoterStatus(string(v.ID()), v.Incarnation(), v.Address(), v.Learner(), state.Match[v.MemberID()]))
 		}
 	}
-	return contract.NewStatus(e.process.Identity, e.state.Revision(), leader, term, voters, agents, e.entries.all(now))
+	return contract.NewStatus(e.process.Identity, e.state.Revision(), leader, term, voters, agents, e.entries.live(now))
 }
--- a/pkg/entry/proposals.go
+++ b/pkg/entry/proposals.go
@@ -23,10 +23,10 @@
 )
 
 const (
-	// proposalTry bounds one try at one entry.
-	proposalTry = 2 * time.Second
-	// proposalPause is between two rounds over the entries.
-	proposalPause = 100 * time.Millisecond
+	// proposalTimeout bounds one try at one entry.
+	proposalTimeout = 2 * time.Second
+	// proposalRetryInterval is between two rounds over the entries.
+	proposalRetryInterval = 100 * time.Millisecond
 )
 
 // proposer finds the leader and hands it commands.
@@ -47,29 +47,29 @@
 		return err
 	}
 	proposal := contract.NewProposal(uint8(kind), body)
-	lost := error(failure.New(failure.NoQuorum, "no leader of the control log can be reached"))
+	proposalErr := error(failure.New(failure.NoQuorum, "no leader of the control log can be reached"))
 	for {
 		for _, address := range p.candidates() {
-			answer, err := p.try(ctx, address, proposal)
+			answer, err := p.proposeTo(ctx, address, proposal)
 			if err == nil {
 				return msgpack.Unmarshal(answer.Body(), result)
 			}
-			lost = worse(lost, err)
+			proposalErr = combineErrors(proposalErr, err)
 			if ctx.Err() != nil {
-				return lost
+				return proposalErr
 			}
 		}
 		select {
-		case <-time.After(proposalPause):
+		case <-time.After(proposalRetryInterval):
 		case <-ctx.Done():
-			return lost
+			return proposalErr
 		}
 	}
 }
 
-// worse keeps an unknown outcome: once a try may have been accepted, no later
+// combineErrors keeps an unknown outcome: once a try may have been accepted, no later
 // refusal makes that untrue.
-func worse(old, err error) error {
+func combineErrors(old, err error) error {
 	if failure.Of(old).Ran() != failure.NotRun {
 		return old
 	}
@@ -79,8 +79,8 @@
 	return old
 }
 
-// self is the candidate that stands for this entry's own voter.
-const self = ""
+// localVoter is the candidate that stands for this entry's own voter.
+const localVoter = ""
 
 // candidates returns whom to ask: who led last, this entry's own voter, and
 // then all others.
@@ -93,7 +93,7 @@
 		candidates = append(candidates, leader)
 	}
 	if p.entry.runner != nil {
-		candidates = append(candidates, self)
+		candidates = append(candidates, localVoter)
 	}
 	for _, address := range p.entry.settings.Entries() {
 		if address != leader {
@@ -103,12 +103,12 @@
 	return candidates
 }
 
-func (p *proposer) try(ctx context.Context, address string, proposal contract.Proposal) (contract.ProposalResult, error) {
-	ctx, cancel := context.WithTimeout(ctx, proposalTry)
+func (p *proposer) proposeTo(ctx context.Context, address string, proposal contract.Proposal) (contract.ProposalResult, error) {
+	ctx, cancel := context.WithTimeout(ctx, proposalTimeout)
 	defer cancel()
 	var answer contract.ProposalResult
-	if address == self {
-		answer = p.entry.proposeHere(ctx, proposal)
+	if address == localVoter {
+		answer = p.entry.proposeLocally(ctx, proposal)
 	} else if err := p.entry.process.Endpoint.Call(ctx, address, link.KindPropose, proposal, &answer); err != nil {
 		p.setLeader("")
 		return answer, err
@@ -124,7 +124,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if address == p.entry.process.Identity.Address() {
-		address = self
+		address = localVoter
 	}
 	p.leader = address
 }
@@ -137,13 +137,13 @@
 	if err := s.Receive(&p); err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(ctx, proposalTry)
+	ctx, cancel := context.WithTimeout(ctx, proposalTimeout)
 	defer cancel()
-	return s.Send(e.proposeHere(ctx, p))
+	return s.Send(e.proposeLocally(ctx, p))
 }
 
-// proposeHere proposes to this entry's own voter.
-func (e *Entry) proposeHere(ctx context.Context, p contract.Proposal) contract.ProposalResult {
+// proposeLocally proposes to this entry's own voter.
+func (e *Entry) proposeLocally(ctx context.Context, p contract.Proposal) contract.ProposalResult {
 	if e.runner == nil {
 		return refusedProposal("", failure.New(failure.NotLeader, "this entry keeps no control log"))
 	}
--- a/pkg/entry/services.go
+++ b/pkg/entry/services.go
@@ -16,7 +16,7 @@
 )
 
 func (e *Entry) serveService(w http.ResponseWriter, r *http.Request) {
-	e.serveCall(w, r, func(c caller, body []byte) (*work, error) {
+	e.serveCall(w, r, func(c callHeaders, body []byte) (*pendingRequest, error) {
 		name := chi.URLParam(r, "service")
 		spec, ok := e.state.View().Service(name)
 		if !ok {
@@ -25,9 +25,9 @@
 		// A caller may be stricter than the configuration, never laxer: a
 		// header set by mistake must not double an order.
 		repeatable := spec.Repeatable() && (c.repeatable == nil || *c.repeatable)
-		request := contract.NewRequest(e.nextAttempt(), c.organisation.Name, "", contract.Digest{}, name,
+		request := contract.NewRequest(e.nextRequestID(), c.organisation.Name, "", contract.Digest{}, name,
 			r.Method, servicePath(r, name), r.Header.Get("Content-Type"), body, c.deadline.UnixNano(), false, repeatable, c.priority)
-		return &work{request: request}, nil
+		return &pendingRequest{request: request}, nil
 	})
 }
 
--- a/pkg/entry/spread.go
+++ b/pkg/entry/spread.go
@@ -21,38 +21,38 @@
 )
 
 const (
-	// exchangeEvery is the time between exchanges with other domains, and
+	// exchangeInterval is the time between exchanges with other domains, and
 	// firstExchangeEvery that in the first seconds of a copy, when all wait to
 	// hear who draws what. Fifteen domains at 0.6 KB five times a second would
 	// be 45 KB a second.
-	exchangeEvery      = time.Second
-	firstExchangeEvery = 200 * time.Millisecond
-	firstExchanges     = 5 * time.Second
+	exchangeInterval        = time.Second
+	initialExchangeInterval = 200 * time.Millisecond
+	initialExchangePeriod   = 5 * time.Second
 	// exchangeTimeout bounds one exchange.
 	exchangeTimeout = 2 * time.Second
-	// coordinatorIdle is when a coordinator without reports is dropped.
-	coordinatorIdle = time.Minute
+	// coordinatorIdleTimeout is when a coordinator without reports is dropped.
+	coordinatorIdleTimeout = time.Minute
 )
 
-// coordinated is one coordinator with its lock.
-type coordinated struct {
-	mu          sync.Mutex
-	coordinator *spread.Coordinator
-	started     time.Time
-	exchanged   time.Time
-	reported    time.Time
+// lockedCoordinator is one coordinator with its lock.
+type lockedCoordinator struct {
+	mu             sync.Mutex
+	coordinator    *spread.Coordinator
+	startedAt      time.Time
+	lastExchangeAt time.Time
+	lastReportAt   time.Time
 }
 
 // exchangeDue tells whether it is time to ask the other domains. One that
 // wants nothing only answers those that do.
-func (c *coordinated) exchangeDue(now time.Time) bool {
+func (c *lockedCoordinator) exchangeDue(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	young := now.Sub(c.started) < firstExchanges
-	if !c.coordinator.Incomplete() || !young && now.Sub(c.exchanged) < exchangeEvery {
+	initial := now.Sub(c.startedAt) < initialExchangePeriod
+	if !c.coordinator.Incomplete() || !initial && now.Sub(c.lastExchangeAt) < exchangeInterval {
 		return false
 	}
-	c.exchanged = now
+	c.lastExchangeAt = now
 	return true
 }
 
@@ -61,15 +61,15 @@
 	entry *Entry
 
 	mu       sync.Mutex
-	byDigest map[contract.Digest]*coordinated
+	byDigest map[contract.Digest]*lockedCoordinator
 }
 
 func newCoordinators(e *Entry) *coordinators {
-	return &coordinators{entry: e, byDigest: map[contract.Digest]*coordinated{}}
+	return &coordinators{entry: e, byDigest: map[contract.Digest]*lockedCoordinator{}}
 }
 
-// find returns the coordinator of a digest, new when there is none.
-func (c *coordinators) find(digest contract.Digest) (*coordinated, error) {
+// findOrCreate returns the coordinator of a digest, new when there is none.
+func (c *coordinators) findOrCreate(digest contract.Digest) (*lockedCoordinator, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if found := c.byDigest[digest]; found != nil {
@@ -80,13 +80,13 @@
 		return nil, failure.New(failure.UnknownModel, "no model has the digest %s here yet", digest.Short())
 	}
 	domain := c.entry.process.Identity.Domain()
-	created := &coordinated{coordinator: spread.NewCoordinator(spread.CoordinatorConfig{
+	created := &lockedCoordinator{coordinator: spread.NewCoordinator(spread.CoordinatorConfig{
 		Domain:        domain,
 		Digest:        digest,
 		Total:         len(model.Manifest().Chunks()),
 		OriginFetches: c.entry.settings.OriginDraws(),
 		Random:        rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
-	}, time.Now()), started: time.Now(), reported: time.Now()}
+	}, time.Now()), startedAt: time.Now(), lastReportAt: time.Now()}
 	c.byDigest[digest] = created
 	c.entry.process.Recorder.Record(event.CoordinatorChosen, digest.Short(), "coordinates "+domain)
 	return created, nil
@@ -97,13 +97,13 @@
 	if err := s.Receive(&r); err != nil {
 		return err
 	}
-	found, err := c.find(r.Digest())
+	found, err := c.findOrCreate(r.Digest())
 	if err != nil {
 		return err
 	}
 	found.mu.Lock()
 	now := time.Now()
-	found.reported = now
+	found.lastReportAt = now
 	plan := found.coordinator.Report(r, now)
 	found.mu.Unlock()
 	return s.Send(plan)
@@ -111,27 +111,27 @@
 
 // serveSources exchanges with the coordinator of another domain.
 func (c *coordinators) serveSources(_ context.Context, s *link.Stream) error {
-	var theirs contract.DomainSources
-	if err := s.Receive(&theirs); err != nil {
+	var remote contract.DomainSources
+	if err := s.Receive(&remote); err != nil {
 		return err
 	}
 	c.mu.Lock()
-	found := c.byDigest[theirs.Digest()]
+	found := c.byDigest[remote.Digest()]
 	c.mu.Unlock()
 	if found == nil {
 		// Nobody reports here: another entry of the domain coordinates.
 		return s.Send(contract.DomainSources{})
 	}
 	found.mu.Lock()
-	found.coordinator.UpdateRemote(theirs, time.Now())
-	ours := found.coordinator.Sources(time.Now())
+	found.coordinator.UpdateRemote(remote, time.Now())
+	local := found.coordinator.Sources(time.Now())
 	found.mu.Unlock()
-	return s.Send(ours)
+	return s.Send(local)
 }
 
 // run exchanges with other domains until the context ends.
 func (c *coordinators) run(ctx context.Context) error {
-	return daemon.Every(ctx, firstExchangeEvery, func() {
+	return daemon.Every(ctx, initialExchangeInterval, func() {
 		for digest, found := range c.active() {
 			if found.exchangeDue(time.Now()) {
 				c.exchange(ctx, digest, found)
@@ -141,13 +141,13 @@
 }
 
 // active returns the coordinators, without those that are idle.
-func (c *coordinators) active() map[contract.Digest]*coordinated {
+func (c *coordinators) active() map[contract.Digest]*lockedCoordinator {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	active := map[contract.Digest]*coordinated{}
+	active := map[contract.Digest]*lockedCoordinator{}
 	for digest, found := range c.byDigest {
 		found.mu.Lock()
-		idle := time.Since(found.reported) > coordinatorIdle
+		idle := time.Since(found.lastReportAt) > coordinatorIdleTimeout
 		found.mu.Unlock()
 		if idle {
 			delete(c.byDigest, digest)
@@ -160,25 +160,25 @@
 
 // exchange asks the entries of other domains at once and takes their answers
 // as they come.
-func (c *coordinators) exchange(ctx context.Context, digest contract.Digest, found *coordinated) {
+func (c *coordinators) exchange(ctx context.Context, digest contract.Digest, found *lockedCoordinator) {
 	found.mu.Lock()
-	ours := found.coordinator.Sources(time.Now())
+	local := found.coordinator.Sources(time.Now())
 	found.mu.Unlock()
-	for _, beat := range c.entry.entries.all(time.Now()) {
+	for _, beat := range c.entry.entries.live(time.Now()) {
 		if beat.From().Domain() == c.entry.process.Identity.Domain() {
 			continue
 		}
 		go func(address string) {
 			callContext, cancel := context.WithTimeout(ctx, exchangeTimeout)
 			defer cancel()
-			var theirs contract.DomainSources
-			err := c.entry.process.Endpoint.Call(callContext, address, link.KindDomainSources, ours, &theirs)
-			if err != nil || theirs.Digest() != digest {
+			var remote contract.DomainSources
+			err := c.entry.process.Endpoint.Call(callContext, address, link.KindDomainSources, local, &remote)
+			if err != nil || remote.Digest() != digest {
 				return
 			}
 			found.mu.Lock()
 			defer found.mu.Unlock()
-			found.coordinator.UpdateRemote(theirs, time.Now())
+			found.coordinator.UpdateRemote(remote, time.Now())
 		}(beat.From().Address())
 	}
 }
--- a/prove/callers_test.go
+++ b/prove/callers_test.go
@@ -34,7 +34,7 @@
 	{"unknown service", "/services/nothing/x", "", nil},
 	{"unknown path", "/v2/elsewhere", "", nil},
 	{"body too large", "/v1/chat/completions", strings.Repeat("x", 2<<20), nil},
-	{"key too long", "/services/ordering/orders", "flour", map[string]string{entry.HeaderKey: strings.Repeat("k", 300)}},
+	{"key too long", "/services/ordering/orders", "flour", map[string]string{entry.HeaderIdempotencyKey: strings.Repeat("k", 300)}},
 	{"deadline passed", "/v1/chat/completions", `{"model":"menu"}`, map[string]string{entry.HeaderDeadline: "1999-01-01T00:00:00Z"}},
 	{"deadline unreadable", "/v1/chat/completions", `{"model":"menu"}`, map[string]string{entry.HeaderDeadline: "soon"}},
 	{"repeatable unreadable", "/v1/chat/completions", `{"model":"menu"}`, map[string]string{entry.HeaderRepeatable: "perhaps"}},
@@ -53,7 +53,7 @@
 			fmt.Fprintf(&lines, "%s: %s\n", c.name, w.refusal(c.path, c.body, c.headers))
 		}
 		w.order("entry-1", "key-1", "flour")
-		fmt.Fprintf(&lines, "key used for another body: %s\n", w.refusal("/services/ordering/orders", "sugar", map[string]string{entry.HeaderKey: "key-1"}))
+		fmt.Fprintf(&lines, "key used for another body: %s\n", w.refusal("/services/ordering/orders", "sugar", map[string]string{entry.HeaderIdempotencyKey: "key-1"}))
 		if n := w.ledger.count("flour") - before; n != 1 || w.ledger.count("sugar") != 0 {
 			t.Errorf("flour ran %d times, sugar %d", n, w.ledger.count("sugar"))
 		}
--- a/prove/promises_test.go
+++ b/prove/promises_test.go
@@ -171,7 +171,7 @@
 			}
 		},
 		seeded: map[string]func(w *world){
-			"say_not_run": func(w *world) { w.entryFaults.SayNotRun = true },
+			"say_not_run": func(w *world) { w.entryFaults.ReportNotRun = true },
 		},
 	}.run(t)
 }
@@ -232,7 +232,7 @@
 		},
 		seeded: map[string]func(w *world){
 			"skip_claim":     func(w *world) { w.entryFaults.SkipClaim = true },
-			"retry_anything": func(w *world) { w.entryFaults.RetryAnything = true },
+			"retry_anything": func(w *world) { w.entryFaults.RetryAlways = true },
 		},
 	}.run(t)
 }
@@ -287,8 +287,8 @@
 		},
 		seeded: map[string]func(w *world){
 			"take_while_draining": func(w *world) {
-				w.agentFaults.TakeWhileDraining = true
-				w.entryFaults.IgnoreLeaving = true
+				w.agentFaults.AdmitWhileDraining = true
+				w.entryFaults.SendToLeavingAgents = true
 			},
 		},
 	}.run(t)
@@ -335,8 +335,8 @@
 			w.requests.Wait()
 		},
 		seeded: map[string]func(w *world){
-			"entry_drains_at_once": func(w *world) { w.entryFaults.DrainAtOnce = true },
-			"agent_drains_at_once": func(w *world) { w.agentFaults.DrainAtOnce = true },
+			"entry_drains_at_once": func(w *world) { w.entryFaults.SkipDrainWait = true },
+			"agent_drains_at_once": func(w *world) { w.agentFaults.SkipDrainWait = true },
 		},
 	}.run(t)
 }
--- a/prove/quiet_test.go
+++ b/prove/quiet_test.go
@@ -32,7 +32,7 @@
 		w := newWorld(t, 1)
 		defer w.stop()
 		w.agentSettings = fmt.Sprintf("engine: {url: \"http://127.0.0.1:1\", checks_fences: false, order_limit: %s}", orderLimit)
-		w.agentFaults.SkipQuiet = skipQuiet
+		w.agentFaults.SkipOrderWait = skipQuiet
 		w.start()
 		engine := w.engines["agent-1"]
 		engine.setLoadTime(15 * time.Second)
--- a/prove/world_test.go
+++ b/prove/world_test.go
@@ -204,7 +204,7 @@
 		strings.Replace(p.address, ":7001", ":8001", 1), p.voter))
 	s, err := settings.LoadEntry(path)
 	w.must(err)
-	e, err := entry.New(s, entry.Seams{
+	e, err := entry.New(s, entry.Hooks{
 		Seams: w.seams(name), Manifest: w.origin.manifest, Faults: w.entryFaults,
 		BeforeSend: func(attempt string) { w.beforeSend(attempt) },
 	})
@@ -237,7 +237,7 @@
 		w.engines[name] = newModelEngine(w.ledger)
 	}
 	w.mu.Unlock()
-	seams := agent.Seams{Seams: w.seams(name), Engine: w.engines[name].engine(), Draw: w.origin.draw, SendAnswer: w.sendAnswer, Faults: w.agentFaults}
+	seams := agent.Hooks{Seams: w.seams(name), Engine: w.engines[name].engine(), FetchFromSource: w.origin.draw, SendAnswer: w.sendAnswer, Faults: w.agentFaults}
 	if name == "agent-5" || name == "agent-1" {
 		seams.Services = map[string]*engine.Engine{"ordering": w.service.engine()}
 	}
@@ -431,7 +431,7 @@
 func (w *world) order(at, key, body string) answer {
 	headers := map[string]string{}
 	if key != "" {
-		headers[entry.HeaderKey] = key
+		headers[entry.HeaderIdempotencyKey] = key
 	}
 	return w.ask(at, "/services/ordering/orders", body, headers)
 }
