--- a/pkg/agent/gate.go
+++ b/pkg/agent/admission.go
@@ -1,9 +1,9 @@
 // ================================================================
-// The gate: what is checked of a request at the moment of execution. Each
-// check that fails refuses the request with a true "not run".
+// Admission of requests at the time of execution. A request that fails a check is
+// refused before it runs.
 //
-// The gate remembers attempts until after their deadline, so that one that
-// comes twice, or late out of a frozen entry, runs once at most.
+// Attempt IDs are kept until after the attempt's deadline, so that an attempt that
+// arrives twice, or late from an entry that was suspended, runs at most once.
 // ================================================================
 
 package agent
@@ -18,17 +18,17 @@
 )
 
 const (
-	// attemptRetention is how long an attempt is remembered after its deadline:
-	// more than clocks of two VMs may differ.
+	// attemptRetention is how long an attempt ID is kept after its deadline. It exceeds
+	// the clock skew between two VMs.
 	attemptRetention = time.Minute
-	// maxKnownAttempts bounds the remembered attempts.
+	// maxKnownAttempts bounds the number of attempt IDs kept.
 	maxKnownAttempts = 1 << 16
 )
 
-// admission admits requests; safe for use by several goroutines.
+// admission decides whether requests may run. It is safe for concurrent use.
 type admission struct {
 	limit int
-	// admitWhileDraining is a seeded fault.
+	// admitWhileDraining disables the check for draining, see Faults.
 	admitWhileDraining bool
 
 	mu            sync.Mutex
@@ -44,14 +44,15 @@
 	return &admission{limit: limit, knownAttempts: map[string]bool{}, idle: make(chan struct{}), closed: make(chan struct{})}
 }
 
-// admit takes a request in, or says why not.
+// admit admits a request or returns the reason for refusing it. For each admitted
+// request the caller has to call release.
 func (a *admission) admit(r contract.Request, now time.Time) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.forgetExpired(now)
 	switch {
 	case a.closeReason != "" && !a.admitWhileDraining:
-		return failure.New(failure.Draining, "this VM is leaving: %s", a.closeReason)
+		return failure.New(failure.Draining, "this VM is draining: %s", a.closeReason)
 	case !now.Before(r.DeadlineTime()):
 		return failure.New(failure.DeadlineExceeded, "the deadline passed %s before execution", now.Sub(r.DeadlineTime()))
 	case a.knownAttempts[r.Attempt()]:
@@ -65,7 +66,7 @@
 	return nil
 }
 
-// release ends an admitted request.
+// release records the end of an admitted request.
 func (a *admission) release() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -73,7 +74,8 @@
 	a.signalIdle()
 }
 
-// close lets nothing in any more; idle is closed once nothing is in flight.
+// close stops admission. first reports whether this was the first call, and the channel
+// idle is closed when no requests are in flight.
 func (a *admission) close(reason string) (first bool, idle <-chan struct{}) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -86,7 +88,7 @@
 	return first, a.idle
 }
 
-// done returns a channel that is closed when the gate is.
+// done returns a channel that is closed when admission stops.
 func (a *admission) done() <-chan struct{} { return a.closed }
 
 func (a *admission) signalIdle() {
@@ -100,8 +102,9 @@
 	}
 }
 
-// state returns how many requests are in flight and why the gate is closed.
-func (a *admission) state() (inFlight int, draining string) {
+// state returns the number of requests in flight and the reason passed to close, which
+// is empty while requests are admitted.
+func (a *admission) state() (inFlight int, closeReason string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.inFlight, a.closeReason
@@ -115,25 +118,25 @@
 }
 
 // ----------------------------------------------------------------
-// Expiry
+// Expiry of attempt IDs
 
-// attemptExpiry says when an attempt may be forgotten.
+// attemptExpiry is the time after which an attempt ID is dropped.
 type attemptExpiry struct {
 	attempt string
 	at      time.Time
 }
 
-// expiryHeap has the earliest first.
+// expiryHeap is a min-heap by time, for container/heap.
 type expiryHeap []attemptExpiry
 
 func (h expiryHeap) Len() int           { return len(h) }
 func (h expiryHeap) Less(i, j int) bool { return h[i].at.Before(h[j].at) }
 func (h expiryHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
 
-// Push adds an element, for container/heap.
+// Push implements heap.Interface.
 func (h *expiryHeap) Push(x any) { *h = append(*h, x.(attemptExpiry)) }
 
-// Pop removes the last element, for container/heap.
+// Pop implements heap.Interface.
 func (h *expiryHeap) Pop() any {
 	old := *h
 	e := old[len(old)-1]
--- a/pkg/agent/agent.go
+++ b/pkg/agent/agent.go
@@ -1,15 +1,16 @@
 // ================================================================
-// The agent: the one process in the slot of a backend server VM, and the only
-// door to the engine and the plain services there.
+// The agent process of a backend server VM. All requests to the engine and to the
+// plain services on the VM go through it.
 //
 //	config  -> assignments -> copier (chunks) -> loader (orders) -> ready
-//	request -> checks at the moment of execution -> engine -> answer
+//	request -> admission at the time of execution -> engine -> answer
 //
-// Each part has a file of its own; this one puts them together.
+// This file creates and runs the parts.
 // ================================================================
 
-// Package agent runs on each backend server VM: it holds and spreads weights,
-// gives the engine its fenced orders, and admits requests.
+// Package agent implements the process that runs on each backend server VM: it stores
+// weights and serves them to other agents, sends the engine its orders with fencing
+// tokens, and admits requests.
 package agent
 
 import (
@@ -36,7 +37,7 @@
 const (
 	weightsFolder = "weights"
 	configFile    = "config"
-	// chunkRateBurst is what the pacing of chunks lets through at once, in bytes.
+	// chunkRateBurst is the burst size of the chunk rate limiters, in bytes.
 	chunkRateBurst = 256 << 10
 )
 
@@ -58,44 +59,45 @@
 	uploads   chan struct{}
 	traffic   traffic
 	metrics   *metrics
-	// sweptRevision is the revision that leftover files were looked for at; only the
-	// reconciler uses it.
+	// sweptRevision is the configuration revision at which leftover files were last
+	// removed. Only the reconciler uses it.
 	sweptRevision uint64
 
 	configChanged chan struct{}
 	drain         *daemon.Drain
 }
 
-// Hooks are where a test replaces what lies outside of the process. The zero
-// value is the real outside.
+// Hooks replace the environment of the process in tests. The zero value selects the
+// real environment.
 type Hooks struct {
 	daemon.Seams
-	// Engine is the model engine; by the settings when nil.
+	// Engine is the model engine. If nil, the settings select it.
 	Engine *engine.Engine
-	// Services are the plain services; by the settings when nil.
+	// Services are plain services by name. They take precedence over the settings.
 	Services map[string]*engine.Engine
-	// FetchFromSource reads a chunk from a source.
+	// FetchFromSource fetches a chunk from the source with the given URL.
 	FetchFromSource func(ctx context.Context, url string, a configstate.Assignment, chunk int) ([]byte, error)
 	// SendAnswer sends one part of an answer to an entry.
 	SendAnswer func(send func(contract.ResponsePart) error, part contract.ResponsePart) error
-	// Faults leave safeguards out.
+	// Faults disable safeguards.
 	Faults Faults
 }
 
-// Faults are seeded faults, to show that a proof notices them. The zero value
-// has none.
+// Faults disable safeguards, so that a test can verify that it detects the resulting
+// failures. The zero value disables none.
 type Faults struct {
-	// SkipVerify stores chunks whatever their digest.
+	// SkipVerify stores chunks without verifying their digests.
 	SkipVerify bool
-	// SkipDrainWait leaves without waiting for what is in flight.
+	// SkipDrainWait exits without waiting for requests in flight.
 	SkipDrainWait bool
-	// SkipOrderWait gives orders right after a restart.
+	// SkipOrderWait sends orders right after a restart, even if an earlier order may
+	// still be executing.
 	SkipOrderWait bool
-	// AdmitWhileDraining goes on taking requests.
+	// AdmitWhileDraining admits requests while the agent drains.
 	AdmitWhileDraining bool
 }
 
-// New returns an agent that is not running yet.
+// New returns an agent. Run starts it.
 func New(s settings.Agent, hooks Hooks) (*Agent, error) {
 	if hooks.SendAnswer == nil {
 		hooks.SendAnswer = func(send func(contract.ResponsePart) error, part contract.ResponsePart) error { return send(part) }
@@ -148,7 +150,7 @@
 	return a, nil
 }
 
-// connectBackends finds the engine and the services on this VM.
+// connectBackends creates the clients of the engine and the services on this VM.
 func (a *Agent) connectBackends() {
 	for name, url := range a.settings.Services() {
 		a.services[name] = engine.NewHTTP(url)
@@ -172,7 +174,7 @@
 	e.HandleTopic(link.KindSubscribe, bus.TopicHave, a.serveAnnouncements)
 }
 
-// Run runs the agent until it is drained by a signal or an operator.
+// Run runs the agent until a signal or an operator has drained it.
 func (a *Agent) Run(signals <-chan os.Signal) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
--- a/pkg/agent/chunks.go
+++ b/pkg/agent/chunks.go
@@ -1,5 +1,5 @@
 // ================================================================
-// Chunks for other agents, and chunks from origin and store.
+// Serves chunks to other agents and fetches chunks from the origin and the weight store.
 // ================================================================
 
 package agent
@@ -20,13 +20,13 @@
 )
 
 const (
-	// chunkPartSize is how much of a chunk goes into one message.
+	// chunkPartSize is the largest part of a chunk that one message carries, in bytes.
 	chunkPartSize = 64 << 10
-	// announceInterval is the time between announcements to a neighbour.
+	// announceInterval is the interval between announcements of new chunks to a neighbour.
 	announceInterval = 100 * time.Millisecond
 )
 
-// traffic counts the bytes of chunks that came here.
+// traffic counts the bytes of chunks received, by kind of sender.
 type traffic struct {
 	origin atomic.Int64
 	peers  atomic.Int64
@@ -40,12 +40,12 @@
 	t.peers.Add(n)
 }
 
-// waitBytes waits until n more bytes may pass.
+// waitBytes waits until the limiter admits n more bytes.
 func waitBytes(ctx context.Context, l *rate.Limiter, n int64) error {
 	for n > 0 {
 		step := min(n, int64(l.Burst()))
 		if err := l.WaitN(ctx, int(step)); err != nil {
-			return failure.New(failure.Unreachable, "pacing: %v", err)
+			return failure.New(failure.Unreachable, "waiting for the chunk rate limit: %v", err)
 		}
 		n -= step
 	}
@@ -53,7 +53,7 @@
 }
 
 // ----------------------------------------------------------------
-// For other agents
+// Serving other agents
 
 func (a *Agent) serveChunk(ctx context.Context, s *link.Stream) error {
 	var q contract.ChunkRequest
@@ -64,12 +64,13 @@
 	if c == nil {
 		return failure.New(failure.NotReady, "no copy of %s here", q.Digest().Short())
 	}
-	// A queue here would only let the first holder of a rare chunk collect the
-	// requests of the whole domain while other links idle.
+	// Requests beyond the limit are refused and not queued: with a queue, the first
+	// holder of a rare chunk would collect the requests of the whole failure domain
+	// while other links are idle.
 	select {
 	case a.uploads <- struct{}{}:
 	default:
-		return failure.New(failure.Overloaded, "%d chunks are being sent", cap(a.uploads))
+		return failure.New(failure.Overloaded, "%d chunk uploads in progress, which is the limit", cap(a.uploads))
 	}
 	defer func() { <-a.uploads }()
 	data, err := c.Read(int(q.Index()))
@@ -89,8 +90,8 @@
 	return s.End()
 }
 
-// serveAnnouncements tells a neighbour which chunks are here, first all and then what
-// comes, until the copy is whole or the neighbour goes.
+// serveAnnouncements streams to a neighbour which chunks this VM holds: first all of
+// them, then the new ones, until the copy is complete or the neighbour disconnects.
 func (a *Agent) serveAnnouncements(ctx context.Context, s *link.Stream) error {
 	var digest contract.Digest
 	if err := s.Receive(&digest); err != nil {
@@ -126,6 +127,8 @@
 	return nil
 }
 
+// addNewChunks adds the held chunks to the announced ones and returns those that were
+// not announced before.
 func addNewChunks(announced *spread.Bitmap, held spread.Bitmap) []uint32 {
 	var added []uint32
 	for i := range held.Total() {
@@ -137,14 +140,15 @@
 }
 
 // ----------------------------------------------------------------
-// From origin and store
+// Fetching from the origin and the weight store
 
 func fetchFromSourceOverHTTP(ctx context.Context, url string, a configstate.Assignment, chunk int) ([]byte, error) {
 	return source.NewClient(url).Chunk(ctx, a.Model, a.Version, a.Manifest, chunk)
 }
 
-// fetchFromSources reads a chunk from the first source that gives it: the origin,
-// and the weight store when the origin refuses.
+// fetchFromSources fetches a chunk from the first source that returns it: the origin,
+// or else the weight store. When all fail, it waits for the retry delay of the last
+// error before it returns that error.
 func (a *Agent) fetchFromSources(ctx context.Context, assignment configstate.Assignment, index int) ([]byte, error) {
 	err := error(failure.New(failure.SourceRefused, "no source is configured"))
 	for _, spec := range orderedSources(a.state.View().Sources()) {
@@ -159,7 +163,7 @@
 	return nil, err
 }
 
-// pause waits as a source asked, so that it is not asked again sooner.
+// pause waits for d or until the context ends.
 func (a *Agent) pause(ctx context.Context, d time.Duration) {
 	select {
 	case <-time.After(d):
--- a/pkg/agent/configuration.go
+++ b/pkg/agent/configuration.go
@@ -1,6 +1,6 @@
 // ================================================================
-// The configuration on an agent: followed from an entry, stored over restarts,
-// and turned into copies that start and end.
+// The configuration on an agent: received from an entry, stored on disk for restarts,
+// and reconciled with the copies of weights on this VM.
 // ================================================================
 
 package agent
@@ -30,8 +30,8 @@
 	}
 }
 
-// rankedEntries returns the entries in the order that this agent prefers them
-// for a subject; agents spread over the entries by it.
+// rankedEntries returns the entries in the order of preference for a subject, by
+// rendezvous hashing. Different subjects are spread over the entries.
 func (a *Agent) rankedEntries(subject string) []string {
 	entries := append([]string(nil), a.settings.Entries()...)
 	sort.Slice(entries, func(i, j int) bool {
@@ -40,8 +40,8 @@
 	return entries
 }
 
-// restoreConfig puts the configuration in force that was so before a restart,
-// so that an agent that is cut off goes on, and never goes back.
+// restoreConfig applies the configuration that was stored before a restart, so that an
+// agent without a reachable entry keeps working and revisions never go backwards.
 func (a *Agent) restoreConfig() {
 	raw, err := a.folder.Read(configFile)
 	if err != nil {
@@ -49,7 +49,7 @@
 	}
 	var d contract.Delta
 	if err := msgpack.Unmarshal(raw, &d); err != nil {
-		_ = level.Warn(a.process.Logger).Log("msg", "stored configuration cannot be read; waiting for an entry's", "err", err)
+		_ = level.Warn(a.process.Logger).Log("msg", "stored configuration cannot be decoded; waiting for one from an entry", "err", err)
 		return
 	}
 	a.state.ApplyDelta(d)
@@ -72,15 +72,17 @@
 	daemon.Wake(a.configChanged)
 }
 
-// labels returns the labels in force on this VM.
+// labels returns the effective labels of this VM.
 func (a *Agent) labels() vm.Labels {
 	return a.state.View().LabelsOf(a.process.Identity.ID(), a.settings.Labels())
 }
 
-// reconcileInterval bounds how long a missed wake-up can go unnoticed.
+// reconcileInterval is the interval between reconciliations without a wake-up. It bounds
+// the delay that a missed wake-up causes.
 const reconcileInterval = time.Second
 
-// reconcile starts and ends copies as the configuration says.
+// reconcile starts and stops copiers to match the configuration, until the context
+// ends.
 func (a *Agent) reconcile(ctx context.Context) error {
 	ticker := time.NewTicker(reconcileInterval)
 	defer ticker.Stop()
@@ -123,8 +125,9 @@
 	a.evict(view, wanted)
 }
 
-// evict removes the copies that no configuration names any more. What a group
-// elsewhere carries stays: it may be asked of us, or come back.
+// evict removes the copies that the configuration no longer names. A copy of a model
+// that the configuration still names stays, even if it is assigned only to other VMs:
+// other agents may fetch it from here, or it may be assigned to this VM again.
 func (a *Agent) evict(view *configstate.View, wanted map[contract.Digest]configstate.Assignment) {
 	if view.Revision() == 0 {
 		return
@@ -138,9 +141,9 @@
 	a.removeLeftovers(view, wanted)
 }
 
-// removeLeftovers removes files of copies that no configuration names. What is
-// left over changes with the configuration only, so the folder is read once a
-// revision and not once a second.
+// removeLeftovers removes files of copies that the configuration doesn't name. Leftovers
+// arise only when the configuration changes, so the folder is read once for each
+// revision and not in each reconciliation.
 func (a *Agent) removeLeftovers(view *configstate.View, wanted map[contract.Digest]configstate.Assignment) {
 	if a.sweptRevision == view.Revision() {
 		return
@@ -167,5 +170,5 @@
 	a.process.Recorder.Record(event.CopyRemoved, digest.Short(), "no configuration names it")
 }
 
-// Revision returns the configuration revision in force here.
+// Revision returns the revision of the configuration that this agent has applied.
 func (a *Agent) Revision() uint64 { return a.state.Revision() }
--- a/pkg/agent/copier.go
+++ b/pkg/agent/copier.go
@@ -1,7 +1,7 @@
 // ================================================================
-// The copier: the shell around a spread.Swarm. One goroutine owns the swarm;
-// fetches, neighbours' announcements and plans come to it as functions over a
-// channel.
+// The copier does the input and output for a spread.Swarm, which decides what to fetch.
+// One goroutine owns the swarm. Results of fetches, neighbours' announcements and the
+// coordinator's plans reach it as functions over a channel.
 // ================================================================
 
 package agent
@@ -22,24 +22,25 @@
 )
 
 const (
-	// reportInterval is the time between reports to the coordinator when nothing
-	// has happened that it waits for.
+	// reportInterval is the interval between reports to the coordinator. The end of a
+	// leased fetch is reported at once.
 	reportInterval = time.Second
-	// doneReportInterval is the time between those of a whole copy, which others
-	// only need to find it.
+	// doneReportInterval is the interval between reports of a complete copy, which only
+	// serve to let others find it.
 	doneReportInterval = 4 * time.Second
-	// firstReports come sooner, so that a burst starts at once.
+	// The first initialReports reports are sent at initialReportInterval, so that
+	// copies that start on many VMs at once get plans early.
 	initialReportInterval = 100 * time.Millisecond
 	initialReports        = 10
-	// copyRetryDelay is the time before a copy is opened again after a disk error.
+	// copyRetryDelay is the delay before a copy is opened again after a disk error.
 	copyRetryDelay = 5 * time.Second
 	// fetchTimeout bounds one fetch of a chunk.
 	fetchTimeout = 60 * time.Second
-	// corruptChunkDelay follows a chunk of the origin that does not verify.
+	// corruptChunkDelay is the delay after a chunk from the origin failed verification.
 	corruptChunkDelay = 500 * time.Millisecond
 )
 
-// copier brings one copy to this VM.
+// copier fetches one copy to this VM. Its mutable state belongs to the goroutine of run.
 type copier struct {
 	agent          *Agent
 	assignment     configstate.Assignment
@@ -50,20 +51,20 @@
 	subscriptions  map[vm.ID]context.CancelFunc
 	endedLeases    []uint32
 	reportInFlight bool
-	// reportAgain asks for another report once the one under way is answered.
+	// reportAgain requests another report when the one in flight is answered.
 	reportAgain bool
 	reportsSent int
 }
 
-// copyWithRetries brings a copy here and goes on serving it to others, until the
-// context ends.
+// copyWithRetries fetches a copy and then continues to report it, until the context
+// ends. It starts again after an error.
 func (a *Agent) copyWithRetries(ctx context.Context, assignment configstate.Assignment) {
 	for ctx.Err() == nil {
 		err := a.runCopier(ctx, assignment)
 		if err == nil || ctx.Err() != nil {
 			return
 		}
-		_ = level.Error(a.process.Logger).Log("msg", "copy failed; trying again", "digest", assignment.Digest.Short(), "err", err)
+		_ = level.Error(a.process.Logger).Log("msg", "copy failed; retrying", "digest", assignment.Digest.Short(), "err", err)
 		a.copies.setPhase(assignment.Digest, contract.PhaseFailed)
 		select {
 		case <-time.After(copyRetryDelay):
@@ -94,11 +95,11 @@
 	return cp.run(ctx)
 }
 
-// eventBuffer is how many events may wait for the copier's goroutine.
+// eventBuffer is the capacity of a copier's event channel.
 const eventBuffer = 256
 
-// run fetches until the copy is whole, completes it, and then keeps reporting
-// so that others find it.
+// run fetches until the copy has all chunks, completes it on disk, and then continues
+// to report it so that others find it.
 func (c *copier) run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -130,8 +131,8 @@
 	}
 }
 
-// handlePendingEvents takes what else waits, so that a burst of announcements makes
-// one choice and not one each.
+// handlePendingEvents runs all queued events, so that the next fetches are chosen once
+// for a burst of announcements and not once for each.
 func (c *copier) handlePendingEvents() {
 	for {
 		select {
@@ -161,7 +162,7 @@
 	c.report(ctx)
 }
 
-// post hands an event to the copier's goroutine.
+// post queues an event for the copier's goroutine.
 func (c *copier) post(ctx context.Context, f func(now time.Time)) {
 	select {
 	case c.events <- f:
@@ -170,13 +171,14 @@
 }
 
 // ----------------------------------------------------------------
-// The coordinator
+// Reports to the coordinator
 
-// report tells the coordinator what is here and takes its plan.
+// report sends the coordinator the chunks held and the leases that ended, and applies
+// the plan that it returns. It does not block.
 func (c *copier) report(ctx context.Context) {
 	if c.reportInFlight {
-		// What happened since it was sent must not wait for the next tick: a
-		// finished lease stands for the next one.
+		// Changes since that report must not wait for the next interval: the
+		// coordinator grants a new lease when one has ended.
 		c.reportAgain = true
 		return
 	}
@@ -203,8 +205,8 @@
 // reportTimeout bounds one report.
 const reportTimeout = 3 * time.Second
 
-// sendReport asks the entries in the order that all agents of the domain
-// share for this digest; the first that answers is the coordinator.
+// sendReport tries the entries in the order that all agents of the failure domain
+// share for this digest. The first one that answers is the coordinator.
 func (a *Agent) sendReport(ctx context.Context, r contract.SpreadReport) (contract.SpreadPlan, bool) {
 	for _, address := range a.rankedEntries(r.Digest().String()) {
 		callContext, cancel := context.WithTimeout(ctx, reportTimeout)
--- a/pkg/agent/copier_fetches.go
+++ b/pkg/agent/copier_fetches.go
@@ -1,6 +1,6 @@
 // ================================================================
-// A copier's fetches: started as the swarm chooses, verified as they are
-// written, and reported to the swarm with what came of them.
+// A copier's fetches: the swarm chooses them, writing to disk verifies the chunk, and
+// the result goes back to the swarm.
 // ================================================================
 
 package agent
@@ -42,8 +42,8 @@
 		err = c.copy.Write(f.Chunk, data)
 	}
 	if f.Peer.ID() == spread.Origin && failure.Is(err, failure.CorruptChunk) {
-		// The version changed at the origin, or a proxy before it is broken:
-		// asking again at once would only draw the same bytes again.
+		// The version changed at the origin, or a proxy in front of it is broken.
+		// An immediate retry would get the same bytes.
 		c.agent.pause(fetchContext, corruptChunkDelay)
 	}
 	c.post(ctx, func(now time.Time) {
@@ -68,8 +68,8 @@
 	}
 }
 
-// underLease tells whether a fetch was made under a lease of the coordinator, who
-// then hears of its end.
+// underLease reports whether the coordinator granted a lease for the fetch. The end of
+// such a fetch is reported to it.
 func (c *copier) underLease(f spread.Fetch) bool {
 	return f.Peer.ID() == spread.Origin || f.Peer.Domain() != c.agent.process.Identity.Domain()
 }
@@ -90,7 +90,7 @@
 	}
 }
 
-// fetchChunk reads a chunk from the origin or from another agent.
+// fetchChunk fetches a chunk from the origin or from another agent.
 func (a *Agent) fetchChunk(ctx context.Context, assignment configstate.Assignment, f spread.Fetch) ([]byte, error) {
 	_, length := assignment.Manifest.ChunkRange(f.Chunk)
 	if err := waitBytes(ctx, a.download, length); err != nil {
--- a/pkg/agent/copier_neighbours.go
+++ b/pkg/agent/copier_neighbours.go
@@ -1,5 +1,6 @@
 // ================================================================
-// What a copier's neighbours hold: one stream of announcements from each.
+// Receives announcements of the chunks that a copier's neighbours hold, over one stream
+// from each neighbour.
 // ================================================================
 
 package agent
@@ -15,7 +16,8 @@
 	"github.com/tidepost/tidepost/pkg/vm"
 )
 
-// updateSubscriptions keeps one stream of announcements open from each neighbour.
+// updateSubscriptions opens a stream of announcements from each new neighbour and closes
+// those of former ones.
 func (c *copier) updateSubscriptions(ctx context.Context, neighbours []vm.Identity) {
 	wanted := map[vm.ID]bool{}
 	for _, n := range neighbours {
@@ -23,9 +25,9 @@
 		if c.subscriptions[n.ID()] != nil {
 			continue
 		}
-		listenContext, cancel := context.WithCancel(ctx)
+		streamContext, cancel := context.WithCancel(ctx)
 		c.subscriptions[n.ID()] = cancel
-		go c.receiveAnnouncements(listenContext, n)
+		go c.receiveAnnouncements(streamContext, n)
 	}
 	for id, cancel := range c.subscriptions {
 		if !wanted[id] {
--- a/pkg/agent/copy_table.go
+++ b/pkg/agent/copy_table.go
@@ -1,9 +1,9 @@
 // ================================================================
-// The table of copies on this VM: what is wanted, how far each one has come,
-// and how many requests use it.
+// The table of copies on this VM: for each its assignment, phase and progress, and the
+// number of requests that use it.
 //
-// A copy is ready only while its engine reports the digest. A request pins it,
-// so that it is not unloaded under a request's feet.
+// A copy is ready only while the engine reports its digest. A request pins the copy, so
+// that it is not unloaded while the request runs.
 // ================================================================
 
 package agent
@@ -25,10 +25,10 @@
 	phase          contract.CopyPhase
 	verifiedChunks int
 	totalChunks    int
-	pins           int
+	pins           int // requests in flight that use the copy
 }
 
-// copyTable is safe for use by several goroutines.
+// copyTable is safe for concurrent use.
 type copyTable struct {
 	recorder *event.Recorder
 
@@ -40,7 +40,7 @@
 	return &copyTable{recorder: r, copies: map[contract.Digest]*copyState{}}
 }
 
-// markWanted puts a copy into the table.
+// markWanted sets the assignment of a copy, and adds the copy if it is not in the table.
 func (t *copyTable) markWanted(a configstate.Assignment) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -53,7 +53,7 @@
 	c.assignment, c.wanted = a, true
 }
 
-// markUnwanted marks a copy that no selector gives this VM any more.
+// markUnwanted marks a copy that the configuration no longer assigns to this VM.
 func (t *copyTable) markUnwanted(d contract.Digest) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -62,7 +62,7 @@
 	}
 }
 
-// remove takes a copy out.
+// remove deletes a copy from the table.
 func (t *copyTable) remove(d contract.Digest) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -83,7 +83,7 @@
 	return digests
 }
 
-// setVerifiedChunks notes how many chunks are verified.
+// setVerifiedChunks records the number of verified chunks of a copy.
 func (t *copyTable) setVerifiedChunks(d contract.Digest, chunks int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -92,7 +92,7 @@
 	}
 }
 
-// setPhase moves a copy to a phase and tells whether that was a change.
+// setPhase moves a copy to a phase and reports whether the phase changed.
 func (t *copyTable) setPhase(d contract.Digest, phase contract.CopyPhase) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -105,8 +105,8 @@
 	return true
 }
 
-// markVerified notes that a copy is whole on disk. One that is loading or ready
-// stays so: it was whole all the time and only wanted again.
+// markVerified records that a copy is complete on disk. A copy that is loading or ready
+// keeps its phase: it was complete before and became wanted again.
 func (t *copyTable) markVerified(d contract.Digest) {
 	t.mu.Lock()
 	c := t.copies[d]
@@ -117,7 +117,8 @@
 	}
 }
 
-// pin keeps a ready copy loaded until unpin; false when it is not ready.
+// pin keeps a ready copy loaded until unpin is called. It reports false if the copy is
+// not ready.
 func (t *copyTable) pin(d contract.Digest) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -137,8 +138,8 @@
 	}
 }
 
-// retire moves a ready copy that is not in use out of service, and tells
-// whether it did. No request can be admitted to it from then on.
+// retire takes a ready copy without pins out of service and reports whether it did. No
+// request can pin the copy afterwards.
 func (t *copyTable) retire(d contract.Digest) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -151,7 +152,7 @@
 	return true
 }
 
-// snapshot returns all copies in one order.
+// snapshot returns all copies, sorted by model and digest.
 func (t *copyTable) snapshot() []copyState {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -169,7 +170,7 @@
 	return copies
 }
 
-// report returns the copies as heartbeats carry them.
+// report returns the copies in the form that heartbeats carry.
 func (t *copyTable) report() []contract.Copy {
 	var copies []contract.Copy
 	for _, c := range t.snapshot() {
--- a/pkg/agent/copy_table_test.go
+++ b/pkg/agent/copy_table_test.go
@@ -9,6 +9,8 @@
 	"github.com/tidepost/tidepost/pkg/event"
 )
 
+// A copy that stops being wanted and is wanted again while it is loaded must stay ready:
+// verifying it a second time must not move it back to the phase "verified".
 func TestCopyWantedAgainStaysReady(t *testing.T) {
 	table := newCopyTable(event.NewRecorder("agent", event.NewClock(time.Now), 16))
 	manifest := contract.ManifestOf([]byte("weights"), 4)
@@ -20,13 +22,13 @@
 	table.markWanted(a)
 	table.markVerified(a.Digest)
 	if !table.pin(a.Digest) {
-		t.Error("a copy that is loaded went out of service when it was wanted again")
+		t.Error("a ready copy is not ready any more after it was wanted again")
 	}
 	if table.retire(a.Digest) {
 		t.Error("a copy in use was retired")
 	}
 	table.unpin(a.Digest)
 	if !table.retire(a.Digest) || table.pin(a.Digest) {
-		t.Error("a retired copy takes requests")
+		t.Error("an unused copy was not retired, or a retired copy can be pinned")
 	}
 }
--- a/pkg/agent/drain.go
+++ b/pkg/agent/drain.go
@@ -1,6 +1,7 @@
 // ================================================================
-// Leaving: on a signal or an operator's word the gate closes, every entry is
-// told, what is in flight ends, and the process goes.
+// Draining: on a signal or an operator's order the agent stops admitting requests,
+// informs every entry by heartbeat, waits for the requests in flight, at most for
+// drain.limit, and exits.
 // ================================================================
 
 package agent
@@ -16,8 +17,8 @@
 	"github.com/tidepost/tidepost/pkg/link"
 )
 
-// finalHeartbeatPeriod is how long an idle agent stays, so that its last heartbeats and
-// refusals reach the entries.
+// finalHeartbeatPeriod is how long a drained agent keeps running, so that its last
+// heartbeats and refusals reach the entries.
 const finalHeartbeatPeriod = 500 * time.Millisecond
 
 func (a *Agent) serveDrain(_ context.Context, s *link.Stream) error {
@@ -34,7 +35,7 @@
 	if inFlight == 0 {
 		return "draining; nothing in flight"
 	}
-	return "draining; requests in flight go on to their end"
+	return "draining; waiting for requests in flight"
 }
 
 func (a *Agent) beginDrain(reason string) {
@@ -43,7 +44,7 @@
 	}
 }
 
-// waitDrain returns once the agent may go.
+// waitDrain returns when the process may exit.
 func (a *Agent) waitDrain(ctx context.Context, signals <-chan os.Signal) error {
 	if !a.drain.Await(ctx, signals, a.beginDrain) || a.hooks.Faults.SkipDrainWait {
 		return nil
--- a/pkg/agent/heartbeats.go
+++ b/pkg/agent/heartbeats.go
@@ -1,9 +1,8 @@
 // ================================================================
-// Heartbeats: what this agent tells each entry of its failure domain.
+// Heartbeats of this agent to each entry of its failure domain.
 //
-// They are sent to all entries, not to one that passes them on: an agent that
-// is leaving must be known to be so everywhere at once, and the platform's
-// list lags.
+// They are sent to all entries and not to one that forwards them: each entry must learn
+// at once that an agent drains, and the platform's list lags behind.
 // ================================================================
 
 package agent
@@ -20,13 +19,13 @@
 	"github.com/tidepost/tidepost/pkg/link"
 )
 
-// wallClock is the wall clock that requests are checked against.
+// wallClock returns the time that requests' deadlines are checked against.
 func wallClock() time.Time { return time.Now() }
 
 func revisionText(revision uint64) string { return "revision " + strconv.FormatUint(revision, 10) }
 
-// sendHeartbeats sends to each entry from a goroutine of its own, so that one
-// that is cut off delays nobody else's.
+// sendHeartbeats sends to each entry from its own goroutine, so that an unreachable
+// entry doesn't delay the heartbeats to others.
 func (a *Agent) sendHeartbeats(ctx context.Context) error {
 	for _, address := range a.settings.Entries() {
 		go a.sendHeartbeatsTo(ctx, address)
@@ -42,7 +41,7 @@
 	defer ticker.Stop()
 	var sequence uint64
 	reachable := true
-	// Every entry is told at once when the agent begins to drain.
+	// The next heartbeat is sent at once when the agent begins to drain.
 	admissionClosed := a.admission.done()
 	for {
 		sequence++
@@ -70,15 +69,16 @@
 }
 
 func (a *Agent) heartbeat(sequence uint64) contract.Heartbeat {
-	inFlight, draining := a.admission.state()
+	inFlight, closeReason := a.admission.state()
 	state, _ := a.loader.lastState()
 	load := contract.NewLoad(uint32(inFlight), uint32(state.Queued), state.CacheFree, state.TokensPerSecond,
 		uint32(a.settings.MaxInFlight()))
 	return contract.NewHeartbeat(a.process.Identity, sequence, a.state.Revision(), a.settings.Labels(),
-		a.copies.report(), a.servedServices(), load, draining != "", a.traffic.origin.Load(), a.traffic.peers.Load())
+		a.copies.report(), a.servedServices(), load, closeReason != "", a.traffic.origin.Load(), a.traffic.peers.Load())
 }
 
-// servedServices returns the plain services that the configuration lets this VM front.
+// servedServices returns the plain services that the configuration assigns to this VM
+// and the agent has a client for.
 func (a *Agent) servedServices() []string {
 	var names []string
 	for _, name := range a.state.View().ServicesOf(a.labels()) {
--- a/pkg/agent/loader.go
+++ b/pkg/agent/loader.go
@@ -1,14 +1,15 @@
 // ================================================================
-// The loader: the only giver of orders to this VM's engine, one at a time.
+// The loader sends orders to this VM's engine, one at a time. No other code does.
 //
-// Ready means that the engine itself has reported the digest after an order
-// under the current fence. The engine is asked again and again; when it has
-// been restarted, or reports something else, the copies go back to verified
-// and are ordered anew.
+// A copy is ready when the engine has reported its digest after an order with the
+// current fencing token. The loader polls the engine. When the engine no longer reports
+// a digest, for instance after a restart, the copy returns to the phase "verified" and
+// is loaded again.
 //
-// Not all engines check fences. For those the agent is the fence: before an
-// order it writes a marker, and when it finds one after its own restart, or a
-// data folder that is new, it waits out the longest order before the next one.
+// Not all engines check fencing tokens. For those the loader writes a marker to disk
+// before an order. When it finds the marker open after its own restart, or the data
+// folder is new, an order may still be executing, so it waits for the time limit of
+// orders before the next one.
 // ================================================================
 
 package agent
@@ -30,19 +31,19 @@
 
 const (
 	fenceFile = "fence"
-	// markerDone and orderOpen are the two states of the marker.
+	// markerDone and markerOpen are the two states of the marker.
 	markerDone = "done"
 	markerOpen = "open"
-	// pollInterval is the time between questions to the engine.
+	// pollInterval is the interval between polls of the engine.
 	pollInterval = 500 * time.Millisecond
-	pollTimeout  = 2 * time.Second
+	pollTimeout  = 2 * time.Second // of one poll
 )
 
-// loader orders copies into the engine.
+// loader has the engine load and unload copies.
 type loader struct {
 	agent       *Agent
 	wakeup      chan struct{}
-	nextOrderAt time.Time
+	nextOrderAt time.Time // no order is sent before
 	fence       uint64
 
 	mu          sync.Mutex
@@ -51,7 +52,7 @@
 	failedPolls int
 }
 
-// newLoader reads the marker; fresh says that the data folder is new.
+// newLoader reads the marker. newFolder is set when the data folder has none yet.
 func newLoader(a *Agent, newFolder bool) *loader {
 	l := &loader{agent: a, wakeup: make(chan struct{}, 1)}
 	interrupted := newFolder
@@ -71,7 +72,7 @@
 	daemon.Wake(l.wakeup)
 }
 
-// run asks the engine and gives it orders until the context ends.
+// run polls the engine and sends it orders until the context ends.
 func (l *loader) run(ctx context.Context) error {
 	if l.agent.engine == nil {
 		<-ctx.Done()
@@ -91,8 +92,8 @@
 	}
 }
 
-// poll asks the engine for its state and takes out of service what it does
-// not report.
+// poll queries the state of the engine and takes copies out of service that it doesn't
+// report.
 func (l *loader) poll(ctx context.Context) {
 	pollContext, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
@@ -104,7 +105,8 @@
 	l.applyState(s)
 }
 
-// maxFailedPolls is how many questions in a row an engine may leave unanswered.
+// maxFailedPolls is the number of consecutive failed polls at which the engine counts as
+// lost.
 const maxFailedPolls = 2
 
 func (l *loader) handlePollFailure(err error) {
@@ -126,13 +128,15 @@
 	}
 }
 
+// applyState records a state that the engine reported, and takes copies out of service
+// that it doesn't contain.
 func (l *loader) applyState(s engine.State) {
 	l.mu.Lock()
 	restarted := l.reachable && l.state.Instance != s.Instance
 	l.state, l.reachable, l.failedPolls = s, true, 0
 	l.mu.Unlock()
 	if restarted {
-		l.agent.process.Recorder.Record(event.EngineLost, string(l.agent.process.Identity.ID()), "it was restarted")
+		l.agent.process.Recorder.Record(event.EngineLost, string(l.agent.process.Identity.ID()), "the engine restarted")
 	}
 	for _, c := range l.agent.copies.snapshot() {
 		if c.phase == contract.PhaseReady && !s.Serves(c.assignment.Model, c.assignment.Digest) {
@@ -141,7 +145,8 @@
 	}
 }
 
-// lastState returns what the engine last reported; false when it is lost.
+// lastState returns the last state that the engine reported, and whether the engine is
+// reachable.
 func (l *loader) lastState() (engine.State, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -151,9 +156,10 @@
 // ----------------------------------------------------------------
 // Orders
 
-// sendNextOrder gives the one order that is most needed, if any.
+// sendNextOrder sends at most one order. Loading a wanted copy goes before unloading a
+// superseded one.
 func (l *loader) sendNextOrder(ctx context.Context) {
-	if _, known := l.lastState(); !known || time.Now().Before(l.nextOrderAt) {
+	if _, reachable := l.lastState(); !reachable || time.Now().Before(l.nextOrderAt) {
 		return
 	}
 	copies := l.agent.copies.snapshot()
@@ -171,8 +177,8 @@
 	}
 }
 
-// superseded tells whether a loaded copy has to go: it is not wanted, or held
-// only, and if the model is wanted in another version, that one is ready.
+// superseded reports whether a loaded copy should be unloaded: this VM should not serve
+// it, and any other version of the model that it should serve is ready.
 func (l *loader) superseded(c copyState, copies []copyState) bool {
 	if c.wanted && c.assignment.Role == contract.RoleServe {
 		return false
@@ -217,8 +223,9 @@
 	l.wake()
 }
 
-// sendOrder writes the marker, gives the order and writes that it is done. If the
-// order's end is not known, the next one waits until it must be over.
+// sendOrder marks an order as open, sends it and marks it as done. If the outcome is
+// unknown and the engine doesn't check fencing tokens, the next order waits for the time
+// limit of orders, when this one must have ended.
 func (l *loader) sendOrder(ctx context.Context, o engine.Order) (engine.State, error) {
 	state, _ := l.lastState()
 	l.fence = max(l.fence, state.Fence) + 1
@@ -243,7 +250,7 @@
 	return s, l.writeDoneMarker(nil)
 }
 
-// shortDigestLength is how much of a digest the time line shows.
+// shortDigestLength is the number of characters of a digest in timeline events.
 const shortDigestLength = 12
 
 func (l *loader) writeMarker(marker string) error {
--- a/pkg/agent/requests.go
+++ b/pkg/agent/requests.go
@@ -1,5 +1,6 @@
 // ================================================================
-// Requests: from the gate through the engine or service and back.
+// Serves requests: admits them, sends them to the engine or a plain service, and sends
+// the answer back in parts.
 // ================================================================
 
 package agent
@@ -18,11 +19,12 @@
 )
 
 const (
-	// maxAnswerPart is how much of an answer goes into one message at most.
+	// maxAnswerPart is the largest part of an answer that one message carries, in bytes.
 	maxAnswerPart = 32 << 10
-	// streamEndEvent is the last event of a whole streamed answer.
+	// streamEndEvent is the last event of a complete streamed answer.
 	streamEndEvent = "data: [DONE]"
-	// streamTailSize is how much of a stream is kept to look for its end.
+	// streamTailSize is how many bytes at the end of a stream are searched for
+	// streamEndEvent.
 	streamTailSize = 64
 )
 
@@ -40,8 +42,8 @@
 	ctx, cancel := context.WithDeadline(ctx, r.DeadlineTime())
 	defer cancel()
 	if r.Repeatable() {
-		// A caller that went away frees the engine. What may not be repeated
-		// runs to its end, so that its outcome is known.
+		// The request is cancelled when the caller disconnects, to free the engine. A
+		// request that may not be repeated runs to its end, so that its outcome is known.
 		s.OnPeerClosed(cancel)
 	}
 	err = a.execute(ctx, s, backend, r)
@@ -53,8 +55,8 @@
 	return err
 }
 
-// admit makes every check, and returns what the request goes to. Nothing has
-// been sent to a backend server when it fails.
+// admit performs all checks and returns the backend server and a function that releases
+// the request. Nothing has been sent to a backend server when it fails.
 func (a *Agent) admit(r contract.Request) (*engine.Engine, func(), error) {
 	backend, pinned, err := a.findBackend(r)
 	if err != nil {
@@ -75,8 +77,8 @@
 	return backend, release, nil
 }
 
-// findBackend finds the service, or the engine with the very digest that the
-// request was pinned to.
+// findBackend returns the service, or the engine if the digest that the request is
+// pinned to is ready. In the second case it pins the copy and returns true.
 func (a *Agent) findBackend(r contract.Request) (*engine.Engine, bool, error) {
 	if r.Service() != "" {
 		backend := a.services[r.Service()]
@@ -91,7 +93,7 @@
 	return a.engine, true, nil
 }
 
-// execute sends the request to the backend server and its answer back.
+// execute sends the request to the backend server and the answer to the caller.
 func (a *Agent) execute(ctx context.Context, s *link.Stream, backend *engine.Engine, r contract.Request) error {
 	response, err := backend.SendRequest(ctx, r)
 	if err != nil {
@@ -104,18 +106,18 @@
 	return a.forwardAnswer(s, r, response)
 }
 
-// checkDigest refuses an answer of another version than was asked for.
+// checkDigest returns an error for an answer of another version than requested.
 func checkDigest(r contract.Request, h http.Header) error {
 	if r.Model() == "" {
 		return nil
 	}
 	servedDigest := h.Get(engine.DigestHeader)
 	return invariant.Check(servedDigest == "" || servedDigest == r.Digest().String(), "answer_of_other_version",
-		"%s asked of %s, answered by %s", r.Attempt(), r.Digest(), servedDigest)
+		"attempt %s is pinned to digest %s, answered by digest %s", r.Attempt(), r.Digest(), servedDigest)
 }
 
-// forwardAnswer sends the answer in numbered parts. The last one says that the
-// answer is whole, which for a stream takes its closing event as well.
+// forwardAnswer sends the answer in numbered parts. The last part marks the answer as
+// complete; a streamed answer is complete only if it ends with streamEndEvent.
 func (a *Agent) forwardAnswer(s *link.Stream, r contract.Request, response *http.Response) error {
 	sequence := uint64(0)
 	send := func(status int, contentType string, body []byte, end bool) error {
@@ -140,7 +142,7 @@
 			break
 		}
 		if err != nil {
-			return failure.New(failure.BackendFailed, "the answer broke off: %v", err).WithRan(failure.RanUnknown)
+			return failure.New(failure.BackendFailed, "reading the answer failed: %v", err).WithRan(failure.RanUnknown)
 		}
 	}
 	streamed := r.Stream() && response.StatusCode == http.StatusOK
--- a/pkg/entry/answer_check.go
+++ b/pkg/entry/answer_check.go
@@ -1,5 +1,6 @@
 // ================================================================
-// The check of each part of an answer.
+// Checks each part of an answer that an agent or another entry sends: it must
+// belong to the attempt, follow the part before it and be of the pinned version.
 // ================================================================
 
 package entry
@@ -11,18 +12,18 @@
 	"github.com/tidepost/tidepost/pkg/invariant"
 )
 
-// checkPart refuses a part of another attempt, of another version, or out of
-// order. An answer forwarded by an entry of another domain has that entry's
-// attempt, which begins with ours.
+// checkPart returns an error for a part of another attempt, of another version,
+// or out of order. An answer that an entry of another failure domain forwards
+// carries that entry's attempt ID, which has ours and a slash as its prefix.
 func checkPart(part contract.ResponsePart, r contract.Request, sequence uint64) error {
 	own := part.Attempt() == r.Attempt() || strings.HasPrefix(part.Attempt(), r.Attempt()+"/")
-	if err := invariant.Check(own, "answer_of_other_request", "%s got a part of %s", r.Attempt(), part.Attempt()); err != nil {
+	if err := invariant.Check(own, "answer_of_other_request", "attempt %s received a part of attempt %s", r.Attempt(), part.Attempt()); err != nil {
 		return err
 	}
 	if err := invariant.Check(part.Sequence() == sequence, "answer_out_of_order",
-		"%s got part %d, not %d", r.Attempt(), part.Sequence(), sequence); err != nil {
+		"attempt %s received part %d, expected part %d", r.Attempt(), part.Sequence(), sequence); err != nil {
 		return err
 	}
 	same := r.Digest().IsZero() || part.Digest() == r.Digest()
-	return invariant.Check(same, "answer_of_other_version", "%s pinned to %s, part of %s", r.Attempt(), r.Digest(), part.Digest())
+	return invariant.Check(same, "answer_of_other_version", "attempt %s is pinned to digest %s, received a part for digest %s", r.Attempt(), r.Digest(), part.Digest())
 }
--- a/pkg/entry/callers.go
+++ b/pkg/entry/callers.go
@@ -1,16 +1,16 @@
 // ================================================================
-// The callers' side: HTTP, with bounds on everything that comes in.
+// The HTTP API for callers. Connections, headers, bodies and deadlines are bounded.
 //
 //	POST /v1/chat/completions       a request to a model
 //	ANY  /services/{service}/*      a call to a plain service
-//	GET  /healthz, /readyz          for the balancer
+//	GET  /healthz, /readyz          for the load balancer
 //
-//	X-Tidepost-Organisation: larder      who calls; required
-//	X-Tidepost-Deadline: 20s             time left, or an RFC 3339 time
-//	Idempotency-Key: order-4711          one run for all requests with it
-//	X-Tidepost-Repeatable: false         may not run twice, whatever the service's
-//	                                     configuration allows
-//	X-Tidepost-Priority: 5               handed on to the engine
+//	X-Tidepost-Organisation: larder      the calling organisation; required
+//	X-Tidepost-Deadline: 20s             a timeout, or an RFC 3339 time
+//	Idempotency-Key: order-4711          requests with the same key run once
+//	X-Tidepost-Repeatable: false         the request must not run twice, whatever the
+//	                                     service's configuration allows
+//	X-Tidepost-Priority: 5               passed on to the engine
 // ================================================================
 
 package entry
@@ -35,21 +35,21 @@
 	"github.com/tidepost/tidepost/pkg/failure"
 )
 
-// The headers of callers.
+// Request headers that callers set.
 const (
 	HeaderOrganisation   = "X-Tidepost-Organisation"
 	HeaderDeadline       = "X-Tidepost-Deadline"
 	HeaderIdempotencyKey = "Idempotency-Key"
 	HeaderRepeatable     = "X-Tidepost-Repeatable"
 	HeaderPriority       = "X-Tidepost-Priority"
-	// HeaderRan says in an answer whether the request ran.
+	// HeaderRan is a response header that reports whether the request ran.
 	HeaderRan = "X-Tidepost-Ran"
 )
 
 const (
 	readHeaderTimeout = 5 * time.Second
 	idleTimeout       = 2 * time.Minute
-	maxKeyLength      = 256
+	maxKeyLength      = 256 // of an idempotency key, in bytes
 )
 
 func (e *Entry) serveCallers(ctx context.Context) error {
@@ -66,7 +66,7 @@
 	}, l)
 }
 
-// Handler returns the callers' routes.
+// Handler returns the HTTP handler of the callers' API.
 func (e *Entry) Handler() http.Handler {
 	router := chi.NewRouter()
 	router.Use(e.closeConnectionsWhenDraining)
@@ -81,8 +81,9 @@
 	return router
 }
 
-// closeConnectionsWhenDraining has each answer of an entry that drains say that its connection closes: a
-// caller that kept it would send a request as the entry goes.
+// closeConnectionsWhenDraining sets "Connection: close" on each response of a draining
+// entry. Otherwise a caller that keeps its connection could send a request while the
+// process exits.
 func (e *Entry) closeConnectionsWhenDraining(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if e.draining.Load() {
@@ -92,7 +93,7 @@
 	})
 }
 
-// serveReady tells the balancer whether to send requests here.
+// serveReady reports to the load balancer whether to send requests here.
 func (e *Entry) serveReady(w http.ResponseWriter, _ *http.Request) {
 	switch {
 	case e.draining.Load():
@@ -105,14 +106,14 @@
 }
 
 // ----------------------------------------------------------------
-// What all requests have
+// Request headers and body
 
-// callHeaders is what the headers of a request say.
+// callHeaders are the parsed headers of a request.
 type callHeaders struct {
 	organisation admission.Organisation
 	deadline     time.Time
 	key          string
-	repeatable   *bool
+	repeatable   *bool // nil when the header is absent
 	priority     int
 }
 
@@ -150,7 +151,8 @@
 	return c, nil
 }
 
-// readDeadline reads a duration from now or a time.
+// readDeadline parses a duration from now or an RFC 3339 time. The result is
+// capped by the setting requests.max_deadline.
 func (e *Entry) readDeadline(text string, now time.Time) (time.Time, error) {
 	if text == "" {
 		return now.Add(e.settings.DefaultDeadline()), nil
@@ -187,16 +189,17 @@
 	return nil, failure.New(failure.BadRequest, "the body cannot be read: %v", err)
 }
 
-// nextRequestID returns an id that no other entry, and no other life of this
-// one, gives out.
+// nextRequestID returns an ID that is unique over all entries and over all
+// incarnations of this one.
 func (e *Entry) nextRequestID() string {
 	return fmt.Sprintf("%s/%d", e.process.Identity, e.requests.Add(1))
 }
 
 // ----------------------------------------------------------------
-// Answers
+// Responses
 
-// errorBody is the customary shape of an error, with what our callers need.
+// errorBody is the JSON body of an error, in the form that chat-completions APIs
+// use, with further fields: remedy, ran and retry_after_seconds.
 type errorBody struct {
 	Error errorDetail `json:"error"`
 }
@@ -213,7 +216,7 @@
 	return errorBody{errorDetail{string(f.Kind()), f.Message(), f.Remedy(), f.Ran().String(), f.RetryAfter().Seconds()}}
 }
 
-// writeError answers with a failure before anything else was written.
+// writeError answers with an error. No part of the response may have been written.
 func (e *Entry) writeError(w http.ResponseWriter, err error) {
 	f := failure.Of(err)
 	e.metrics.requests.WithLabelValues(string(f.Kind())).Inc()
@@ -227,7 +230,8 @@
 	_ = json.NewEncoder(w).Encode(newErrorBody(f))
 }
 
-// newStreamSink passes an answer to the caller as it comes.
+// newStreamSink returns a sink that writes and flushes each part of an answer to
+// the caller as it arrives.
 func (e *Entry) newStreamSink(w http.ResponseWriter) *sink {
 	controller := http.NewResponseController(w)
 	return &sink{write: func(part contract.ResponsePart) error {
@@ -246,9 +250,9 @@
 	}}
 }
 
-// finish ends an answer. One that had begun cannot get another status: a
-// stream gets an error event, and any other is broken off so that nobody
-// takes the part for the whole.
+// finish ends a response. When an error occurs after the status was sent, a streamed
+// response gets an error event, and the connection is aborted so that the caller
+// does not take a truncated response for a complete one.
 func (e *Entry) finish(w http.ResponseWriter, out *sink, streamed bool, err error) {
 	if err == nil {
 		e.metrics.requests.WithLabelValues("answered").Inc()
--- a/pkg/entry/calls.go
+++ b/pkg/entry/calls.go
@@ -1,6 +1,6 @@
 // ================================================================
-// What every call goes through, whatever it is for: headers, body, admission,
-// execution, answer.
+// The steps that calls to models and to services share: read headers and body,
+// admit, execute, respond.
 // ================================================================
 
 package entry
@@ -13,8 +13,8 @@
 	"github.com/tidepost/tidepost/pkg/failure"
 )
 
-// serveCall reads a call, has build make the work of it, and serves it if the
-// organisation is admitted.
+// serveCall reads a call, makes a request of it with build, and executes it if
+// admission control grants the organisation a slot.
 func (e *Entry) serveCall(w http.ResponseWriter, r *http.Request, build func(c callHeaders, body []byte) (*pendingRequest, error)) {
 	now := time.Now()
 	c, pending, err := e.readCall(w, r, now, build)
@@ -46,7 +46,7 @@
 
 // servePending executes a request and answers its caller.
 func (e *Entry) servePending(w http.ResponseWriter, r *http.Request, pending *pendingRequest, c callHeaders) {
-	// The deadline bounds everything from here, the claim's quorum included.
+	// The deadline bounds all further steps, including the quorum write of the claim.
 	ctx, cancel := context.WithDeadline(r.Context(), pending.request.DeadlineTime())
 	defer cancel()
 	if c.key != "" && !pending.request.Repeatable() {
@@ -58,8 +58,9 @@
 	e.finish(w, out, pending.request.Stream(), err)
 }
 
-// serveClaimed answers a keyed request that may not be repeated. Its answer is
-// whole before it goes out, since the same bytes are stored for a resend.
+// serveClaimed executes a request that has an idempotency key and may not be
+// repeated. It buffers the whole answer, because the same bytes are stored and
+// returned when the caller sends the request again.
 func (e *Entry) serveClaimed(ctx context.Context, w http.ResponseWriter, pending *pendingRequest, key string) {
 	outcome, err := e.executeClaimed(ctx, pending, key)
 	if err != nil {
--- a/pkg/entry/catch_up.go
+++ b/pkg/entry/catch_up.go
@@ -1,12 +1,11 @@
 // ================================================================
-// Catching up after a start. An entry that has just started may hold an older
-// configuration than it had in force before: a voter learns anew how far the
-// log is committed, and an entry without a disk begins with nothing. It serves
-// nobody until it has what a quorum confirms.
+// Catching up after a start. After a restart an entry may hold an older configuration
+// than before: a voter has to relearn the commit index, and an entry without a disk
+// starts empty. It serves no callers until it has the revision that a quorum confirms.
 //
-// When no quorum can be reached it waits a while and then takes the highest
-// revision that anyone in reach has, itself included: a domain that is cut off
-// goes on serving, and says that its configuration is not confirmed.
+// When no quorum is reachable for quorumWaitTimeout, the entry accepts the highest
+// revision that it or any reachable entry has, so that a partitioned failure domain
+// keeps serving. It then reports its configuration as not confirmed.
 // ================================================================
 
 package entry
@@ -23,11 +22,11 @@
 )
 
 const (
-	// catchUpInterval is the time between two rounds over the entries.
+	// catchUpInterval is the delay between two rounds over the entries.
 	catchUpInterval = 100 * time.Millisecond
-	// quorumWaitTimeout is how long a quorum is waited for.
+	// quorumWaitTimeout is how long the entry waits for a quorum.
 	quorumWaitTimeout = 5 * time.Second
-	// revisionCallTimeout bounds the question to one entry.
+	// revisionCallTimeout bounds the query to one entry.
 	revisionCallTimeout = time.Second
 )
 
@@ -48,8 +47,9 @@
 	}
 }
 
-// targetRevision returns the revision to reach: what a quorum confirms, or else
-// the highest that anyone in reach has.
+// targetRevision returns the revision to reach: the one that a quorum confirms, or
+// else the highest of this entry and of all reachable ones. known is false when no
+// revision was found.
 func (e *Entry) targetRevision(ctx context.Context) (revision uint64, confirmed, known bool) {
 	if e.runner != nil {
 		readContext, cancel := context.WithTimeout(ctx, revisionCallTimeout)
@@ -78,7 +78,7 @@
 	return revision, false, known
 }
 
-// checkReady refuses callers until the entry has caught up.
+// checkReady returns an error until the entry has caught up.
 func (e *Entry) checkReady() error {
 	if e.caughtUp.Load() && e.state.Revision() > 0 {
 		return nil
@@ -86,6 +86,6 @@
 	return failure.New(failure.NotReady, "this entry has just started and has no confirmed configuration yet")
 }
 
-// ServedRevision returns the configuration revision that callers are served
-// with; false while the entry serves nobody.
+// ServedRevision returns the configuration revision in use for callers, and whether
+// the entry has caught up and serves them.
 func (e *Entry) ServedRevision() (uint64, bool) { return e.state.Revision(), e.caughtUp.Load() }
--- a/pkg/entry/chat.go
+++ b/pkg/entry/chat.go
@@ -1,5 +1,5 @@
 // ================================================================
-// Requests to models, in the customary chat-completions shape.
+// Requests to models, in the format of the chat-completions API.
 // ================================================================
 
 package entry
@@ -18,13 +18,13 @@
 const (
 	chatPath        = "/v1/chat/completions"
 	contentTypeJSON = "application/json"
-	// prefixBytes is how much of a prompt is hashed to find replicas that
-	// have its beginning in their cache.
+	// prefixBytes is how much of a prompt is hashed. Requests with the same hash
+	// go to replicas that have the beginning of the prompt in their cache.
 	prefixBytes = 1024
 )
 
-// chatBody are the parts of a chat request that the entry needs; the body goes
-// to the engine as it came.
+// chatBody holds the fields of a chat request that the entry needs. The engine
+// receives the body unchanged.
 type chatBody struct {
 	Model    string `json:"model"`
 	Stream   bool   `json:"stream"`
@@ -58,7 +58,8 @@
 	return body, nil
 }
 
-// prefixHash hashes the beginning of the conversation.
+// prefixHash hashes the roles and the first prefixBytes of content of a
+// conversation. It returns an empty string when there is no content.
 func prefixHash(body chatBody) string {
 	h := xxhash.New()
 	remaining := prefixBytes
--- a/pkg/entry/claims.go
+++ b/pkg/entry/claims.go
@@ -1,9 +1,10 @@
 // ================================================================
-// Requests that may not be repeated and carry an idempotency key: claim, then
-// send once. The claim is durable on a quorum before a byte goes to an agent.
+// Requests that may not be repeated and carry an idempotency key. The entry claims
+// the key first and then sends the request once. The claim is durable on a quorum
+// before anything is sent to an agent.
 //
-// A request without a key is its own claim: nobody can send it again, so the
-// entry that took it sends it once, quorum or not.
+// A request without a key needs no claim: the caller cannot identify it in a resend,
+// so the entry that received it sends it once, with or without a quorum.
 // ================================================================
 
 package entry
@@ -19,13 +20,14 @@
 )
 
 const (
-	// settleTimeout bounds how long an answer waits for its outcome to be
-	// stored. Unstored, the key answers "outcome unknown" and never runs again.
+	// settleTimeout bounds how long a response waits for its outcome to be stored.
+	// If storing fails, later requests with the key get "outcome unknown" and never run
+	// again.
 	settleTimeout = time.Second
 )
 
-// executeClaimed runs a keyed request once over all entries. It returns the
-// answer as stored, also to a resend.
+// executeClaimed runs a request with an idempotency key at most once over all
+// entries. A resend gets the stored outcome.
 func (e *Entry) executeClaimed(ctx context.Context, p *pendingRequest, key string) (contract.Outcome, error) {
 	r := p.request
 	if e.hooks.Faults.SkipClaim {
@@ -34,11 +36,11 @@
 	claim := contract.NewClaim(r.Organisation(), key, r.Attempt(), contract.DigestOf(append([]byte(r.Method()+" "+r.Path()+"\n"), r.Body()...)), r.Deadline())
 	var result contract.ClaimResult
 	if err := e.proposals.propose(ctx, agreed.CommandClaim, claim, &result); err != nil {
-		// This call sent nothing to an agent, whatever became of the claim. What
-		// an earlier call with the key did, nobody here can tell.
+		// This call sent nothing to an agent, whether or not the claim was stored.
+		// Whether an earlier call with the key ran is unknown here.
 		f := failure.Of(err)
 		return contract.Outcome{}, failure.New(f.Kind(),
-			"no claim for key %q: %s; this call did not run, whether an earlier one with the key did is not known here", key, f.Message())
+			"no claim for key %q: %s; this call did not run, whether an earlier call with the key ran is unknown here", key, f.Message())
 	}
 	if result.Refusal() != nil {
 		return contract.Outcome{}, result.Refusal()
@@ -54,6 +56,8 @@
 	}
 }
 
+// storedOutcome returns a stored outcome, or an error when the answer was lost or
+// exceeded the size that is stored.
 func storedOutcome(o contract.Outcome, key string) (contract.Outcome, error) {
 	if !o.Known() {
 		return o, failure.New(failure.OutcomeUnknown, "the request with key %q was sent and its answer was lost", key).WithRan(failure.RanUnknown)
@@ -65,7 +69,7 @@
 	return o, nil
 }
 
-// runClaimed sends a claimed request and stores what came of it.
+// runClaimed sends a claimed request and stores its outcome.
 func (e *Entry) runClaimed(ctx context.Context, p *pendingRequest, key string) (contract.Outcome, error) {
 	c := collector{}
 	err := e.execute(ctx, p, c.sink())
@@ -79,7 +83,7 @@
 	return outcome, nil
 }
 
-// settle stores the outcome, within a time of its own: the caller's deadline
+// settle stores the outcome. It uses its own timeout, because the caller's deadline
 // may have passed.
 func (e *Entry) settle(ctx context.Context, s contract.Settle) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), settleTimeout)
@@ -96,7 +100,7 @@
 // ----------------------------------------------------------------
 // Collecting an answer
 
-// collector puts the parts of an answer together.
+// collector assembles an answer from its parts.
 type collector struct {
 	status      int
 	contentType string
--- a/pkg/entry/control.go
+++ b/pkg/entry/control.go
@@ -1,6 +1,6 @@
 // ================================================================
-// The shell of the control log on an entry: its messages over links, and the
-// operators' changes of voters.
+// Runs the control log on an entry that is a voter: sends and receives its messages
+// over links, and carries out operators' changes of voters.
 // ================================================================
 
 package entry
@@ -19,7 +19,7 @@
 	"github.com/tidepost/tidepost/pkg/vm"
 )
 
-// operatorTimeout bounds what an operator's call waits for a quorum.
+// operatorTimeout bounds how long an operator's call waits for a quorum.
 const operatorTimeout = 5 * time.Second
 
 func (e *Entry) openControlLog(folder *disk.Folder) error {
@@ -38,8 +38,8 @@
 	return err
 }
 
-// runControlLog runs the voter. A voter whose disk fails stops; the entry goes
-// on routing and refuses changes.
+// runControlLog runs the voter. A voter whose disk fails stops, while the entry
+// continues to route requests and refuses changes.
 func (e *Entry) runControlLog(ctx context.Context) error {
 	go e.watchLeader(ctx)
 	if err := e.runner.Run(ctx); err != nil {
@@ -49,11 +49,11 @@
 	return nil
 }
 
-// leaderPollInterval is the time between looks at who leads.
+// leaderPollInterval is the interval between checks for a leader.
 const leaderPollInterval = 500 * time.Millisecond
 
-// watchLeader notes that a leader is known, for the mark "confirmed" of what
-// followers get.
+// watchLeader records when a leader was last known. The configuration sent to
+// followers is marked "confirmed" only if that was recently.
 func (e *Entry) watchLeader(ctx context.Context) {
 	_ = daemon.Every(ctx, leaderPollInterval, func() {
 		s := e.runner.State()
@@ -128,8 +128,8 @@
 	return s.Send(contract.NewAcknowledgement(string(c.Action()) + " accepted"))
 }
 
-// forwardToLeader hands a change of voters to the leader when that is another
-// entry.
+// forwardToLeader forwards a change of voters when another entry is the leader, and
+// reports whether it did.
 func (e *Entry) forwardToLeader(ctx context.Context, s *link.Stream, c contract.VoterChange) (bool, error) {
 	state := e.runner.State()
 	if state.Role == controllog.Leader || state.Leader.Address() == "" {
@@ -142,7 +142,7 @@
 	return true, s.Send(a)
 }
 
-// voterActions is the table of changes.
+// voterActions maps each action to its implementation.
 var voterActions = map[contract.VoterAction]func(*Entry, context.Context, contract.VoterChange) error{
 	contract.VoterBootstrap: (*Entry).bootstrap,
 	contract.VoterAdd:       (*Entry).addVoter,
@@ -153,8 +153,8 @@
 	return e.runner.Bootstrap(ctx)
 }
 
-// addVoter asks the new voter for its identity first, so that nobody types an
-// incarnation and a folder that was formatted again is noticed.
+// addVoter queries the new voter for its identity first. An operator then need not
+// enter the incarnation, and a reformatted data folder is detected.
 func (e *Entry) addVoter(ctx context.Context, c contract.VoterChange) error {
 	var identity vm.Identity
 	if err := e.process.Endpoint.Call(ctx, c.Address(), link.KindVoterIdentity, contract.Acknowledgement{}, &identity); err != nil {
--- a/pkg/entry/spread.go
+++ b/pkg/entry/coordinators.go
@@ -1,7 +1,8 @@
 // ================================================================
-// The coordinators of copies on this entry: one for each digest that agents
-// report here. Nobody appoints them; the agents' choice of whom to report to
-// does. They exchange what their failure domains hold with each other.
+// The coordinators of weight distribution on this entry: one for each digest that
+// agents report here. They are not elected: the agents of a failure domain rank the
+// entries alike and report to the first that answers. Coordinators of different failure
+// domains tell each other which chunks their domains hold.
 // ================================================================
 
 package entry
@@ -21,20 +22,21 @@
 )
 
 const (
-	// exchangeInterval is the time between exchanges with other domains, and
-	// firstExchangeEvery that in the first seconds of a copy, when all wait to
-	// hear who draws what. Fifteen domains at 0.6 KB five times a second would
-	// be 45 KB a second.
+	// exchangeInterval is the interval between exchanges with other domains.
+	// initialExchangeInterval applies during initialExchangePeriod after a coordinator
+	// starts, when all domains wait to learn which of them fetches which chunk from the
+	// origin. It is not used throughout: fifteen domains at 0.6 KB five times a second
+	// would be 45 KB a second.
 	exchangeInterval        = time.Second
 	initialExchangeInterval = 200 * time.Millisecond
 	initialExchangePeriod   = 5 * time.Second
 	// exchangeTimeout bounds one exchange.
 	exchangeTimeout = 2 * time.Second
-	// coordinatorIdleTimeout is when a coordinator without reports is dropped.
+	// coordinatorIdleTimeout is the time without reports after which a coordinator is dropped.
 	coordinatorIdleTimeout = time.Minute
 )
 
-// lockedCoordinator is one coordinator with its lock.
+// lockedCoordinator is a coordinator with its lock and the times of its exchanges.
 type lockedCoordinator struct {
 	mu             sync.Mutex
 	coordinator    *spread.Coordinator
@@ -43,8 +45,8 @@
 	lastReportAt   time.Time
 }
 
-// exchangeDue tells whether it is time to ask the other domains. One that
-// wants nothing only answers those that do.
+// exchangeDue reports whether to start an exchange with the other domains, and then
+// records its time. A coordinator that needs no chunks only answers others.
 func (c *lockedCoordinator) exchangeDue(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -68,7 +70,7 @@
 	return &coordinators{entry: e, byDigest: map[contract.Digest]*lockedCoordinator{}}
 }
 
-// findOrCreate returns the coordinator of a digest, new when there is none.
+// findOrCreate returns the coordinator of a digest and creates it if there is none.
 func (c *coordinators) findOrCreate(digest contract.Digest) (*lockedCoordinator, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -109,7 +111,7 @@
 	return s.Send(plan)
 }
 
-// serveSources exchanges with the coordinator of another domain.
+// serveSources answers an exchange of the coordinator of another failure domain.
 func (c *coordinators) serveSources(_ context.Context, s *link.Stream) error {
 	var remote contract.DomainSources
 	if err := s.Receive(&remote); err != nil {
@@ -119,7 +121,7 @@
 	found := c.byDigest[remote.Digest()]
 	c.mu.Unlock()
 	if found == nil {
-		// Nobody reports here: another entry of the domain coordinates.
+		// No agent reports the digest here: another entry of the domain coordinates it.
 		return s.Send(contract.DomainSources{})
 	}
 	found.mu.Lock()
@@ -129,7 +131,7 @@
 	return s.Send(local)
 }
 
-// run exchanges with other domains until the context ends.
+// run starts the exchanges that are due until the context ends.
 func (c *coordinators) run(ctx context.Context) error {
 	return daemon.Every(ctx, initialExchangeInterval, func() {
 		for digest, found := range c.active() {
@@ -140,7 +142,7 @@
 	})
 }
 
-// active returns the coordinators, without those that are idle.
+// active drops the idle coordinators and returns the others.
 func (c *coordinators) active() map[contract.Digest]*lockedCoordinator {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -158,14 +160,14 @@
 	return active
 }
 
-// exchange asks the entries of other domains at once and takes their answers
-// as they come.
+// exchange calls the entries of all other domains in parallel and returns without
+// waiting. Each answer is passed to the coordinator as it arrives.
 func (c *coordinators) exchange(ctx context.Context, digest contract.Digest, found *lockedCoordinator) {
 	found.mu.Lock()
 	local := found.coordinator.Sources(time.Now())
 	found.mu.Unlock()
-	for _, beat := range c.entry.entries.live(time.Now()) {
-		if beat.From().Domain() == c.entry.process.Identity.Domain() {
+	for _, heartbeat := range c.entry.entries.live(time.Now()) {
+		if heartbeat.From().Domain() == c.entry.process.Identity.Domain() {
 			continue
 		}
 		go func(address string) {
@@ -179,6 +181,6 @@
 			found.mu.Lock()
 			defer found.mu.Unlock()
 			found.coordinator.UpdateRemote(remote, time.Now())
-		}(beat.From().Address())
+		}(heartbeat.From().Address())
 	}
 }
--- a/pkg/entry/drain.go
+++ b/pkg/entry/drain.go
@@ -1,6 +1,7 @@
 // ================================================================
-// Leaving: /readyz turns first, callers are taken for a while longer since
-// the balancer lags, then what is in flight ends, and the process goes.
+// Draining: /readyz fails first, while the entry still accepts callers for the time
+// drain.notice, because the load balancer reacts late. Then the entry waits for the
+// requests in flight, at most for drain.limit, and the process exits.
 // ================================================================
 
 package entry
@@ -15,10 +16,10 @@
 	"github.com/tidepost/tidepost/pkg/link"
 )
 
-// drainPollInterval is the time between looks at what is still in flight.
+// drainPollInterval is the interval between checks for requests in flight.
 const drainPollInterval = 20 * time.Millisecond
 
-// serveDrain drains this entry, or passes the word on to an agent.
+// serveDrain drains this entry, or forwards the order to an agent.
 func (e *Entry) serveDrain(ctx context.Context, s *link.Stream) error {
 	var d contract.Drain
 	if err := s.Receive(&d); err != nil {
@@ -32,7 +33,7 @@
 	if !ok {
 		return failure.New(failure.UnknownObject, "VM %q is not in the failure domain of %s", d.VM(), e.process.Identity.ID())
 	}
-	// This entry stops at once, whether or not the agent can be reached.
+	// This entry stops sending to the agent at once, even if the agent is unreachable.
 	e.agents.MarkLeaving(d.VM(), d.Reason())
 	var a contract.Acknowledgement
 	callContext, cancel := context.WithTimeout(ctx, operatorTimeout)
@@ -49,7 +50,7 @@
 	}
 }
 
-// waitDrain returns once the entry may go.
+// waitDrain returns when the process may exit.
 func (e *Entry) waitDrain(ctx context.Context, signals <-chan os.Signal) error {
 	if !e.drain.Await(ctx, signals, e.beginDrain) || e.hooks.Faults.SkipDrainWait || !sleep(ctx, e.settings.DrainNotice()) {
 		return nil
@@ -63,6 +64,7 @@
 	return nil
 }
 
+// sleep waits for d and reports false if the context ended first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-time.After(d):
--- a/pkg/entry/drain_test.go
+++ b/pkg/entry/drain_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// Callers that keep their connections to an entry that drains are told on each answer that
-// it closes. They were not, and sent their next request as the entry went.
+// A draining entry sends "Connection: close" on each response. Without it, callers with
+// persistent connections sent their next request while the process exited.
 func TestDrainingEntryClosesConnections(t *testing.T) {
 	e := testEntry(t, "http://127.0.0.1:1")
 	server := httptest.NewServer(e.Handler())
@@ -20,7 +20,7 @@
 		}
 		_ = response.Body.Close()
 		if response.Close != draining {
-			t.Errorf("draining %t: told that the connection closes: %t", draining, response.Close)
+			t.Errorf("draining %t: response closes the connection: %t", draining, response.Close)
 		}
 	}
 }
--- a/pkg/entry/entry.go
+++ b/pkg/entry/entry.go
@@ -1,12 +1,11 @@
 // ================================================================
-// The entry: callers' HTTP, admission, routing and retries; the failure
-// domain's view of its VMs; on an entry VM with a disk a voter of the control
-// log.
-//
-// Each part has a file of its own; this one puts them together.
+// The entry process: HTTP API for callers, admission, routing and retries; membership
+// of the failure domain's VMs; on an entry VM with a disk also a voter of the control
+// log. This file creates and runs the parts.
 // ================================================================
 
-// Package entry runs on each entry VM.
+// Package entry implements the process that runs on each entry VM: it accepts callers'
+// requests and routes them to agents.
 package entry
 
 import (
@@ -41,8 +40,8 @@
 	process      *daemon.Process
 	state        *configstate.State
 	stateMachine *agreed.Machine
-	runner       *controllog.Runner // nil unless this entry is a voter
-	peers        *link.Messenger[controllog.Message]
+	runner       *controllog.Runner                  // nil unless this entry is a voter
+	peers        *link.Messenger[controllog.Message] // to the other voters
 	proposals    *proposer
 	agents       *membership.View
 	entries      *entryTable
@@ -56,43 +55,44 @@
 	draining     atomic.Bool
 	caughtUp     atomic.Bool
 	drain        *daemon.Drain
-	leaderSeenAt atomic.Int64
-	requests     atomic.Uint64
+	leaderSeenAt atomic.Int64  // Unix time in nanoseconds
+	requests     atomic.Uint64 // number of request IDs issued
 	inFlight     atomic.Int64
 }
 
-// Hooks are where a test replaces what lies outside of the process. The zero
-// value is the real outside.
+// Hooks replace the environment of the process in tests. The zero value selects the
+// real environment.
 type Hooks struct {
 	daemon.Seams
-	// Manifest resolves a version name at a source.
+	// Manifest fetches the manifest of a model version from a source.
 	Manifest func(ctx context.Context, url string, name contract.ModelName) (contract.Manifest, error)
-	// BeforeSend is called before an attempt is sent, with its id.
+	// BeforeSend is called with the attempt's ID before it is sent.
 	BeforeSend func(attempt string)
-	// Faults leave safeguards out.
+	// Faults disable safeguards.
 	Faults Faults
 }
 
-// Faults are seeded faults, to show that a proof notices them. The zero value
-// has none.
+// Faults disable safeguards, so that a test can verify that it detects the resulting
+// failures. The zero value disables none.
 type Faults struct {
 	// SkipClaim runs a keyed request without a claim.
 	SkipClaim bool
-	// RetryAlways tries again whatever may have run.
+	// RetryAlways retries non-repeatable requests even if they may have run.
 	RetryAlways bool
-	// SkipAnswerCheck passes on any part of an answer.
+	// SkipAnswerCheck passes on parts of answers without checkPart.
 	SkipAnswerCheck bool
-	// ReportNotRun calls every failure "not run".
+	// ReportNotRun reports every failure as "not run".
 	ReportNotRun bool
-	// SkipDrainWait leaves without waiting for what is in flight.
+	// SkipDrainWait exits without waiting for requests in flight.
 	SkipDrainWait bool
-	// Config leaves safeguards of the configuration out.
+	// Config disables safeguards of the configuration.
 	Config configstate.Faults
-	// SendToLeavingAgents goes on sending to agents that are leaving.
+	// SendToLeavingAgents continues to send requests to agents that are draining or
+	// being withdrawn.
 	SendToLeavingAgents bool
 }
 
-// New returns an entry that is not running yet.
+// New returns an entry. Run starts it.
 func New(s settings.Entry, hooks Hooks) (*Entry, error) {
 	if hooks.Manifest == nil {
 		hooks.Manifest = fetchManifest
@@ -167,7 +167,7 @@
 	bus.Handle(e.process.Bus, "entries", bus.TopicEntryHeartbeat, subscriber, e.handleEntryHeartbeat)
 }
 
-// Run runs the entry until it is drained by a signal or an operator.
+// Run runs the entry until a signal or an operator has drained it.
 func (e *Entry) Run(signals <-chan os.Signal) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -209,7 +209,7 @@
 	return err
 }
 
-// serveLinks listens once the handlers of the bus are subscribed.
+// serveLinks starts to listen when the handlers of the bus are subscribed.
 func (e *Entry) serveLinks(ctx context.Context) error {
 	select {
 	case <-e.process.Bus.Running():
@@ -219,7 +219,8 @@
 	return e.process.ServeLinks(ctx, e.settings.Common().PeersListen())
 }
 
-// follower keeps an entry without the control log up to date.
+// follower returns the follower that keeps the configuration of an entry without a
+// control log up to date.
 func (e *Entry) follower() *configstate.Follower {
 	return &configstate.Follower{
 		Endpoint:  e.process.Endpoint,
@@ -233,10 +234,11 @@
 	}
 }
 
-// leaderSeenTTL is how long the word of a quorum's leader counts.
+// leaderSeenTTL is how long a configuration counts as confirmed after a leader with a
+// quorum was last seen.
 const leaderSeenTTL = 5 * time.Second
 
-// leaderSeenRecently tells whether a quorum's leader was heard of lately.
+// leaderSeenRecently reports whether a leader was seen within leaderSeenTTL.
 func (e *Entry) leaderSeenRecently() bool {
 	return time.Since(time.Unix(0, e.leaderSeenAt.Load())) < leaderSeenTTL
 }
--- a/pkg/entry/execute.go
+++ b/pkg/entry/execute.go
@@ -1,9 +1,9 @@
 // ================================================================
-// Execution of one request: choose a replica, send, and pass the answer on.
+// Executes one request: chooses a replica, sends the request and passes the answer on.
 //
-// A request is tried again only while nothing of an answer has gone to the
-// caller, and only when either nothing ran for certain, or it may be repeated;
-// and only within the budget of retries. Anything else ends it at once.
+// A failed attempt is retried only if no part of an answer was sent to the caller, and
+// the request certainly did not run or may be repeated, and the retry budget allows it.
+// Any other failure ends the request.
 // ================================================================
 
 package entry
@@ -23,17 +23,18 @@
 // maxAttempts bounds the attempts of one request.
 const maxAttempts = 4
 
-// pendingRequest is a request on its way through the entry.
+// pendingRequest is a request that the entry executes, with the state of its attempts.
 type pendingRequest struct {
 	request contract.Request
 	prefix  string
-	// forwarded says that another entry sent it: it stays in this domain.
+	// forwarded is set when another entry sent the request. It is then not forwarded
+	// to a further failure domain.
 	forwarded bool
-	tried     map[string]bool
+	tried     map[string]bool // addresses of the targets used so far
 	attempts  int
 }
 
-// target is where one attempt goes.
+// target is the agent or entry that an attempt is sent to.
 type target struct {
 	address string
 	digest  contract.Digest
@@ -41,14 +42,14 @@
 	replica *route.Replica // nil when the target is another entry
 }
 
-// sink takes the parts of an answer. started says whether any part has gone
-// out to the caller.
+// sink receives the parts of an answer. started is set once a part was written to
+// the caller.
 type sink struct {
 	write   func(contract.ResponsePart) error
 	started bool
 }
 
-// execute runs a request to its end.
+// execute runs a request with retries and writes its answer to out.
 func (e *Entry) execute(ctx context.Context, p *pendingRequest, out *sink) error {
 	e.inFlight.Add(1)
 	defer e.inFlight.Add(-1)
@@ -61,7 +62,7 @@
 			return nil
 		}
 		f := failure.Of(err)
-		// What one attempt may have run, no refusal of a later one undoes.
+		// If one attempt may have run, a later attempt that did not run doesn't change that.
 		ran = max(ran, f.Ran())
 		if !e.mayRetry(ctx, p, out, f) {
 			if e.hooks.Faults.ReportNotRun {
@@ -73,7 +74,8 @@
 	}
 }
 
-// mayRetry tells whether another attempt is safe, useful and paid for.
+// mayRetry reports whether another attempt is safe, may succeed, and is within the
+// retry budget.
 func (e *Entry) mayRetry(ctx context.Context, p *pendingRequest, out *sink, f *failure.Failure) bool {
 	if out.started || ctx.Err() != nil || p.attempts == 0 || p.attempts >= maxAttempts {
 		return false
@@ -84,7 +86,7 @@
 	return retryable[f.Kind()] && e.budget.TryRetry()
 }
 
-// retryable are the failures that another replica may not have.
+// retryable are the kinds of failure that may not occur on another replica.
 var retryable = map[failure.Kind]bool{
 	failure.Draining:       true,
 	failure.WrongVersion:   true,
@@ -96,8 +98,8 @@
 	failure.NotReady:       true,
 }
 
-// attempt makes one attempt. It fails with NotRun and no attempt counted when
-// there is nobody to send to.
+// attempt makes one attempt. Without a target it fails with NotRun and doesn't count
+// as an attempt.
 func (e *Entry) attempt(ctx context.Context, p *pendingRequest, out *sink) error {
 	t, err := e.chooseTarget(p)
 	if err != nil {
@@ -115,7 +117,7 @@
 	return err
 }
 
-// isReplicaFailure tells whether a failure is the replica's own.
+// isReplicaFailure reports whether a failure counts against the replica in routing.
 func isReplicaFailure(err error) bool {
 	if err == nil {
 		return false
@@ -128,7 +130,7 @@
 // Choosing
 
 // chooseTarget picks a replica of this failure domain, or else an entry of another
-// one that has the digest ready.
+// failure domain that has the digest ready or fronts the service.
 func (e *Entry) chooseTarget(p *pendingRequest) (target, error) {
 	now := time.Now()
 	candidates := e.candidates(p, now)
@@ -146,9 +148,9 @@
 	return target{}, failure.New(failure.NotReady, "no ready replica of %q in reach", p.request.Model()+p.request.Service())
 }
 
-// candidates returns the agents that can take the request. Those with a digest
-// that a group serves go before those with an older one that is still loaded:
-// while a version rolls, the old one answers until the new one is ready.
+// candidates returns the agents that can serve the request. Agents with an older
+// digest that is still loaded are returned only if none has a digest that a group
+// serves: during a rollout the old version serves until the new one is ready.
 func (e *Entry) candidates(p *pendingRequest, now time.Time) []target {
 	usable := e.agents.Usable(now)
 	if e.hooks.Faults.SendToLeavingAgents {
@@ -198,7 +200,8 @@
 	return targets
 }
 
-// pickReplica has the router choose; false when all are full or there are none.
+// pickReplica has the router choose a candidate. It reports false when there is none
+// or all are at their limits.
 func (e *Entry) pickReplica(candidates []target, p *pendingRequest, now time.Time) (target, bool) {
 	replicas := make([]*route.Replica, 0, len(candidates))
 	for _, c := range candidates {
@@ -213,7 +216,8 @@
 	return target{}, false
 }
 
-// chooseEntry picks the least loaded entry of another domain that can serve.
+// chooseEntry picks the least loaded entry of another failure domain that can serve
+// the request.
 func (e *Entry) chooseEntry(p *pendingRequest, now time.Time) (target, bool) {
 	served, _ := e.state.View().ServedDigests(p.request.Model())
 	var best contract.EntryHeartbeat
@@ -232,6 +236,8 @@
 	return target{address: best.From().Address(), kind: link.KindRequest}, found
 }
 
+// entryCanServe reports whether a heartbeat lists the service or, for a request to a
+// model, one of the served digests.
 func entryCanServe(b contract.EntryHeartbeat, service string, served []contract.Digest) bool {
 	for _, s := range b.Services() {
 		if service != "" && s == service {
@@ -249,12 +255,11 @@
 // ----------------------------------------------------------------
 // Sending
 
-// send sends one attempt and passes the parts of the answer on, each checked
-// to belong to this attempt and to follow the one before.
+// send sends one attempt and writes the parts of the answer to out, after checkPart.
 func (e *Entry) send(ctx context.Context, t target, r contract.Request, out *sink) error {
 	e.hooks.BeforeSend(r.Attempt())
-	// The deadline is looked at again here: the entry may have been frozen
-	// since the request was admitted or its claim was granted.
+	// The deadline is checked again, because the process may have been suspended since
+	// the request was admitted or its claim was granted.
 	if !time.Now().Before(r.DeadlineTime()) {
 		return failure.New(failure.DeadlineExceeded, "the deadline passed before the request was sent")
 	}
@@ -283,7 +288,7 @@
 			}
 		}
 		if err := out.write(part); err != nil {
-			return failure.New(failure.Unreachable, "the caller went away: %v", err).WithRan(failure.RanYes)
+			return failure.New(failure.Unreachable, "sending the answer to the caller failed: %v", err).WithRan(failure.RanYes)
 		}
 		out.started = true
 		if part.End() {
@@ -292,14 +297,15 @@
 	}
 }
 
-// classifyAttemptError types what ended an attempt before its last part. A typed failure of
-// the agent stands as it is; silence means that the outcome is unknown.
+// classifyAttemptError returns the failure of an attempt whose answer is incomplete. A
+// typed failure of the agent is returned unchanged; for a lost connection the outcome
+// is unknown.
 func (e *Entry) classifyAttemptError(ctx context.Context, f *failure.Failure, r contract.Request) error {
 	if f.Kind() != failure.Internal {
 		return f
 	}
 	if ctx.Err() != nil && !time.Now().Before(r.DeadlineTime()) {
-		return failure.New(failure.DeadlineExceeded, "no whole answer before the deadline").WithRan(failure.RanUnknown)
+		return failure.New(failure.DeadlineExceeded, "no complete answer before the deadline").WithRan(failure.RanUnknown)
 	}
 	return failure.New(failure.OutcomeUnknown, "the link to the backend server's agent broke: %s", f.Message()).WithRan(failure.RanUnknown)
 }
--- a/pkg/entry/forwarded.go
+++ b/pkg/entry/forwarded.go
@@ -1,7 +1,7 @@
 // ================================================================
-// Requests that an entry of another failure domain sends here because it has
-// no ready replica of its own. They are routed within this domain only, so a
-// request makes one such step at most.
+// Serves requests that an entry of another failure domain forwards because it has no
+// available replica. They are routed within this domain only, so a request is forwarded
+// at most once.
 // ================================================================
 
 package entry
@@ -20,7 +20,7 @@
 		return failure.Of(err).WithRan(failure.NotRun)
 	}
 	if e.draining.Load() {
-		return failure.New(failure.Draining, "this entry is leaving")
+		return failure.New(failure.Draining, "this entry is draining")
 	}
 	if err := e.checkReady(); err != nil {
 		return err
--- a/pkg/entry/beats.go
+++ b/pkg/entry/heartbeats.go
@@ -1,6 +1,6 @@
 // ================================================================
-// Who is alive: heartbeats of agents, beats between entries, and the
-// platform's list, which lags and is only believed when it says "leaving".
+// Liveness: heartbeats from agents, heartbeats between entries, and the
+// platform's list of VMs. The list lags behind, so only its "leaving" marks are used.
 // ================================================================
 
 package entry
@@ -27,27 +27,29 @@
 )
 
 const (
-	// entryHeartbeatInterval is the time between beats to another entry.
+	// entryHeartbeatInterval is the interval between heartbeats to another entry.
 	entryHeartbeatInterval = time.Second
-	// entryHeartbeatTTL is how old another entry's beat may be.
+	// entryHeartbeatTTL is the age at which another entry's heartbeat is ignored.
 	entryHeartbeatTTL = 5 * time.Second
-	// agentExpiryInterval is the time between looks for silent agents.
+	// agentExpiryInterval is the interval between checks for agents whose heartbeats stopped.
 	agentExpiryInterval = 250 * time.Millisecond
-	// platformPollInterval is the time between reads of the platform's list.
+	// platformPollInterval is the interval between reads of the platform's list, and the
+	// timeout of one read.
 	platformPollInterval = 2 * time.Second
-	// maxPlatformListBytes bounds the platform's list, in bytes.
+	// maxPlatformListBytes is the largest list that is read from the platform.
 	maxPlatformListBytes = 8 << 20
 )
 
 // ----------------------------------------------------------------
 // Agents
 
+// handleHeartbeat updates the membership and the load of an agent.
 func (e *Entry) handleHeartbeat(b contract.Heartbeat) {
 	now := time.Now()
 	id := b.From().ID()
 	change := e.agents.RecordHeartbeat(b, now)
 	if change == membership.Seen {
-		// Another life of the VM: what was learnt of the last one is void.
+		// This is a new incarnation of the VM: statistics of the previous one don't apply.
 		e.router.Remove(id)
 		e.process.Recorder.Record(event.AgentSeen, string(id), b.From().Address())
 	}
@@ -62,6 +64,8 @@
 	})
 }
 
+// expireAgents drops agents without heartbeats and adjusts the admission limit
+// until the context ends.
 func (e *Entry) expireAgents(ctx context.Context) error {
 	return daemon.Every(ctx, agentExpiryInterval, func() {
 		for _, id := range e.agents.Expire(time.Now()) {
@@ -73,10 +77,11 @@
 	})
 }
 
-// admissionLimit is this entry's part of what the failure domain's agents
-// take at one time: all entries of the domain get about as many requests, since
-// the balancer knows no difference. What is over the part of one entry while
-// another is idle, the agents still refuse.
+// admissionLimit returns how many requests this entry admits at a time: its
+// share of the concurrency limits of the failure domain's agents, times
+// admissionLimitFactor. The load balancer treats all entries of the domain alike,
+// so each gets about the same number of requests. The agents reject what exceeds
+// their own limits.
 func (e *Entry) admissionLimit(now time.Time) int {
 	capacity := 0
 	for _, a := range e.agents.Usable(now) {
@@ -89,26 +94,27 @@
 		}
 	}
 	if capacity == 0 {
-		// Nothing of this domain's own: what is admitted goes to others.
+		// The domain has no usable agents: requests are forwarded to other domains.
 		return e.settings.MaxInFlight()
 	}
 	return min(e.settings.MaxInFlight(), (capacity+entries-1)/entries*admissionLimitFactor)
 }
 
-// admissionLimitFactor lets an entry admit more than its even part, as balancers are not
-// even: the agents' own limits are what protects the engines.
+// admissionLimitFactor lets an entry admit more than an even share, because load
+// balancers don't distribute evenly. The agents' own limits protect the engines.
 const admissionLimitFactor = 2
 
 // ----------------------------------------------------------------
 // Entries
 
-// entryTable holds the last beat of each other entry.
+// entryTable holds the last heartbeat of each other entry. It is safe for
+// concurrent use.
 type entryTable struct {
 	mu         sync.RWMutex
 	heartbeats map[vm.ID]receivedHeartbeat
 }
 
-// receivedHeartbeat is a beat and when it came.
+// receivedHeartbeat is a heartbeat of another entry and its time of receipt.
 type receivedHeartbeat struct {
 	heartbeat  contract.EntryHeartbeat
 	receivedAt time.Time
@@ -122,23 +128,25 @@
 	t.heartbeats[b.From().ID()] = receivedHeartbeat{b, now}
 }
 
-// live returns the beats that are not too old, by name.
+// live returns the heartbeats that are not older than entryHeartbeatTTL, sorted by
+// VM name.
 func (t *entryTable) live(now time.Time) []contract.EntryHeartbeat {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
-	var beats []contract.EntryHeartbeat
+	var heartbeats []contract.EntryHeartbeat
 	for _, h := range t.heartbeats {
 		if now.Sub(h.receivedAt) <= entryHeartbeatTTL {
-			beats = append(beats, h.heartbeat)
+			heartbeats = append(heartbeats, h.heartbeat)
 		}
 	}
-	sort.Slice(beats, func(i, j int) bool { return beats[i].From().ID() < beats[j].From().ID() })
-	return beats
+	sort.Slice(heartbeats, func(i, j int) bool { return heartbeats[i].From().ID() < heartbeats[j].From().ID() })
+	return heartbeats
 }
 
 func (e *Entry) handleEntryHeartbeat(b contract.EntryHeartbeat) { e.entries.update(b, time.Now()) }
 
-// sendHeartbeats tells every other entry what this failure domain can serve.
+// sendHeartbeats reports to every other entry which digests and services this
+// failure domain can serve, until the context ends.
 func (e *Entry) sendHeartbeats(ctx context.Context) error {
 	for _, address := range e.settings.Entries() {
 		go e.sendHeartbeatsTo(ctx, address)
@@ -204,16 +212,16 @@
 }
 
 // ----------------------------------------------------------------
-// The platform's list
+// The platform's list of VMs
 
-// platformVM is a line of the platform's list of VMs.
+// platformVM is an element of the platform's list of VMs.
 type platformVM struct {
 	Name    string `json:"name"`
 	Leaving bool   `json:"leaving"`
 }
 
-// pollPlatform marks the VMs that the platform is about to take. A VM that
-// the list lacks is not dropped for it: the list lags, heartbeats do not.
+// pollPlatform marks the VMs that the platform is about to withdraw. A VM that is
+// missing from the list stays in use, because the list lags behind the heartbeats.
 func (e *Entry) pollPlatform(ctx context.Context) error {
 	if e.settings.PlatformURL() == "" {
 		<-ctx.Done()
@@ -223,7 +231,7 @@
 	defer ticker.Stop()
 	for {
 		if err := e.readPlatformList(ctx); err != nil {
-			_ = level.Debug(e.process.Logger).Log("msg", "platform's list not read", "err", err)
+			_ = level.Debug(e.process.Logger).Log("msg", "reading the platform's VM list failed", "err", err)
 		}
 		select {
 		case <-ctx.Done():
--- a/pkg/entry/platform_test.go
+++ b/pkg/entry/heartbeats_test.go
@@ -47,9 +47,9 @@
 
 func usableAgents(e *Entry) int { return len(e.agents.Usable(time.Now())) }
 
-// TestPlatformListOnlyMarksLeavingVMs shows the three ways
-// in which the list is wrong: it lags, it lacks a VM, and it still speaks of
-// the former life of a name.
+// TestPlatformListOnlyMarksLeavingVMs covers three errors of the platform's list: it
+// lags behind, it lacks a VM, and it describes the previous incarnation of a VM. None
+// of them may remove a VM that sends heartbeats.
 func TestPlatformListOnlyMarksLeavingVMs(t *testing.T) {
 	lagging, current := fake.NewPlatform(time.Minute), fake.NewPlatform(0)
 	for _, platform := range []*fake.Platform{lagging, current} {
@@ -59,7 +59,7 @@
 		e.handleHeartbeat(testHeartbeat("agent-1", 1, 1, false))
 		e.handleHeartbeat(testHeartbeat("agent-2", 1, 1, false))
 		if err := e.readPlatformList(context.Background()); err != nil || usableAgents(e) != 2 {
-			t.Fatalf("VMs that the list lacks: %d usable, %v", usableAgents(e), err)
+			t.Fatalf("VMs missing from the list: %d usable, %v", usableAgents(e), err)
 		}
 		platform.Withdraw("agent-1")
 		if err := e.readPlatformList(context.Background()); err != nil {
@@ -67,9 +67,9 @@
 		}
 		if platform == lagging {
 			if usableAgents(e) != 2 {
-				t.Fatalf("%d usable before the list says so", usableAgents(e))
+				t.Fatalf("%d usable before the list marks the VM as leaving", usableAgents(e))
 			}
-			// The agent itself says so first.
+			// The agent's heartbeat reports draining before the list does.
 			e.handleHeartbeat(testHeartbeat("agent-1", 1, 2, true))
 		}
 		if usableAgents(e) != 1 {
@@ -77,12 +77,12 @@
 		}
 		e.handleHeartbeat(testHeartbeat("agent-1", 1, 3, false))
 		if usableAgents(e) != 1 {
-			t.Error("a VM that was leaving is used again")
+			t.Error("a leaving VM is used again")
 		}
-		// The name is given out again: the new life is another VM.
+		// The name is reused: a new incarnation is another VM.
 		e.handleHeartbeat(testHeartbeat("agent-1", 2, 1, false))
 		if usableAgents(e) != 2 {
-			t.Error("the next life of a name is not used")
+			t.Error("a new incarnation of the VM is not used")
 		}
 	}
 }
--- a/pkg/entry/metrics.go
+++ b/pkg/entry/metrics.go
@@ -1,5 +1,5 @@
 // ================================================================
-// The entry's metrics.
+// Prometheus metrics of an entry.
 // ================================================================
 
 package entry
@@ -10,7 +10,7 @@
 	"github.com/tidepost/tidepost/pkg/metric"
 )
 
-// metrics are the counters of an entry.
+// metrics are the counters and gauges of an entry.
 type metrics struct {
 	requests        *prometheus.CounterVec
 	retries         prometheus.Counter
--- a/pkg/entry/operators.go
+++ b/pkg/entry/operators.go
@@ -1,5 +1,5 @@
 // ================================================================
-// What operators ask of an entry: apply, get, status.
+// Serves the operators' commands apply, get and status.
 // ================================================================
 
 package entry
@@ -19,7 +19,7 @@
 
 func revisionText(revision uint64) string { return "revision " + strconv.FormatUint(revision, 10) }
 
-// applyTimeout bounds an apply, with the resolution of version names.
+// applyTimeout bounds an apply, including the resolution of version names.
 const applyTimeout = 10 * time.Second
 
 func (e *Entry) serveApply(ctx context.Context, s *link.Stream) error {
@@ -45,8 +45,9 @@
 	return s.Send(result)
 }
 
-// resolveModels turns version names into manifests, once for everybody: from here on
-// only digests travel.
+// resolveModels returns the objects of a change, with a model object for each version
+// name. Each name is resolved to a manifest once, here, so that all VMs use the same
+// digest.
 func (e *Entry) resolveModels(ctx context.Context, a contract.Apply) ([]contract.Object, error) {
 	objects := append([]contract.Object(nil), a.Change().Objects()...)
 	sources := e.state.View().Sources()
--- a/pkg/entry/proposals.go
+++ b/pkg/entry/proposals.go
@@ -1,9 +1,9 @@
 // ================================================================
-// Proposals: commands for the control log, from any entry to the leader.
+// Proposals: commands for the control log, sent from any entry to the leader.
 //
-// Every command may safely come twice: a change has an id, a claim and its
-// outcome name their attempt. So a proposal whose answer was lost is simply
-// made again until the caller's time is up.
+// Commands are idempotent: a change has an ID, and a claim and its outcome carry their
+// attempt ID. A proposal whose result was lost is therefore sent again until the
+// context ends.
 // ================================================================
 
 package entry
@@ -23,24 +23,24 @@
 )
 
 const (
-	// proposalTimeout bounds one try at one entry.
+	// proposalTimeout bounds one call to one entry.
 	proposalTimeout = 2 * time.Second
-	// proposalRetryInterval is between two rounds over the entries.
+	// proposalRetryInterval is the delay between two rounds over the entries.
 	proposalRetryInterval = 100 * time.Millisecond
 )
 
-// proposer finds the leader and hands it commands.
+// proposer finds the leader and sends it commands.
 type proposer struct {
 	entry *Entry
 
 	mu     sync.Mutex
-	leader string
+	leader string // address of the last known leader, or localVoter
 }
 
 func newProposer(e *Entry) *proposer { return &proposer{entry: e} }
 
-// propose has a command applied and decodes its result into result. A failure
-// with RanUnknown means that the command may still be applied.
+// propose sends a command to the leader and decodes its result into result. After a
+// failure with RanUnknown the command may still be applied.
 func (p *proposer) propose(ctx context.Context, kind agreed.CommandKind, command, result any) error {
 	body, err := msgpack.Marshal(command)
 	if err != nil {
@@ -67,8 +67,8 @@
 	}
 }
 
-// combineErrors keeps an unknown outcome: once a try may have been accepted, no later
-// refusal makes that untrue.
+// combineErrors keeps an unknown outcome: if an earlier call may have been accepted,
+// a refusal of a later one doesn't change that.
 func combineErrors(old, err error) error {
 	if failure.Of(old).Ran() != failure.NotRun {
 		return old
@@ -79,11 +79,11 @@
 	return old
 }
 
-// localVoter is the candidate that stands for this entry's own voter.
+// localVoter is the address of this entry's own voter in the list of candidates.
 const localVoter = ""
 
-// candidates returns whom to ask: who led last, this entry's own voter, and
-// then all others.
+// candidates returns the addresses to try in order: the last known leader, this
+// entry's own voter, all other entries.
 func (p *proposer) candidates() []string {
 	p.mu.Lock()
 	leader := p.leader
@@ -130,7 +130,7 @@
 }
 
 // ----------------------------------------------------------------
-// At the leader
+// Serving proposals on the leader
 
 func (e *Entry) serveProposal(ctx context.Context, s *link.Stream) error {
 	var p contract.Proposal
@@ -142,7 +142,7 @@
 	return s.Send(e.proposeLocally(ctx, p))
 }
 
-// proposeLocally proposes to this entry's own voter.
+// proposeLocally proposes a command to this entry's own voter.
 func (e *Entry) proposeLocally(ctx context.Context, p contract.Proposal) contract.ProposalResult {
 	if e.runner == nil {
 		return refusedProposal("", failure.New(failure.NotLeader, "this entry keeps no control log"))
--- a/pkg/entry/services.go
+++ b/pkg/entry/services.go
@@ -1,6 +1,6 @@
 // ================================================================
-// Calls to plain services: /services/ordering/orders?x=1 goes to a backend
-// server that fronts "ordering", as /orders?x=1.
+// Calls to plain services: /services/ordering/orders?x=1 is sent as /orders?x=1 to a
+// backend server that fronts the service "ordering".
 // ================================================================
 
 package entry
@@ -22,8 +22,8 @@
 		if !ok {
 			return nil, failure.New(failure.UnknownService, "service %q", name)
 		}
-		// A caller may be stricter than the configuration, never laxer: a
-		// header set by mistake must not double an order.
+		// A caller can forbid repeats that the configuration allows, but not the
+		// reverse: a header set by mistake must not execute an order twice.
 		repeatable := spec.Repeatable() && (c.repeatable == nil || *c.repeatable)
 		request := contract.NewRequest(e.nextRequestID(), c.organisation.Name, "", contract.Digest{}, name,
 			r.Method, servicePath(r, name), r.Header.Get("Content-Type"), body, c.deadline.UnixNano(), false, repeatable, c.priority)
@@ -31,7 +31,7 @@
 	})
 }
 
-// servicePath is the path and query that the service sees.
+// servicePath returns the path and query that the service receives.
 func servicePath(r *http.Request, service string) string {
 	path := strings.TrimPrefix(r.URL.EscapedPath(), "/services/"+service)
 	if !strings.HasPrefix(path, "/") {
--- a/pkg/logline/table.go
+++ b/pkg/logline/table.go
@@ -116,12 +116,12 @@
 	// ----------------------------------------------------------------
 	// Entries and agents
 	{"caught up", entry, "It knows all changes until `revision`.", "nothing"},
-	{"platform's list not read", entry, "The platform did not say which VMs exist.", "lasting: the platform"},
+	{"reading the platform's VM list failed", entry, "The platform did not say which VMs exist.", "lasting: the platform"},
 	{"heartbeats", agent, "`entry` takes its heartbeats, or does not any more.", "`err`"},
-	{"copy failed; trying again", agent, "A copy could not be drawn.", "`err`: the source or the disk"},
+	{"copy failed; retrying", agent, "A copy could not be drawn.", "`err`: the source or the disk"},
 	{"copy not removed", agent, "A copy that is not wanted stays on the disk.", "the disk"},
 	{"configuration not stored", agent, "The newest configuration is in memory only.", "the disk"},
-	{"stored configuration cannot be read; waiting for an entry's", agent, "It starts without one.", "the disk"},
+	{"stored configuration cannot be decoded; waiting for one from an entry", agent, "It starts without one.", "the disk"},
 	{"order failed", agent, "The engine did not carry an order out.", "the engine"},
 	{"drain.limit reached with requests in flight", agent, "They were cut.", "answers that take longer than `drain.limit`"},
 }
