--- a/bench/control_test.go
+++ b/bench/control_test.go
@@ -242,7 +242,7 @@
 		for i := range n {
 			s := configstate.NewState()
 			f := configstate.Follower{Endpoint: endpoint(fmt.Sprint("agent-", i)), State: s,
-				Addresses: func() []string { return []string{address} }, Heard: func(bool) {}}
+				Addresses: func() []string { return []string{address} }, OnMessage: func(bool) {}}
 			go func() { _ = f.Run(ctx) }()
 			followers = append(followers, s)
 		}
--- a/cmd/tidepost-control/main.go
+++ b/cmd/tidepost-control/main.go
@@ -14,7 +14,7 @@
 
 func main() {
 	os.Exit(daemon.MainAt("tidepost-control", settings.LoadControl, func(path string, s settings.Control, signals <-chan os.Signal) error {
-		protocol, err := daemon.Choose(s.Protocol(), control.Own(), platform.Control())
+		protocol, err := daemon.Choose(s.Protocol(), control.NativeProtocol(), platform.Control())
 		if err != nil {
 			return err
 		}
--- a/pkg/agent/configuration.go
+++ b/pkg/agent/configuration.go
@@ -26,7 +26,7 @@
 		Endpoint:  a.process.Endpoint,
 		State:     a.state,
 		Addresses: func() []string { return a.rankedEntries("config") },
-		Heard:     func(bool) {},
+		OnMessage: func(bool) {},
 	}
 }
 
@@ -133,7 +133,7 @@
 		return
 	}
 	for _, digest := range a.copies.evictable() {
-		if _, known := view.Manifest(digest); known {
+		if _, known := view.ModelByDigest(digest); known {
 			continue
 		}
 		a.removeCopy(digest)
@@ -155,7 +155,7 @@
 	a.sweptRevision = view.Revision()
 	for _, digest := range leftovers {
 		_, inUse := wanted[digest]
-		if _, known := view.Manifest(digest); !known && !inUse {
+		if _, known := view.ModelByDigest(digest); !known && !inUse {
 			_ = a.store.RemoveLeftover(digest)
 		}
 	}
--- a/pkg/configstate/distribute.go
+++ b/pkg/configstate/distribute.go
@@ -26,9 +26,9 @@
 	keepAlive = 2 * time.Second
 	// followTimeout is how long a follower waits for anything at all.
 	followTimeout = 3 * keepAlive
-	// behindLimit is how many messages in a row an entry may be behind its
+	// maxBehind is how many messages in a row an entry may be behind its
 	// follower.
-	behindLimit  = 3
+	maxBehind    = 3
 	firstBackoff = 100 * time.Millisecond
 	maxBackoff   = 2 * time.Second
 )
@@ -46,18 +46,18 @@
 // quorum's leader was heard of lately. Make it before the state is fed.
 func NewDistributor(s *State, confirmed func() bool) *Distributor {
 	d := &Distributor{state: s, confirmed: confirmed, changed: make(chan struct{})}
-	s.OnChange(func(contract.Delta) { d.wake() })
+	s.OnChange(func(contract.Delta) { d.notifyChange() })
 	return d
 }
 
-func (d *Distributor) wake() {
+func (d *Distributor) notifyChange() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
-func (d *Distributor) next() <-chan struct{} {
+func (d *Distributor) nextChange() <-chan struct{} {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.changed
@@ -73,7 +73,7 @@
 	defer timer.Stop()
 	sent := f.Revision()
 	for {
-		changed := d.next()
+		changed := d.nextChange()
 		delta, ok := d.state.Since(sent)
 		if !ok {
 			delta = contract.NewDelta(sent, d.state.Revision(), nil, d.confirmed())
@@ -103,8 +103,8 @@
 	State    *State
 	// Addresses returns the entries to follow, best first.
 	Addresses func() []string
-	// Heard is told of every message, and whether it was confirmed.
-	Heard func(confirmed bool)
+	// OnMessage is told of every message, and whether it was confirmed.
+	OnMessage func(confirmed bool)
 }
 
 // Run follows until the context ends.
@@ -115,7 +115,7 @@
 		backoff.WithMaxElapsedTime(0))
 	for {
 		for _, address := range f.Addresses() {
-			if f.follow(ctx, address) {
+			if f.followEntry(ctx, address) {
 				b.Reset()
 			}
 			if ctx.Err() != nil {
@@ -130,9 +130,9 @@
 	}
 }
 
-// follow reads from one entry until it breaks off, and tells whether anything
+// followEntry reads from one entry until it breaks off, and tells whether anything
 // came from it.
-func (f *Follower) follow(ctx context.Context, address string) bool {
+func (f *Follower) followEntry(ctx context.Context, address string) bool {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	s, err := f.Endpoint.Open(ctx, address, link.KindSubscribe, bus.TopicConfig)
@@ -143,14 +143,14 @@
 	if err := s.Send(contract.NewDeltaRequest(f.State.Revision())); err != nil {
 		return false
 	}
-	heard, behind := false, 0
-	for behind < behindLimit {
+	received, behind := false, 0
+	for behind < maxBehind {
 		s.SetDeadline(time.Now().Add(followTimeout))
 		var d contract.Delta
 		if err := s.Receive(&d); err != nil {
-			return heard
+			return received
 		}
-		heard = true
+		received = true
 		if d.Revision() < f.State.Revision() {
 			behind++
 		} else {
@@ -158,9 +158,9 @@
 		}
 		if len(d.Objects()) > 0 && !f.State.ApplyDelta(d) && d.Revision() > f.State.Revision() {
 			// A gap: ask again from the revision that is in force here.
-			return heard
+			return received
 		}
-		f.Heard(d.Confirmed())
+		f.OnMessage(d.Confirmed())
 	}
 	// The entry stays behind what is in force here: look for a later one.
 	return false
--- a/pkg/configstate/state.go
+++ b/pkg/configstate/state.go
@@ -28,18 +28,18 @@
 //go:generate go run github.com/tidepost/tidepost/tools/wiregen
 
 const (
-	// rememberedChanges is how many change ids are kept, so that a resent
+	// maxChangeResults is how many change ids are kept, so that a resent
 	// change gets its first result: almost three days at 5,600 a day.
-	rememberedChanges = 16384
-	// keptTombstones is how many deletions are kept for deltas; who asks for
+	maxChangeResults = 16384
+	// maxTombstones is how many deletions are kept for deltas; who asks for
 	// an earlier revision gets a full copy.
-	keptTombstones = 4096
+	maxTombstones = 4096
 )
 
-// remembered is the result of a change.
+// changeResult is the result of a change.
 //
 //wire:generate
-type remembered struct {
+type changeResult struct {
 	// id is the change's.
 	id string
 	// content is the digest of what the change asked for.
@@ -48,31 +48,31 @@
 	result contract.ChangeResult
 }
 
-// image is the whole state in a snapshot.
+// snapshotData is the whole state in a snapshot.
 //
 //wire:generate
-type image struct {
+type snapshotData struct {
 	// revision is the revision of the objects.
 	revision uint64
-	// floor is the revision below which deltas are not possible.
-	floor uint64
+	// deltaFloor is the revision below which deltas are not possible.
+	deltaFloor uint64
 	// objects are all objects and the kept tombstones.
 	objects []contract.Object
-	// changes are the remembered results, oldest first.
-	changes []remembered
+	// results are the remembered results, oldest first.
+	results []changeResult
 }
 
 // State is the configuration of one process.
 type State struct {
-	mu       sync.RWMutex
-	revision uint64
-	floor    uint64
-	objects  map[contract.Key]contract.Object
-	deleted  []contract.Key
-	changes  map[string]remembered
-	order    []string
-	onChange []func(contract.Delta)
-	faults   Faults
+	mu          sync.RWMutex
+	revision    uint64
+	deltaFloor  uint64
+	objects     map[contract.Key]contract.Object
+	tombstones  []contract.Key
+	results     map[string]changeResult
+	resultOrder []string
+	onChange    []func(contract.Delta)
+	faults      Faults
 
 	// current is revision for readers without the lock; view may be behind it
 	// and is built anew when somebody looks.
@@ -82,7 +82,7 @@
 
 // NewState returns an empty configuration at revision 0.
 func NewState() *State {
-	s := &State{objects: map[contract.Key]contract.Object{}, changes: map[string]remembered{}}
+	s := &State{objects: map[contract.Key]contract.Object{}, results: map[string]changeResult{}}
 	s.view.Store(newView(0, nil))
 	return s
 }
@@ -125,8 +125,8 @@
 // with a known id gets the result that it got before.
 func (s *State) ApplyChange(c contract.Change) contract.ChangeResult {
 	s.mu.Lock()
-	content := contentOf(c)
-	if r, ok := s.changes[c.ID()]; ok {
+	content := contentDigest(c)
+	if r, ok := s.results[c.ID()]; ok {
 		s.mu.Unlock()
 		if r.content != content {
 			return contract.NewChangeResult(s.Revision(), failure.New(failure.ChangeIDReused, "change id %q", c.ID()))
@@ -134,15 +134,15 @@
 		return r.result
 	}
 	result, delta := s.accept(c)
-	s.remember(remembered{id: c.ID(), content: content, result: result})
+	s.storeResult(changeResult{id: c.ID(), content: content, result: result})
 	s.mu.Unlock()
 	if result.Refusal() == nil {
-		s.tell(delta)
+		s.notifyListeners(delta)
 	}
 	return result
 }
 
-func contentOf(c contract.Change) contract.Digest {
+func contentDigest(c contract.Change) contract.Digest {
 	if !c.Content().IsZero() {
 		return c.Content()
 	}
@@ -156,7 +156,7 @@
 
 // accept checks a change and puts it in force.
 func (s *State) accept(c contract.Change) (contract.ChangeResult, contract.Delta) {
-	if refusal := s.check(c); refusal != nil {
+	if refusal := s.checkChange(c); refusal != nil {
 		return contract.NewChangeResult(s.revision, refusal), contract.Delta{}
 	}
 	before := s.revision
@@ -171,8 +171,8 @@
 	return contract.NewChangeResult(s.revision, nil), contract.NewDelta(before, s.revision, written, true)
 }
 
-// check refuses a change that lost a race or that does not fit together.
-func (s *State) check(c contract.Change) *failure.Failure {
+// checkChange refuses a change that lost a race or that does not fit together.
+func (s *State) checkChange(c contract.Change) *failure.Failure {
 	if len(c.Objects()) == 0 {
 		return failure.New(failure.BadDocument, "change %q has no objects", c.ID())
 	}
@@ -194,31 +194,31 @@
 	if !o.Deleted() {
 		return
 	}
-	s.deleted = append(s.deleted, o.Key())
-	if len(s.deleted) > keptTombstones {
+	s.tombstones = append(s.tombstones, o.Key())
+	if len(s.tombstones) > maxTombstones {
 		s.dropOldestTombstone()
 	}
 }
 
 func (s *State) dropOldestTombstone() {
-	key := s.deleted[0]
-	s.deleted = s.deleted[1:]
+	key := s.tombstones[0]
+	s.tombstones = s.tombstones[1:]
 	if o := s.objects[key]; o.Deleted() {
-		s.floor = max(s.floor, o.Revision())
+		s.deltaFloor = max(s.deltaFloor, o.Revision())
 		delete(s.objects, key)
 	}
 }
 
-func (s *State) remember(r remembered) {
-	s.changes[r.id] = r
-	s.order = append(s.order, r.id)
-	if len(s.order) > rememberedChanges {
-		delete(s.changes, s.order[0])
-		s.order = s.order[1:]
+func (s *State) storeResult(r changeResult) {
+	s.results[r.id] = r
+	s.resultOrder = append(s.resultOrder, r.id)
+	if len(s.resultOrder) > maxChangeResults {
+		delete(s.results, s.resultOrder[0])
+		s.resultOrder = s.resultOrder[1:]
 	}
 }
 
-func (s *State) tell(d contract.Delta) {
+func (s *State) notifyListeners(d contract.Delta) {
 	for _, f := range s.onChange {
 		f(d)
 	}
@@ -232,27 +232,27 @@
 func (s *State) ApplyDelta(d contract.Delta) bool {
 	s.mu.Lock()
 	full := d.From() == 0
-	fits := d.Revision() > s.revision && (full || d.From() <= s.revision)
-	if !fits {
+	applicable := d.Revision() > s.revision && (full || d.From() <= s.revision)
+	if !applicable {
 		s.mu.Unlock()
 		return false
 	}
 	before := s.revision
 	if full {
 		s.objects = map[contract.Key]contract.Object{}
-		s.deleted = nil
+		s.tombstones = nil
 	}
 	for _, o := range d.Objects() {
 		s.put(o)
 	}
 	s.revision = d.Revision()
 	if full {
-		s.floor = s.revision
+		s.deltaFloor = s.revision
 	}
 	s.current.Store(s.revision)
 	broken := invariant.Check(s.revision > before, "configuration_went_back", "from %d to %d", before, s.revision)
 	s.mu.Unlock()
-	s.tell(d)
+	s.notifyListeners(d)
 	return broken == nil
 }
 
@@ -265,7 +265,7 @@
 		return contract.Delta{}, false
 	}
 	from := revision
-	if revision < s.floor {
+	if revision < s.deltaFloor {
 		from = 0
 	}
 	var objects []contract.Object
@@ -311,35 +311,35 @@
 func (s *State) Snapshot() ([]byte, error) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	i := image{revision: s.revision, floor: s.floor}
+	i := snapshotData{revision: s.revision, deltaFloor: s.deltaFloor}
 	for _, o := range s.objects {
 		i.objects = append(i.objects, o)
 	}
 	sortObjects(i.objects)
-	for _, id := range s.order {
-		i.changes = append(i.changes, s.changes[id])
+	for _, id := range s.resultOrder {
+		i.results = append(i.results, s.results[id])
 	}
 	return msgpack.Marshal(i)
 }
 
 // Restore replaces the state. It tells the listeners of a full copy.
 func (s *State) Restore(raw []byte) error {
-	var i image
+	var i snapshotData
 	if err := msgpack.Unmarshal(raw, &i); err != nil {
 		return failure.New(failure.CorruptLog, "the configuration in a snapshot cannot be read: %v", err)
 	}
 	s.mu.Lock()
-	s.revision, s.floor = i.revision, i.floor
-	s.objects, s.deleted = map[contract.Key]contract.Object{}, nil
+	s.revision, s.deltaFloor = i.revision, i.deltaFloor
+	s.objects, s.tombstones = map[contract.Key]contract.Object{}, nil
 	for _, o := range i.objects {
 		s.put(o)
 	}
-	s.changes, s.order = map[string]remembered{}, nil
-	for _, r := range i.changes {
-		s.remember(r)
+	s.results, s.resultOrder = map[string]changeResult{}, nil
+	for _, r := range i.results {
+		s.storeResult(r)
 	}
 	s.current.Store(s.revision)
 	s.mu.Unlock()
-	s.tell(contract.NewDelta(0, i.revision, i.objects, true))
+	s.notifyListeners(contract.NewDelta(0, i.revision, i.objects, true))
 	return nil
 }
--- a/pkg/configstate/view.go
+++ b/pkg/configstate/view.go
@@ -212,8 +212,8 @@
 	return names
 }
 
-// Manifest returns the manifest with a digest.
-func (v *View) Manifest(d contract.Digest) (contract.Model, bool) {
+// ModelByDigest returns the manifest with a digest.
+func (v *View) ModelByDigest(d contract.Digest) (contract.Model, bool) {
 	for key, digest := range v.digests {
 		if digest == d {
 			return v.models[key], true
@@ -247,7 +247,7 @@
 			return failure.Of(err)
 		}
 	}
-	return checkNoDangling(present, overlay, exists)
+	return checkDeletedModels(present, overlay, exists)
 }
 
 func checkObject(o contract.Object, exists func(contract.Key) bool) error {
@@ -302,8 +302,8 @@
 	return nil
 }
 
-// checkNoDangling refuses to delete a model that a group still carries.
-func checkNoDangling(present, overlay map[contract.Key]contract.Object, exists func(contract.Key) bool) *failure.Failure {
+// checkDeletedModels refuses to delete a model that a group still carries.
+func checkDeletedModels(present, overlay map[contract.Key]contract.Object, exists func(contract.Key) bool) *failure.Failure {
 	deletes := false
 	for _, o := range overlay {
 		deletes = deletes || o.Deleted() && o.Kind() == contract.KindModel
--- a/pkg/configstate/view_test.go
+++ b/pkg/configstate/view_test.go
@@ -7,9 +7,9 @@
 	"github.com/tidepost/tidepost/pkg/vm"
 )
 
-// TestOperatorCanRemoveAVMsOwnLabel was found in the demo: the label of the
+// TestOperatorRemovesVMLabel was found in the demo: the label of the
 // VM's settings came back from under the operator's.
-func TestOperatorCanRemoveAVMsOwnLabel(t *testing.T) {
+func TestOperatorRemovesVMLabel(t *testing.T) {
 	own := vm.Labels{"purpose": "menu", "rack": "r1"}
 	s := NewState()
 	base := uint64(0)
@@ -40,7 +40,7 @@
 
 // TestOlderDeltaIsRefused: what is in force never goes back, and a gap is not
 // jumped.
-func TestOlderDeltaIsRefused(t *testing.T) {
+func TestOutOfOrderDeltaIsRejected(t *testing.T) {
 	s := NewState()
 	for _, c := range []struct {
 		from, revision uint64
--- a/pkg/configstate/wire_generated.go
+++ b/pkg/configstate/wire_generated.go
@@ -8,26 +8,26 @@
 	"github.com/tidepost/tidepost/pkg/contract"
 )
 
-// newImage returns a image with the given fields.
-func newImage(revision uint64, floor uint64, objects []contract.Object, changes []remembered) image {
-	return image{revision: revision, floor: floor, objects: objects, changes: changes}
+// newChangeResult returns a changeResult with the given fields.
+func newChangeResult(id string, content contract.Digest, result contract.ChangeResult) changeResult {
+	return changeResult{id: id, content: content, result: result}
 }
 
 // EncodeMsgpack writes the fields in order, as one array.
-func (i image) EncodeMsgpack(enc *msgpack.Encoder) error {
-	if err := enc.EncodeArrayLen(4); err != nil {
+func (c changeResult) EncodeMsgpack(enc *msgpack.Encoder) error {
+	if err := enc.EncodeArrayLen(3); err != nil {
 		return err
 	}
-	return enc.EncodeMulti(i.revision, i.floor, i.objects, i.changes)
+	return enc.EncodeMulti(c.id, c.content, c.result)
 }
 
 // DecodeMsgpack reads what EncodeMsgpack wrote, of this version or another.
-func (i *image) DecodeMsgpack(dec *msgpack.Decoder) error {
+func (c *changeResult) DecodeMsgpack(dec *msgpack.Decoder) error {
 	count, err := dec.DecodeArrayLen()
 	if err != nil {
 		return err
 	}
-	fields := []any{&i.revision, &i.floor, &i.objects, &i.changes}
+	fields := []any{&c.id, &c.content, &c.result}
 	for i := 0; i < count; i++ {
 		if i >= len(fields) {
 			err = dec.Skip()
@@ -41,26 +41,26 @@
 	return nil
 }
 
-// newRemembered returns a remembered with the given fields.
-func newRemembered(id string, content contract.Digest, result contract.ChangeResult) remembered {
-	return remembered{id: id, content: content, result: result}
+// newSnapshotData returns a snapshotData with the given fields.
+func newSnapshotData(revision uint64, deltaFloor uint64, objects []contract.Object, results []changeResult) snapshotData {
+	return snapshotData{revision: revision, deltaFloor: deltaFloor, objects: objects, results: results}
 }
 
 // EncodeMsgpack writes the fields in order, as one array.
-func (r remembered) EncodeMsgpack(enc *msgpack.Encoder) error {
-	if err := enc.EncodeArrayLen(3); err != nil {
+func (s snapshotData) EncodeMsgpack(enc *msgpack.Encoder) error {
+	if err := enc.EncodeArrayLen(4); err != nil {
 		return err
 	}
-	return enc.EncodeMulti(r.id, r.content, r.result)
+	return enc.EncodeMulti(s.revision, s.deltaFloor, s.objects, s.results)
 }
 
 // DecodeMsgpack reads what EncodeMsgpack wrote, of this version or another.
-func (r *remembered) DecodeMsgpack(dec *msgpack.Decoder) error {
+func (s *snapshotData) DecodeMsgpack(dec *msgpack.Decoder) error {
 	count, err := dec.DecodeArrayLen()
 	if err != nil {
 		return err
 	}
-	fields := []any{&r.id, &r.content, &r.result}
+	fields := []any{&s.revision, &s.deltaFloor, &s.objects, &s.results}
 	for i := 0; i < count; i++ {
 		if i >= len(fields) {
 			err = dec.Skip()
--- a/pkg/control/cluster_test.go
+++ b/pkg/control/cluster_test.go
@@ -25,28 +25,28 @@
 
 // cluster is a set of control nodes on loopback with disks in memory.
 type cluster struct {
-	t     *testing.T
-	nodes []*testNode
-	ahead atomic.Int64 // how far the clock of named versions runs ahead
+	t           *testing.T
+	nodes       []*testNode
+	clockOffset atomic.Int64 // how far the clock of named versions runs ahead
 }
 
 // testNode is one node with its disk, which outlives it.
 type testNode struct {
-	name, links, calls string
-	bootstrap          bool
-	disk               *disk.Memory
-	cut                map[string]bool // link addresses that it cannot dial
-	node               *Node
-	signals            chan os.Signal
-	ended              chan error
-	silencer           silenced.Conns // the links that it dialed
+	name, linkAddress, httpAddress string
+	bootstrap                      bool
+	disk                           *disk.Memory
+	unreachable                    map[string]bool // link addresses that it cannot dial
+	node                           *Node
+	signals                        chan os.Signal
+	result                         chan error
+	silencer                       silenced.Conns // the links that it dialed
 }
 
 func newCluster(t *testing.T, size int) *cluster {
 	c := &cluster{t: t}
 	for i := range size {
 		c.nodes = append(c.nodes, &testNode{
-			name: fmt.Sprintf("control-%d", i), links: loopback.FreeAddress(t), calls: loopback.FreeAddress(t), bootstrap: true, disk: disk.NewMemory(),
+			name: fmt.Sprintf("control-%d", i), linkAddress: loopback.FreeAddress(t), httpAddress: loopback.FreeAddress(t), bootstrap: true, disk: disk.NewMemory(),
 		})
 	}
 	for _, n := range c.nodes {
@@ -67,7 +67,7 @@
 peers: {listen: "%s"}
 data: {folder: unused}
 control: {listen: "%s", bootstrap: %v, tolerate: 1}
-`, n.name, n.name, n.links, n.calls, n.bootstrap)
+`, n.name, n.name, n.linkAddress, n.httpAddress, n.bootstrap)
 	path := filepath.Join(c.t.TempDir(), n.name+".yaml")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		c.t.Fatal(err)
@@ -76,7 +76,7 @@
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	n.node, err = New(s, "", Own(), nil, Seams{
+	n.node, err = New(s, "", NativeProtocol(), nil, Seams{
 		Seams: daemon.Seams{
 			Log:    io.Discard,
 			Listen: func(a string) (net.Listener, error) { return net.Listen("tcp", a) },
@@ -87,23 +87,23 @@
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	n.node.service.state.now = func() time.Time { return time.Now().Add(time.Duration(c.ahead.Load())) }
+	n.node.service.state.now = func() time.Time { return time.Now().Add(time.Duration(c.clockOffset.Load())) }
 	// The nodes of a test share an address and differ by port.
 	n.node.member.config.seeds = func() []string { return c.seeds() }
-	n.node.others.Seeds = n.node.member.config.seeds
-	n.signals, n.ended = make(chan os.Signal, 1), make(chan error, 1)
-	node, signals, ended := n.node, n.signals, n.ended
+	n.node.nodeFollower.Seeds = n.node.member.config.seeds
+	n.signals, n.result = make(chan os.Signal, 1), make(chan error, 1)
+	node, signals, result := n.node, n.signals, n.result
 	go func() {
 		err := node.Run(signals)
 		if err != nil {
 			c.t.Logf("%s ended: %v", n.name, err)
 		}
-		ended <- err
+		result <- err
 	}()
 }
 
 func (n *testNode) dial(ctx context.Context, address string) (net.Conn, error) {
-	if n.cut[address] {
+	if n.unreachable[address] {
 		return nil, fmt.Errorf("%s is cut off from %s", n.name, address)
 	}
 	var d net.Dialer
@@ -117,7 +117,7 @@
 func (c *cluster) seeds() []string {
 	var seeds []string
 	for _, n := range c.nodes[:3] {
-		seeds = append(seeds, n.links)
+		seeds = append(seeds, n.linkAddress)
 	}
 	return seeds
 }
@@ -127,22 +127,22 @@
 		return
 	}
 	n.signals <- os.Interrupt
-	<-n.ended
+	<-n.result
 	n.node = nil
 }
 
-// patience ends a test that waits for what does not come; it is no bound on
+// waitTimeout ends a test that waits for what does not come; it is no bound on
 // how long things may take.
-const patience = time.Minute
+const waitTimeout = time.Minute
 
 // eventually tries until do succeeds.
-func (c *cluster) eventually(what string, do func() error) {
+func (c *cluster) eventually(what string, attempt func() error) {
 	c.t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	var err error
 	for ctx.Err() == nil {
-		if err = do(); err == nil {
+		if err = attempt(); err == nil {
 			return
 		}
 		<-time.After(10 * time.Millisecond)
@@ -155,16 +155,16 @@
 func (c *cluster) awaitVoters(nodes ...*testNode) {
 	c.t.Helper()
 	c.eventually("voters", func() error {
-		wanted := map[controllog.MemberID]bool{}
+		want := map[controllog.MemberID]bool{}
 		for _, n := range nodes {
 			self := n.node.member.self.Load()
 			if self == nil {
 				return fmt.Errorf("%s has no disk yet", n.name)
 			}
-			wanted[self.MemberID()] = true
+			want[self.MemberID()] = true
 		}
 		for _, n := range nodes {
-			if s := n.node.member.state(); s.Role == controllog.Leader && s.CanChangeMembers && sameVoters(s.Members, wanted) {
+			if s := n.node.member.state(); s.Role == controllog.Leader && s.CanChangeMembers && sameVoters(s.Members, want) {
 				return nil
 			}
 		}
@@ -172,26 +172,28 @@
 	})
 }
 
-func sameVoters(voters []controllog.Member, wanted map[controllog.MemberID]bool) bool {
+func sameVoters(voters []controllog.Member, want map[controllog.MemberID]bool) bool {
 	for _, v := range voters {
-		if v.Learner() || !wanted[v.MemberID()] {
+		if v.Learner() || !want[v.MemberID()] {
 			return false
 		}
 	}
-	return len(voters) == len(wanted)
+	return len(voters) == len(want)
 }
 
-func document(number uint64) Configuration {
+func newTestConfiguration(number uint64) Configuration {
 	d := serviceconfig.NewDocument(number, nil, []serviceconfig.Service{serviceconfig.NewService("menu", "", 0, "", serviceconfig.Engine{}, false)}, nil, serviceconfig.Limits{})
 	return NewConfiguration(d, []byte(fmt.Sprintf(`{"number": %d}`, number)))
 }
 
 func (c *cluster) put(n *testNode, number uint64) {
 	c.t.Helper()
-	c.eventually("put", func() error { return n.node.service.PutConfiguration(context.Background(), document(number)) })
+	c.eventually("put", func() error {
+		return n.node.service.PutConfiguration(context.Background(), newTestConfiguration(number))
+	})
 }
 
-func (c *cluster) mustRead(n *testNode, number uint64) {
+func (c *cluster) requireRead(n *testNode, number uint64) {
 	c.t.Helper()
 	c.eventually("read", func() error {
 		got, err := n.node.service.ReadConfiguration(context.Background())
@@ -205,17 +207,17 @@
 	})
 }
 
-func TestNodesFormAndAgree(t *testing.T) {
+func TestNodesBootstrapAndReplicate(t *testing.T) {
 	c := newCluster(t, 3)
 	c.awaitVoters(c.nodes...)
 	c.put(c.nodes[1], 7)
 	for _, n := range c.nodes {
-		c.mustRead(n, 7)
+		c.requireRead(n, 7)
 	}
 	// A resend and an older number are acknowledged and change nothing.
 	c.put(c.nodes[2], 7)
 	c.put(c.nodes[0], 5)
-	c.mustRead(c.nodes[2], 7)
+	c.requireRead(c.nodes[2], 7)
 	if err := c.nodes[0].node.service.NameVersion(context.Background(), "menu", 0); !failure.Is(err, failure.BadDocument) {
 		t.Fatalf("version 0: %v", err)
 	}
@@ -224,7 +226,7 @@
 
 // A node that loses its disk right after an acknowledgement comes back as
 // another voter, and what was acknowledged is still there.
-func TestWipedNodeIsTakenInAgain(t *testing.T) {
+func TestWipedNodeRejoins(t *testing.T) {
 	c := newCluster(t, 3)
 	c.awaitVoters(c.nodes...)
 	c.put(c.nodes[0], 7)
@@ -233,14 +235,14 @@
 	wiped.disk, wiped.bootstrap = disk.NewMemory(), false
 	c.start(wiped)
 	c.awaitVoters(c.nodes...)
-	c.mustRead(wiped, 7)
+	c.requireRead(wiped, 7)
 	c.put(wiped, 8)
-	c.mustRead(c.nodes[2], 8)
+	c.requireRead(c.nodes[2], 8)
 }
 
 // One node loses its disk at the moment at which all others lose power: what was
 // acknowledged just before is read from the disks that are left, whichever node it was.
-func TestDiskIsLostWhileAllOthersLosePower(t *testing.T) {
+func TestDiskLossDuringPowerLoss(t *testing.T) {
 	for i, name := range []string{"first", "second", "third"} {
 		t.Run(name, func(t *testing.T) {
 			c := newCluster(t, 3)
@@ -259,7 +261,7 @@
 				c.start(n)
 			}
 			for _, n := range c.nodes {
-				c.mustRead(n, 8)
+				c.requireRead(n, 8)
 			}
 		})
 	}
@@ -278,61 +280,61 @@
 	for _, n := range c.nodes {
 		c.start(n)
 	}
-	c.mustRead(c.nodes[1], 7)
+	c.requireRead(c.nodes[1], 7)
 }
 
 // A node that is gone for good is taken out once another has come in.
-func TestReplacedNodeIsTakenOut(t *testing.T) {
+func TestReplacedVoterIsRemoved(t *testing.T) {
 	c := newCluster(t, 3)
 	c.awaitVoters(c.nodes...)
 	c.put(c.nodes[0], 7)
 	c.stop(c.nodes[2])
-	fresh := &testNode{name: "control-9", links: loopback.FreeAddress(t), calls: loopback.FreeAddress(t), disk: disk.NewMemory()}
+	fresh := &testNode{name: "control-9", linkAddress: loopback.FreeAddress(t), httpAddress: loopback.FreeAddress(t), disk: disk.NewMemory()}
 	c.nodes = append(c.nodes, fresh)
 	c.start(fresh)
 	c.awaitVoters(c.nodes[0], c.nodes[1], fresh)
 	c.stop(c.nodes[0])
 	c.put(fresh, 8)
-	c.mustRead(fresh, 8)
+	c.requireRead(fresh, 8)
 }
 
 // A disk that fails stops the node's part in the log, not the node: it hands
 // calls on, and takes part again once the disk works.
-func TestNodeOutlivesItsDisk(t *testing.T) {
+func TestNodeForwardsCallsAfterDiskFailure(t *testing.T) {
 	c := newCluster(t, 3)
 	c.awaitVoters(c.nodes...)
 	n := c.nodes[1]
 	full := fmt.Errorf("no space")
 	n.disk.SetFailAppend(func(string, int) (int, error) { return 0, full })
 	c.put(c.nodes[0], 7)
-	c.mustRead(n, 7)
+	c.requireRead(n, 7)
 	n.disk.SetFailAppend(nil)
 	c.stop(c.nodes[2])
 	c.put(c.nodes[0], 8)
-	c.mustRead(n, 8)
+	c.requireRead(n, 8)
 }
 
-func TestEmptyNodeNeverFormsACluster(t *testing.T) {
+func TestEmptyNodeWithoutBootstrapFormsNoCluster(t *testing.T) {
 	c := &cluster{t: t}
-	n := &testNode{name: "control-0", links: loopback.FreeAddress(t), calls: loopback.FreeAddress(t), disk: disk.NewMemory()}
+	n := &testNode{name: "control-0", linkAddress: loopback.FreeAddress(t), httpAddress: loopback.FreeAddress(t), disk: disk.NewMemory()}
 	c.nodes = []*testNode{n, n, n}
 	c.start(n)
 	defer c.stop(n)
-	if err := n.node.service.PutConfiguration(context.Background(), document(7)); err == nil {
+	if err := n.node.service.PutConfiguration(context.Background(), newTestConfiguration(7)); err == nil {
 		t.Fatal("an empty node that may not form a cluster acknowledged a configuration")
 	}
 }
 
 // A node that hears no quorum does not acknowledge that a backend server leaves.
-func TestLeavingNeedsAQuorum(t *testing.T) {
+func TestDrainingRequiresQuorum(t *testing.T) {
 	c := newCluster(t, 3)
 	c.awaitVoters(c.nodes...)
 	leaving := registry.NewRegistration("i-1", "menu", "10.0.0.1:80", "north", "v1", 4, registry.Draining, 0, nil, 2, 0)
-	c.eventually("drain", func() error { return c.nodes[0].node.service.Hear(leaving) })
+	c.eventually("drain", func() error { return c.nodes[0].node.service.ReceiveHeartbeat(leaving) })
 	c.stop(c.nodes[1])
 	c.stop(c.nodes[2])
 	c.eventually("refusal", func() error {
-		if err := c.nodes[0].node.service.Hear(leaving); err == nil || !strings.Contains(err.Error(), "quorum") {
+		if err := c.nodes[0].node.service.ReceiveHeartbeat(leaving); err == nil || !strings.Contains(err.Error(), "quorum") {
 			return fmt.Errorf("acknowledged without a quorum: %v", err)
 		}
 		return nil
--- a/pkg/control/keeper.go
+++ b/pkg/control/keeper.go
@@ -26,26 +26,26 @@
 )
 
 const (
-	// keptFile is the file in the data folder: some 200 bytes a request.
-	keptFile = "quarantine"
-	// keepEvery is the time between two looks whether something has changed.
-	keepEvery = time.Second
+	// quarantineFile is the file in the data folder: some 200 bytes a request.
+	quarantineFile = "quarantine"
+	// quarantineWriteInterval is the time between two looks whether something has changed.
+	quarantineWriteInterval = time.Second
 )
 
-// keeper keeps the records of barred requests on the disk.
-type keeper struct {
-	table  *quarantine.Table
-	learn  func(records []quarantine.Record)
-	logger log.Logger
+// quarantineStore keeps the records of barred requests on the disk.
+type quarantineStore struct {
+	table        *quarantine.Table
+	mergeRecords func(records []quarantine.Record)
+	logger       log.Logger
 
 	mu      sync.Mutex
 	folder  *disk.Folder // nil while there is no disk
 	changed bool         // since it was written
 }
 
-// use takes a folder that was opened, and reads what it holds.
-func (k *keeper) use(folder *disk.Folder) {
-	records, err := readKept(folder)
+// setFolder takes a folder that was opened, and reads what it holds.
+func (k *quarantineStore) setFolder(folder *disk.Folder) {
+	records, err := readBarred(folder)
 	if err != nil {
 		// It is written anew with the next change, and others tell the same.
 		_ = level.Warn(k.logger).Log("msg", "barred requests cannot be read", "err", err)
@@ -53,18 +53,18 @@
 	k.mu.Lock()
 	k.folder, k.changed = folder, true
 	k.mu.Unlock()
-	k.learn(records)
+	k.mergeRecords(records)
 }
 
-// leave gives the folder up: it is closed afterwards.
-func (k *keeper) leave() {
+// clearFolder gives the folder up: it is closed afterwards.
+func (k *quarantineStore) clearFolder() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.folder = nil
 }
 
-func readKept(folder *disk.Folder) (records []quarantine.Record, err error) {
-	raw, err := folder.Read(keptFile)
+func readBarred(folder *disk.Folder) (records []quarantine.Record, err error) {
+	raw, err := folder.Read(quarantineFile)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil, nil
 	}
@@ -74,8 +74,8 @@
 	return records, msgpack.Unmarshal(raw, &records)
 }
 
-// note notes that records have changed; those that bar nothing are not kept.
-func (k *keeper) note(changed []quarantine.Record) {
+// markChanged notes that records have changed; those that bar nothing are not kept.
+func (k *quarantineStore) markChanged(changed []quarantine.Record) {
 	for _, r := range changed {
 		if r.IsQuarantined() || len(r.CompletedOn()) > 0 {
 			k.mu.Lock()
@@ -87,16 +87,16 @@
 }
 
 // run writes what has changed until the context ends.
-func (k *keeper) run(ctx context.Context) error {
-	return daemon.Every(ctx, keepEvery, func() {
-		if err := k.keep(); err != nil {
+func (k *quarantineStore) run(ctx context.Context) error {
+	return daemon.Every(ctx, quarantineWriteInterval, func() {
+		if err := k.writeIfChanged(); err != nil {
 			_ = level.Warn(k.logger).Log("msg", "barred requests cannot be kept", "err", err)
 		}
 	})
 }
 
-// keep writes the records of barred requests if something has changed.
-func (k *keeper) keep() error {
+// writeIfChanged writes the records of barred requests if something has changed.
+func (k *quarantineStore) writeIfChanged() error {
 	k.mu.Lock()
 	folder, due := k.folder, k.changed && k.folder != nil
 	k.changed = k.changed && !due
@@ -104,13 +104,13 @@
 	if !due {
 		return nil
 	}
-	var kept []quarantine.Record
+	var barred []quarantine.Record
 	for _, r := range k.table.Records() {
 		if r.IsQuarantined() {
-			kept = append(kept, r)
+			barred = append(barred, r)
 		}
 	}
-	err := writeKept(folder, kept)
+	err := writeBarred(folder, barred)
 	if err != nil {
 		k.mu.Lock()
 		k.changed = true
@@ -119,16 +119,16 @@
 	return err
 }
 
-// writeKept writes records. Where there never were any, no file is made.
-func writeKept(folder *disk.Folder, kept []quarantine.Record) error {
-	if len(kept) == 0 {
-		if _, err := folder.Read(keptFile); errors.Is(err, os.ErrNotExist) {
+// writeBarred writes records. Where there never were any, no file is made.
+func writeBarred(folder *disk.Folder, barred []quarantine.Record) error {
+	if len(barred) == 0 {
+		if _, err := folder.Read(quarantineFile); errors.Is(err, os.ErrNotExist) {
 			return nil
 		}
 	}
-	raw, err := msgpack.Marshal(kept)
+	raw, err := msgpack.Marshal(barred)
 	if err != nil {
 		return err
 	}
-	return folder.Replace(keptFile, raw)
+	return folder.Replace(quarantineFile, raw)
 }
--- a/pkg/control/late_age_test.go
+++ b/pkg/control/late_age_test.go
@@ -20,26 +20,26 @@
 // who knew better to those who applied late, and a later naming ended all corrections.
 // Proved by days with such documents, where gateways that followed two late nodes served old
 // weights by as much longer, and none did once nodes learn ages from each other.
-func TestNodeThatAppliesLateLearnsTheAgeFromAnother(t *testing.T) {
-	told := feed.NewUpdate(0, nil, []feed.NamedVersion{feed.NewNamedVersion("menu", 2, longAgo)}, nil, true, nil, 0, false, nil, nil, nil, nil, nil, nil)
-	hear := func(n *testNode) { n.node.takeOther("10.0.0.9:7700", told) }
+func TestNodeApplyingLateGetsVersionAgeFromAnother(t *testing.T) {
+	update := feed.NewUpdate(0, nil, []feed.NamedVersion{feed.NewNamedVersion("menu", 2, clockAdvance)}, nil, true, nil, 0, false, nil, nil, nil, nil, nil, nil)
+	receive := func(n *testNode) { n.node.receiveNodeUpdate("10.0.0.9:7700", update) }
 	name := func(c *cluster) {
 		c.eventually("name", func() error { return c.nodes[0].node.service.NameVersion(context.Background(), "menu", 2) })
 	}
-	for order, play := range map[string]func(c *cluster){
-		"heard after it applied it":  func(c *cluster) { name(c); hear(c.nodes[0]) },
-		"heard before it applied it": func(c *cluster) { hear(c.nodes[0]); name(c) },
+	for order, run := range map[string]func(c *cluster){
+		"heard after it applied it":  func(c *cluster) { name(c); receive(c.nodes[0]) },
+		"heard before it applied it": func(c *cluster) { receive(c.nodes[0]); name(c) },
 		"heard after a later naming": func(c *cluster) {
 			name(c)
 			c.eventually("name", func() error { return c.nodes[0].node.service.NameVersion(context.Background(), "menu", 3) })
-			hear(c.nodes[0])
+			receive(c.nodes[0])
 		},
 	} {
 		t.Run(order, func(t *testing.T) {
 			c := newCluster(t, 3)
 			c.awaitVoters(c.nodes...)
-			play(c)
-			c.awaitAge(c.nodes[0], 2, longAgo)
+			run(c)
+			c.awaitAge(c.nodes[0], 2, clockAdvance)
 		})
 	}
 }
--- a/pkg/control/links.go
+++ b/pkg/control/links.go
@@ -19,35 +19,35 @@
 )
 
 const (
-	// lookAtLinks is the time between looks for nodes that are not heard: half a tick
+	// linkCheckInterval is the time between looks for nodes that are not heard: half a tick
 	// of the log, so that a new link carries the heartbeat after next.
-	lookAtLinks = controllog.DefaultTick / 2
-	// quietTicks without an answer have a leader doubt its link: one heartbeat was
+	linkCheckInterval = controllog.DefaultTick / 2
+	// followerSilenceTicks without an answer have a leader doubt its link: one heartbeat was
 	// missed and half the next.
-	quietTicks = controllog.DefaultHeartbeatTicks + 1
-	// quietLeader is the same for the others, who know the time.
-	quietLeader = (controllog.DefaultHeartbeatTicks*2 + 1) * controllog.DefaultTick / 2
+	followerSilenceTicks = controllog.DefaultHeartbeatTicks + 1
+	// leaderSilence is the same for the others, who know the time.
+	leaderSilence = (controllog.DefaultHeartbeatTicks*2 + 1) * controllog.DefaultTick / 2
 )
 
 // watchLinks doubts the links to members that are not heard until the context ends.
 func (m *member) watchLinks(ctx context.Context) {
-	_ = daemon.Every(ctx, lookAtLinks, func() { m.doubtLinks(time.Now()) })
+	_ = daemon.Every(ctx, linkCheckInterval, func() { m.checkLinks(time.Now()) })
 }
 
-func (m *member) doubtLinks(now time.Time) {
+func (m *member) checkLinks(now time.Time) {
 	self, state := m.self.Load(), m.state()
 	if self == nil {
 		return
 	}
-	quiet := now.Sub(m.started)-time.Duration(m.leaderSpoke.Load()) > quietLeader
+	silent := now.Sub(m.started)-time.Duration(m.leaderMessageAt.Load()) > leaderSilence
 	for _, v := range state.Members {
 		if v.ID() == self.ID() {
 			continue
 		}
 		if state.Role == controllog.Leader {
-			quiet = state.TicksSinceResponse[v.MemberID()] >= quietTicks
+			silent = state.TicksSinceResponse[v.MemberID()] >= followerSilenceTicks
 		}
-		if quiet {
+		if silent {
 			m.config.endpoint.Probe(v.Address(), now)
 		}
 	}
--- a/pkg/control/member.go
+++ b/pkg/control/member.go
@@ -32,32 +32,32 @@
 )
 
 const (
-	// reopenPause lies between two tries to open a failing disk.
-	reopenPause = 300 * time.Millisecond
-	// manageEvery is the time between looks at the membership.
-	manageEvery = 250 * time.Millisecond
-	// callTimeout bounds one call to another node.
-	callTimeout = 900 * time.Millisecond
+	// reopenDelay lies between two tries to open a failing disk.
+	reopenDelay = 300 * time.Millisecond
+	// membershipInterval is the time between looks at the membership.
+	membershipInterval = 250 * time.Millisecond
+	// joinTimeout bounds one call to another node.
+	joinTimeout = 900 * time.Millisecond
 	// electionTicks of 100 ms without a leader call for an election.
 	electionTicks = 7
-	// deadTicks is for how long a voter that is not needed may be silent.
-	deadTicks = 15
-	// confirmedFor is how long the word of a quorum's leader counts.
-	confirmedFor = 1500 * time.Millisecond
+	// removalTicks is for how long a voter that is not needed may be silent.
+	removalTicks = 15
+	// quorumValidity is how long the word of a quorum's leader counts.
+	quorumValidity = 1500 * time.Millisecond
 )
 
-// join asks to be taken in as a voter.
+// joinRequest asks to be taken in as a voter.
 //
 //wire:generate
-type join struct {
+type joinRequest struct {
 	// voter is who asks.
 	voter controllog.Member
 }
 
-// joined is the answer: whether the cluster is formed at the node asked.
+// joinResponse is the answer: whether the cluster is formed at the node asked.
 //
 //wire:generate
-type joined struct {
+type joinResponse struct {
 	// formed says that the node belongs to a cluster.
 	formed bool
 	// leader is the link address of the leader; may be empty.
@@ -66,47 +66,47 @@
 
 // memberConfig says how a node takes part in the log.
 type memberConfig struct {
-	identity func(incarnation uint64) vm.Identity
-	open     func() (*disk.Folder, error)
-	// opened gets each data folder that was opened, and closing is called before it closes.
-	opened    func(*disk.Folder)
-	closing   func()
-	endpoint  *link.Endpoint
-	machine   controllog.StateMachine
-	record    func(kind event.Kind, subject, detail string)
-	logger    log.Logger
-	seeds     func() []string
-	bootstrap bool
-	tolerate  int
+	identity   func(incarnation uint64) vm.Identity
+	openFolder func() (*disk.Folder, error)
+	// onOpen gets each data folder that was opened, and closing is called before it closes.
+	onOpen            func(*disk.Folder)
+	onClose           func()
+	endpoint          *link.Endpoint
+	machine           controllog.StateMachine
+	recordEvent       func(kind event.Kind, subject, detail string)
+	logger            log.Logger
+	seeds             func() []string
+	bootstrap         bool
+	toleratedFailures int
 }
 
 // member runs the node's part in the control log.
 type member struct {
-	config memberConfig
-	peers  *link.Messenger[controllog.Message]
-
-	runner      atomic.Pointer[controllog.Runner]
-	self        atomic.Pointer[controllog.Member]
-	heardLeader atomic.Int64 // nanoseconds since started
-	leaderSpoke atomic.Int64 // the same, of a message that a leader sent here
-	leaderHint  atomic.Pointer[string]
-	started     time.Time
-
-	mu    sync.Mutex
-	known map[string]bool // link addresses of control nodes heard of
+	config    memberConfig
+	messenger *link.Messenger[controllog.Message]
+
+	runner          atomic.Pointer[controllog.Runner]
+	self            atomic.Pointer[controllog.Member]
+	leaderKnownAt   atomic.Int64 // nanoseconds since started
+	leaderMessageAt atomic.Int64 // the same, of a message that a leader sent here
+	lastLeader      atomic.Pointer[string]
+	started         time.Time
+
+	mu            sync.Mutex
+	joinAddresses map[string]bool // link addresses of control nodes heard of
 }
 
 func newMember(c memberConfig) *member {
 	return &member{
-		config: c, started: time.Now(), known: map[string]bool{},
-		peers: link.NewMessenger[controllog.Message](c.endpoint, link.KindControlLog),
+		config: c, started: time.Now(), joinAddresses: map[string]bool{},
+		messenger: link.NewMessenger[controllog.Message](c.endpoint, link.KindControlLog),
 	}
 }
 
 // run keeps the member running until the context ends.
 func (m *member) run(ctx context.Context) error {
-	defer m.peers.Close()
-	go m.manage(ctx)
+	defer m.messenger.Close()
+	go m.manageMembership(ctx)
 	go m.watchLinks(ctx)
 	for ctx.Err() == nil {
 		err := m.runOnce(ctx)
@@ -116,7 +116,7 @@
 		_ = level.Warn(m.config.logger).Log("msg", "disk lost", "err", err)
 		select {
 		case <-ctx.Done():
-		case <-time.After(reopenPause):
+		case <-time.After(reopenDelay):
 		}
 	}
 	return nil
@@ -124,13 +124,13 @@
 
 // runOnce opens the data folder and runs the member until its disk fails.
 func (m *member) runOnce(ctx context.Context) error {
-	folder, err := m.config.open()
+	folder, err := m.config.openFolder()
 	if err != nil {
 		return err
 	}
 	defer func() { _ = folder.Close() }()
-	m.config.opened(folder)
-	defer m.config.closing()
+	m.config.onOpen(folder)
+	defer m.config.onClose()
 	incarnation, err := controllog.LoadOrCreateIncarnation(folder)
 	if err != nil {
 		return err
@@ -138,7 +138,7 @@
 	identity := m.config.identity(incarnation)
 	self := controllog.NewMember(identity.ID(), identity.Incarnation(), identity.Address(), false, "")
 	runner, err := controllog.NewRunner(controllog.RunnerConfig{
-		Self: self, Folder: folder, Machine: m.config.machine, Send: m.send, Record: m.config.record,
+		Self: self, Folder: folder, Machine: m.config.machine, Send: m.send, Record: m.config.recordEvent,
 		Logger: m.config.logger, Seed: incarnation, ElectionTicks: electionTicks,
 	})
 	if err != nil {
@@ -151,19 +151,19 @@
 }
 
 func (m *member) send(to controllog.MemberID, address string, message controllog.Message) {
-	m.peers.Send(string(to.VM()), address, message)
+	m.messenger.Send(string(to.VM()), address, message)
 }
 
 // serveMessages takes the messages of another member.
 func (m *member) serveMessages(_ context.Context, s *link.Stream) error {
-	m.peers.SetAddress(string(s.Peer().ID()), s.Peer().Address())
+	m.messenger.SetAddress(string(s.Peer().ID()), s.Peer().Address())
 	for {
 		var message controllog.Message
 		if err := s.Receive(&message); err != nil {
 			return nil
 		}
 		if message.FromLeader() {
-			m.hearLeader(s.Peer().Address())
+			m.noteLeaderMessage(s.Peer().Address())
 		}
 		if r := m.runner.Load(); r != nil {
 			r.Deliver(message)
@@ -179,37 +179,37 @@
 	return controllog.State{}
 }
 
-// hearLeader notes who leads. A node whose disk fails keeps no log that could
+// noteLeaderMessage notes who leads. A node whose disk fails keeps no log that could
 // tell, and still hands calls on.
-func (m *member) hearLeader(address string) {
-	m.leaderHint.Store(&address)
+func (m *member) noteLeaderMessage(address string) {
+	m.lastLeader.Store(&address)
 	now := int64(time.Since(m.started))
-	m.heardLeader.Store(now)
-	m.leaderSpoke.Store(now)
+	m.leaderKnownAt.Store(now)
+	m.leaderMessageAt.Store(now)
 }
 
-// leader returns the link address of the leader; "" when none was heard lately.
-func (m *member) leader() string {
+// leaderAddress returns the link address of the leader; "" when none was heard lately.
+func (m *member) leaderAddress() string {
 	if address := m.state().Leader.Address(); address != "" {
 		return address
 	}
-	if hint := m.leaderHint.Load(); hint != nil && m.confirmed() {
+	if hint := m.lastLeader.Load(); hint != nil && m.quorumConfirmed() {
 		return *hint
 	}
 	return ""
 }
 
-// confirmed tells whether a quorum's leader was heard of lately.
-func (m *member) confirmed() bool {
-	at := m.heardLeader.Load()
-	return at != 0 && time.Since(m.started)-time.Duration(at) < confirmedFor
+// quorumConfirmed tells whether a quorum's leader was heard of lately.
+func (m *member) quorumConfirmed() bool {
+	at := m.leaderKnownAt.Load()
+	return at != 0 && time.Since(m.started)-time.Duration(at) < quorumValidity
 }
 
-// suspended forgets that a leader was heard of: that was longer ago than the clock says.
-func (m *member) suspended(time.Duration) { m.heardLeader.Store(0) }
+// forgetLeader forgets that a leader was heard of: that was longer ago than the clock says.
+func (m *member) forgetLeader(time.Duration) { m.leaderKnownAt.Store(0) }
 
-// nodes returns the link addresses of all members.
-func (m *member) nodes() []string {
+// memberAddresses returns the link addresses of all members.
+func (m *member) memberAddresses() []string {
 	var addresses []string
 	for _, v := range m.state().Members {
 		addresses = append(addresses, v.Address())
@@ -221,36 +221,36 @@
 // ----------------------------------------------------------------
 // Forming and healing
 
-func (m *member) manage(ctx context.Context) {
-	_ = daemon.Every(ctx, manageEvery, func() { m.manageOnce(ctx) })
+func (m *member) manageMembership(ctx context.Context) {
+	_ = daemon.Every(ctx, membershipInterval, func() { m.checkMembership(ctx) })
 }
 
-func (m *member) manageOnce(ctx context.Context) {
+func (m *member) checkMembership(ctx context.Context) {
 	self, state := m.self.Load(), m.state()
 	if self == nil || m.runner.Load() == nil {
 		return
 	}
 	if state.Leader.ID() != "" {
-		m.heardLeader.Store(int64(time.Since(m.started)))
+		m.leaderKnownAt.Store(int64(time.Since(m.started)))
 	}
 	switch {
-	case isVoter(state, *self) && m.confirmedOrFresh():
+	case isVoter(state, *self) && m.quorumConfirmedOrStarting():
 		if state.Role == controllog.Leader {
-			m.removeDead(ctx, *self, state)
+			m.removeDeadVoter(ctx, *self, state)
 		}
-	case len(state.Members) == 0 && m.mayForm(ctx, *self):
+	case len(state.Members) == 0 && m.mayBootstrap(ctx, *self):
 		if err := m.runner.Load().Bootstrap(ctx); err != nil {
 			_ = level.Warn(m.config.logger).Log("msg", "forming failed", "err", err)
 		}
 	default:
-		m.askIn(ctx, *self)
+		m.requestJoin(ctx, *self)
 	}
 }
 
-// confirmedOrFresh tells whether a leader was heard of lately, or the node runs
+// quorumConfirmedOrStarting tells whether a leader was heard of lately, or the node runs
 // too short a time to tell. A voter that hears none may have been taken out.
-func (m *member) confirmedOrFresh() bool {
-	return m.confirmed() || time.Since(m.started) < 2*confirmedFor
+func (m *member) quorumConfirmedOrStarting() bool {
+	return m.quorumConfirmed() || time.Since(m.started) < 2*quorumValidity
 }
 
 // isVoter tells whether this life of the node stands among the members.
@@ -263,27 +263,27 @@
 	return false
 }
 
-// mayForm tells whether this node is the one that forms the cluster: the first
+// mayBootstrap tells whether this node is the one that forms the cluster: the first
 // start is allowed, it is the first seed, and no other seed is in a cluster.
-func (m *member) mayForm(ctx context.Context, self controllog.Member) bool {
+func (m *member) mayBootstrap(ctx context.Context, self controllog.Member) bool {
 	seeds := append([]string(nil), m.config.seeds()...)
 	sort.Strings(seeds)
 	if !m.config.bootstrap || len(seeds) == 0 || seeds[0] != self.Address() {
 		return false
 	}
 	for _, address := range seeds[1:] {
-		if answer, err := m.ask(ctx, address, join{}); err == nil && answer.formed {
+		if answer, err := m.callJoin(ctx, address, joinRequest{}); err == nil && answer.formed {
 			return false
 		}
 	}
 	return true
 }
 
-// askIn asks one node after the other to be taken in.
-func (m *member) askIn(ctx context.Context, self controllog.Member) {
+// requestJoin asks one node after the other to be taken in.
+func (m *member) requestJoin(ctx context.Context, self controllog.Member) {
 	tried := map[string]bool{self.Address(): true}
-	queue := append(m.nodes(), m.config.seeds()...)
-	queue = append(queue, m.heardOf()...)
+	queue := append(m.memberAddresses(), m.config.seeds()...)
+	queue = append(queue, m.joiningAddresses()...)
 	for len(queue) > 0 {
 		address := queue[0]
 		queue = queue[1:]
@@ -291,7 +291,7 @@
 			continue
 		}
 		tried[address] = true
-		answer, err := m.ask(ctx, address, join{voter: self})
+		answer, err := m.callJoin(ctx, address, joinRequest{voter: self})
 		if err == nil && answer.leader != "" && !tried[answer.leader] {
 			queue = append([]string{answer.leader}, queue...)
 		}
@@ -301,45 +301,45 @@
 	}
 }
 
-func (m *member) heardOf() []string {
+func (m *member) joiningAddresses() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var addresses []string
-	for a := range m.known {
+	for a := range m.joinAddresses {
 		addresses = append(addresses, a)
 	}
 	sort.Strings(addresses)
 	return addresses
 }
 
-func (m *member) ask(ctx context.Context, address string, j join) (joined, error) {
-	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+func (m *member) callJoin(ctx context.Context, address string, j joinRequest) (joinResponse, error) {
+	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
-	var answer joined
+	var answer joinResponse
 	err := m.config.endpoint.Call(ctx, address, link.KindJoin, j, &answer)
 	return answer, err
 }
 
 // serveJoin takes a node in, or names the leader.
 func (m *member) serveJoin(ctx context.Context, s *link.Stream) error {
-	var j join
+	var j joinRequest
 	if err := s.Receive(&j); err != nil {
 		return err
 	}
 	m.mu.Lock()
-	m.known[s.Peer().Address()] = true
+	m.joinAddresses[s.Peer().Address()] = true
 	m.mu.Unlock()
 	state := m.state()
-	answer := joined{formed: len(state.Members) > 0, leader: state.Leader.Address()}
+	answer := joinResponse{formed: len(state.Members) > 0, leader: state.Leader.Address()}
 	if state.Role == controllog.Leader && j.voter.ID() != "" {
-		if err := m.takeIn(ctx, state, j.voter); err != nil {
+		if err := m.addVoter(ctx, state, j.voter); err != nil {
 			_ = level.Info(m.config.logger).Log("msg", "join put off", "member", string(j.voter.MemberID()), "err", err)
 		}
 	}
 	return s.Send(answer)
 }
 
-func (m *member) takeIn(ctx context.Context, state controllog.State, v controllog.Member) error {
+func (m *member) addVoter(ctx context.Context, state controllog.State, v controllog.Member) error {
 	if isVoter(state, v) {
 		return nil
 	}
@@ -350,18 +350,18 @@
 	return runner.AddMember(ctx, controllog.NewMember(v.ID(), v.Incarnation(), v.Address(), true, ""))
 }
 
-// removeDead takes one voter out that is silent and not needed: with it gone,
+// removeDeadVoter takes one voter out that is silent and not needed: with it gone,
 // a later loss leaves a quorum that counting it would not. One that comes back
 // asks to be taken in again.
-func (m *member) removeDead(ctx context.Context, self controllog.Member, state controllog.State) {
+func (m *member) removeDeadVoter(ctx context.Context, self controllog.Member, state controllog.State) {
 	if !state.CanChangeMembers {
 		return
 	}
-	needed := 2*m.config.tolerate + 1
+	needed := 2*m.config.toleratedFailures + 1
 	voters, alive := 0, 0
 	var dead controllog.Member
 	for _, v := range state.Members {
-		silent := state.TicksSinceResponse[v.MemberID()] > deadTicks && v.MemberID() != self.MemberID()
+		silent := state.TicksSinceResponse[v.MemberID()] > removalTicks && v.MemberID() != self.MemberID()
 		if silent && dead.ID() == "" {
 			dead = v
 		}
--- a/pkg/control/metrics.go
+++ b/pkg/control/metrics.go
@@ -12,15 +12,15 @@
 
 // metrics are a node's figures.
 type metrics struct {
-	heartbeats prometheus.Counter
-	number     prometheus.Gauge
+	heartbeats          prometheus.Counter
+	configurationNumber prometheus.Gauge
 }
 
 func newMetrics(r *prometheus.Registry) *metrics {
 	m := &metrics{
-		heartbeats: metric.NewCounter(metric.ControlHeartbeats),
-		number:     metric.NewGauge(metric.ControlNumber),
+		heartbeats:          metric.NewCounter(metric.ControlHeartbeats),
+		configurationNumber: metric.NewGauge(metric.ControlNumber),
 	}
-	r.MustRegister(m.heartbeats, m.number)
+	r.MustRegister(m.heartbeats, m.configurationNumber)
 	return m
 }
--- a/pkg/control/node.go
+++ b/pkg/control/node.go
@@ -36,13 +36,13 @@
 
 	headerTimeout  = 3 * time.Second
 	idleTimeout    = 30 * time.Second
-	maxHeader      = 16 << 10
+	maxHeaderBytes = 16 << 10
 	maxConnections = 1024
-	// callsAtStop is how long a planned stop waits for calls: a change is agreed within some
+	// shutdownTimeout is how long a planned stop waits for calls: a change is agreed within some
 	// 100 ms, and one that finds no quorum is not worth more of the time of the stop.
-	callsAtStop = 2 * time.Second
-	// goMemoryShare of the process's memory is the collector's limit.
-	goMemoryShare = 0.7
+	shutdownTimeout = 2 * time.Second
+	// memoryLimitShare of the process's memory is the collector's limit.
+	memoryLimitShare = 0.7
 )
 
 // Protocol is what operators and backend servers speak.
@@ -62,17 +62,17 @@
 
 // Node is one control node.
 type Node struct {
-	settings   settings.Control
-	seeds      *daemon.Reloaded[[]string]
-	process    *daemon.Process
-	protocol   Protocol
-	member     *member
-	service    *Service
-	others     *feed.Follower // follows the other control nodes
-	suspension *suspension.Watch
-	keeper     *keeper
-	calls      *http.Server
-	cache      *staging.Cache // nil where the settings ask for none
+	settings        settings.Control
+	seeds           *daemon.Reloaded[[]string]
+	process         *daemon.Process
+	protocol        Protocol
+	member          *member
+	service         *Service
+	nodeFollower    *feed.Follower // follows the other control nodes
+	suspension      *suspension.Watch
+	quarantineStore *quarantineStore
+	server          *http.Server
+	weightsCache    *staging.Cache // nil where the settings ask for none
 }
 
 // weightsFolder is the folder of the weights cache in the data folder.
@@ -82,7 +82,7 @@
 // again on a reload; it may be empty. origin is what the origin of weights
 // speaks; nil where no weights are kept.
 func New(s settings.Control, path string, protocol Protocol, origin *staging.Protocol, seams Seams) (*Node, error) {
-	debug.SetMemoryLimit(int64(float64(s.Memory()) * goMemoryShare))
+	debug.SetMemoryLimit(int64(float64(s.Memory()) * memoryLimitShare))
 	process, err := daemon.New(s.Common().WithoutDataFolder(), vm.NewIncarnation(), seams.Seams)
 	if err != nil {
 		return nil, err
@@ -93,46 +93,46 @@
 		registry: registry.NewTable(nil), quarantine: quarantine.NewTable(nil), endpoint: process.Endpoint, logger: process.Logger,
 		metrics: newMetrics(process.Registry),
 	}
-	n.service.state = NewState(n.changed)
-	n.service.state.noted = func(moves []feed.VersionChange, source, from string) {
-		feed.LogVersionChanges(process.Logger, moves, source, from)
+	n.service.state = NewState(n.stateChanged)
+	n.service.state.onVersionChanges = func(changes []feed.VersionChange, source, from string) {
+		feed.LogVersionChanges(process.Logger, changes, source, from)
 	}
 	n.service.publisher = feed.NewPublisher(feed.Source{
 		Self:            process.Identity,
-		DocumentNumber:  n.service.state.Number,
+		DocumentNumber:  n.service.state.ConfigurationNumber,
 		Document:        n.service.state.Document,
-		Versions:        n.service.state.Weights,
-		OnHello:         n.learnFrom,
+		Versions:        n.service.state.NamedVersions,
+		OnHello:         n.mergeFollowerAges,
 		Registrations:   n.service.registry.All,
 		Records:         n.service.quarantine.Records,
-		OnRecords:       n.service.learnRecords,
-		OnTrialRequest:  n.service.askTrial,
-		Nodes:           func() []string { return n.member.nodes() },
-		QuorumConfirmed: func() bool { return n.member.confirmed() },
+		OnRecords:       n.service.mergeRecords,
+		OnTrialRequest:  n.service.requestTrial,
+		Nodes:           func() []string { return n.member.memberAddresses() },
+		QuorumConfirmed: func() bool { return n.member.quorumConfirmed() },
 	})
-	n.calls = n.newCalls()
-	n.keeper = &keeper{table: n.service.quarantine, learn: n.service.learnRecords, logger: process.Logger}
-	n.service.barredChanged = n.keeper.note
+	n.server = n.newServer()
+	n.quarantineStore = &quarantineStore{table: n.service.quarantine, mergeRecords: n.service.mergeRecords, logger: process.Logger}
+	n.service.onRecordsChanged = n.quarantineStore.markChanged
 	n.member = newMember(n.memberConfig(seams))
 	n.service.member = n.member
-	n.others = n.newOthers()
-	n.suspension.OnResume(n.service.state.suspended)
-	n.suspension.OnResume(n.member.suspended)
+	n.nodeFollower = n.newNodeFollower()
+	n.suspension.OnResume(n.service.state.addSuspension)
+	n.suspension.OnResume(n.member.forgetLeader)
 	n.suspension.OnResume(process.LogSuspension)
 	process.Endpoint.Handle(link.KindControlLog, n.member.serveMessages)
 	process.Endpoint.Handle(link.KindJoin, n.member.serveJoin)
-	process.Endpoint.Handle(link.KindControlCall, n.service.serveCall)
+	process.Endpoint.Handle(link.KindControlCall, n.service.serveLeaderCall)
 	process.Endpoint.Handle(link.KindFeed, n.service.publisher.Serve)
 	if origin != nil && s.Cache() {
-		n.cache = staging.NewCache(process, *origin, n.seedLinks, func() (*disk.Folder, error) {
+		n.weightsCache = staging.NewCache(process, *origin, n.seedAddresses, func() (*disk.Folder, error) {
 			return disk.NewFolder(filepath.Join(s.Common().DataFolder(), weightsFolder))
 		})
 	}
 	return n, nil
 }
 
-// seedLinks returns the link addresses of the seeds.
-func (n *Node) seedLinks() []string {
+// seedAddresses returns the link addresses of the seeds.
+func (n *Node) seedAddresses() []string {
 	return link.WithPortOf(n.seeds.Get(), n.process.Identity.Address())
 }
 
@@ -146,15 +146,15 @@
 		identity: func(incarnation uint64) vm.Identity {
 			return vm.NewIdentity(own.ID(), incarnation, own.Region(), own.Domain(), own.Address())
 		},
-		open: open, opened: n.keeper.use, closing: n.keeper.leave, endpoint: n.process.Endpoint, machine: n.service.state.StateMachine(),
-		record: n.record, logger: n.process.Logger,
-		seeds:     n.seedLinks,
-		bootstrap: n.settings.Bootstrap(), tolerate: n.settings.Tolerate(),
+		openFolder: open, onOpen: n.quarantineStore.setFolder, onClose: n.quarantineStore.clearFolder, endpoint: n.process.Endpoint, machine: n.service.state.StateMachine(),
+		recordEvent: n.recordEvent, logger: n.process.Logger,
+		seeds:     n.seedAddresses,
+		bootstrap: n.settings.Bootstrap(), toleratedFailures: n.settings.Tolerate(),
 	}
 }
 
-// record notes an event and has changes of the voters told.
-func (n *Node) record(kind event.Kind, subject, detail string) {
+// recordEvent notes an event and has changes of the voters told.
+func (n *Node) recordEvent(kind event.Kind, subject, detail string) {
 	n.process.Recorder.Record(kind, subject, detail)
 	_ = level.Info(n.process.Logger).Log("msg", string(kind), "subject", subject, "detail", detail)
 	if kind == event.VoterChanged {
@@ -162,9 +162,9 @@
 	}
 }
 
-// changed has a new document or version told.
-func (n *Node) changed() {
-	n.service.metrics.number.Set(float64(n.service.state.Number()))
+// stateChanged has a new document or version told.
+func (n *Node) stateChanged() {
+	n.service.metrics.configurationNumber.Set(float64(n.service.state.ConfigurationNumber()))
 	n.service.publisher.NotifyChange()
 }
 
@@ -182,56 +182,56 @@
 		return n.process.ServeLinks(ctx, n.settings.Common().PeersListen())
 	})
 	add(n.process.ServeObserve)
-	add(n.serveCalls)
+	add(n.serveHTTP)
 	add(n.member.run)
-	if n.cache != nil {
-		add(n.cache.Run)
+	if n.weightsCache != nil {
+		add(n.weightsCache.Run)
 	}
-	add(n.others.Run)
+	add(n.nodeFollower.Run)
 	add(n.suspension.Run)
-	add(n.keeper.run)
-	add(n.sweep)
-	add(n.retell)
+	add(n.quarantineStore.run)
+	add(n.expireRegistrations)
+	add(n.resendRegistrations)
 	add(n.seeds.Run)
-	add(func(ctx context.Context) error { return n.waitStop(ctx, signals) })
+	add(func(ctx context.Context) error { return n.stopOnSignal(ctx, signals) })
 	err := group.Run()
 	n.process.LogStop(err)
 	return err
 }
 
-// newCalls returns the server of the calls of operators and backend servers.
-func (n *Node) newCalls() *http.Server {
+// newServer returns the server of the calls of operators and backend servers.
+func (n *Node) newServer() *http.Server {
 	router := chi.NewRouter()
 	n.protocol.Mount(router, n.service)
 	return &http.Server{
-		Handler: router, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeader,
+		Handler: router, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 		ErrorLog: daemon.HTTPLog(n.process.Logger),
 	}
 }
 
-// serveCalls serves calls, and returns when the node ends: a planned stop ends the serving
+// serveHTTP serves calls, and returns when the node ends: a planned stop ends the serving
 // before that.
-func (n *Node) serveCalls(ctx context.Context) error {
+func (n *Node) serveHTTP(ctx context.Context) error {
 	l, err := n.process.Listen(n.settings.Listen())
 	if err != nil {
 		return err
 	}
-	if err := daemon.ServeHTTP(ctx, n.calls, netutil.LimitListener(l, maxConnections)); err != nil {
+	if err := daemon.ServeHTTP(ctx, n.server, netutil.LimitListener(l, maxConnections)); err != nil {
 		return err
 	}
 	<-ctx.Done()
 	return nil
 }
 
-// waitStop waits for a signal, and then for the calls under way: an operator whose change
+// stopOnSignal waits for a signal, and then for the calls under way: an operator whose change
 // was read, and may be in force, hears of it.
-func (n *Node) waitStop(ctx context.Context, signals <-chan os.Signal) error {
+func (n *Node) stopOnSignal(ctx context.Context, signals <-chan os.Signal) error {
 	if err := daemon.WaitSignal(ctx, signals); err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(ctx, callsAtStop)
+	ctx, cancel := context.WithTimeout(ctx, shutdownTimeout)
 	defer cancel()
-	if err := n.calls.Shutdown(ctx); err != nil {
+	if err := n.server.Shutdown(ctx); err != nil {
 		_ = level.Warn(n.process.Logger).Log("msg", "the stop closes calls under way", "err", err)
 	}
 	return nil
--- a/pkg/control/others.go
+++ b/pkg/control/others.go
@@ -18,57 +18,57 @@
 )
 
 const (
-	// silentBeats heartbeats missed make a backend server silent.
-	silentBeats = 4
-	// retellEvery is how often a node tells the others of the backend servers
+	// maxMissedHeartbeats heartbeats missed make a backend server silent.
+	maxMissedHeartbeats = 4
+	// resendInterval is how often a node tells the others of the backend servers
 	// that it hears, and relayedSilence how long they wait for that: two times
 	// and a half.
-	retellEvery    = 30 * time.Second
-	relayedSilence = 75 * time.Second
+	resendInterval = 30 * time.Second
+	relayedTimeout = 75 * time.Second
 	// forgetAfter is when a registration is forgotten.
-	forgetAfter = 2 * time.Minute
-	sweepEvery  = time.Second
+	forgetAfter   = 2 * time.Minute
+	sweepInterval = time.Second
 )
 
-// newOthers returns the follower of the other control nodes.
-func (n *Node) newOthers() *feed.Follower {
+// newNodeFollower returns the follower of the other control nodes.
+func (n *Node) newNodeFollower() *feed.Follower {
 	return &feed.Follower{
 		Endpoint: n.process.Endpoint,
 		Hello:    feed.NewHello(feed.RoleNode, n.process.Identity, "", "", nil, false),
-		Seeds:    func() []string { return append(n.seedLinks(), n.member.nodes()...) },
+		Seeds:    func() []string { return append(n.seedAddresses(), n.member.memberAddresses()...) },
 		// Documents come by the control log.
 		DocumentNumber: func() uint64 { return math.MaxUint64 },
-		OnUpdate:       n.takeOther,
-		Versions:       n.service.state.Weights,
+		OnUpdate:       n.receiveNodeUpdate,
+		Versions:       n.service.state.NamedVersions,
 		Records:        n.service.quarantine.Records,
 		Logger:         n.process.Logger,
 	}
 }
 
-// learnFrom takes the ages of versions that a new follower knows of.
-func (n *Node) learnFrom(f feed.Hello) {
-	n.service.state.Learn(f.Versions(), string(f.Role()), f.Self().Address())
+// mergeFollowerAges takes the ages of versions that a new follower knows of.
+func (n *Node) mergeFollowerAges(f feed.Hello) {
+	n.service.state.MergeAges(f.Versions(), string(f.Role()), f.Self().Address())
 }
 
-// takeOther takes what another control node tells.
-func (n *Node) takeOther(address string, u feed.Update) {
+// receiveNodeUpdate takes what another control node tells.
+func (n *Node) receiveNodeUpdate(address string, u feed.Update) {
 	for _, r := range u.Registrations() {
-		if word, tell := n.service.registry.ReceiveRelayed(r); tell {
-			n.service.publisher.QueueRegistrations(word)
-			n.service.logRegistration(word)
+		if accepted, changed := n.service.registry.ReceiveRelayed(r); changed {
+			n.service.publisher.QueueRegistrations(accepted)
+			n.service.logRegistration(accepted)
 		}
 	}
-	n.service.state.Learn(u.Versions(), string(feed.RoleNode), address)
-	n.service.learnRecords(u.Records())
+	n.service.state.MergeAges(u.Versions(), string(feed.RoleNode), address)
+	n.service.mergeRecords(u.Records())
 	n.service.publisher.ReceiveNodeUpdate(address, u)
 }
 
-// sweep tells of backend servers that have gone silent, and forgets what nodes
+// expireRegistrations tells of backend servers that have gone silent, and forgets what nodes
 // told that have.
-func (n *Node) sweep(ctx context.Context) error {
-	patience := registry.Timeouts{Direct: silentBeats * n.settings.Heartbeat(), Relayed: relayedSilence, Forget: forgetAfter}
-	return daemon.Every(ctx, sweepEvery, func() {
-		changed := n.service.registry.Sweep(patience)
+func (n *Node) expireRegistrations(ctx context.Context) error {
+	timeouts := registry.Timeouts{Direct: maxMissedHeartbeats * n.settings.Heartbeat(), Relayed: relayedTimeout, Forget: forgetAfter}
+	return daemon.Every(ctx, sweepInterval, func() {
+		changed := n.service.registry.Sweep(timeouts)
 		n.service.publisher.QueueRegistrations(changed...)
 		for _, r := range changed {
 			n.service.logRegistration(r)
@@ -78,7 +78,7 @@
 	})
 }
 
-// retell tells the other nodes which backend servers are heard here.
-func (n *Node) retell(ctx context.Context) error {
-	return daemon.Every(ctx, retellEvery, func() { n.service.publisher.ResendToNodes(n.service.registry.Direct()) })
+// resendRegistrations tells the other nodes which backend servers are heard here.
+func (n *Node) resendRegistrations(ctx context.Context) error {
+	return daemon.Every(ctx, resendInterval, func() { n.service.publisher.ResendToNodes(n.service.registry.Direct()) })
 }
--- a/pkg/control/others_test.go
+++ b/pkg/control/others_test.go
@@ -28,14 +28,14 @@
 
 // A backend server calls one node; followers of the others hear of it too, and of
 // its end wherever it says so.
-func TestNodesTellEachOtherOfBackendServers(t *testing.T) {
+func TestNodesRelayRegistrations(t *testing.T) {
 	c := newCluster(t, 3)
 	c.awaitVoters(c.nodes...)
-	c.eventually("heartbeat", func() error { return c.nodes[0].node.service.Hear(heartbeat(registry.Ready, 1)) })
+	c.eventually("heartbeat", func() error { return c.nodes[0].node.service.ReceiveHeartbeat(heartbeat(registry.Ready, 1)) })
 	for _, n := range c.nodes {
 		c.awaitState(n, registry.Ready)
 	}
-	c.eventually("leave", func() error { return c.nodes[1].node.service.Leave("i-1") })
+	c.eventually("leave", func() error { return c.nodes[1].node.service.Deregister("i-1") })
 	for _, n := range c.nodes {
 		c.awaitState(n, registry.Gone)
 	}
@@ -44,16 +44,16 @@
 // Two nodes that do not reach each other both reach the third, which tells each of
 // them what the other one heard: a backend server that leaves must get nothing from
 // gateways that follow any node.
-func TestWordsGoRoundACutBetweenTwoNodes(t *testing.T) {
+func TestRegistrationsRelayedAroundPartition(t *testing.T) {
 	c := &cluster{t: t}
 	for i := range 3 {
 		c.nodes = append(c.nodes, &testNode{
-			name: fmt.Sprintf("control-%d", i), links: loopback.FreeAddress(t), calls: loopback.FreeAddress(t), bootstrap: true, disk: disk.NewMemory(),
+			name: fmt.Sprintf("control-%d", i), linkAddress: loopback.FreeAddress(t), httpAddress: loopback.FreeAddress(t), bootstrap: true, disk: disk.NewMemory(),
 		})
 	}
 	first, last := c.nodes[0], c.nodes[2]
-	first.cut = map[string]bool{last.links: true}
-	last.cut = map[string]bool{first.links: true}
+	first.unreachable = map[string]bool{last.linkAddress: true}
+	last.unreachable = map[string]bool{first.linkAddress: true}
 	for _, n := range c.nodes {
 		c.start(n)
 	}
@@ -62,39 +62,39 @@
 			c.stop(n)
 		}
 	})
-	if err := first.node.service.Hear(heartbeat(registry.Ready, 1)); err != nil {
+	if err := first.node.service.ReceiveHeartbeat(heartbeat(registry.Ready, 1)); err != nil {
 		t.Fatal(err)
 	}
 	c.awaitState(last, registry.Ready)
 	// It is told on also where it is not acknowledged, since the last node may lead.
-	_ = first.node.service.Hear(heartbeat(registry.Draining, 2))
+	_ = first.node.service.ReceiveHeartbeat(heartbeat(registry.Draining, 2))
 	c.awaitState(last, registry.Draining)
 }
 
 // Another program writes an entry of a service that nobody has configured under the
 // incarnation of a backend server: that one holds. An entry of its own may stay, since the
 // service may be configured yet.
-func TestWordOfAnUnknownServiceTakesNobodysPlace(t *testing.T) {
+func TestUnknownServiceCannotReplaceRegistration(t *testing.T) {
 	c := newCluster(t, 3)
 	n := c.nodes[0]
 	c.put(n, 1)
-	c.eventually("heartbeat", func() error { return n.node.service.Hear(heartbeat(registry.Ready, 1)) })
+	c.eventually("heartbeat", func() error { return n.node.service.ReceiveHeartbeat(heartbeat(registry.Ready, 1)) })
 	c.eventually("configuration", func() error {
-		if n.node.service.state.Number() == 0 {
+		if n.node.service.state.ConfigurationNumber() == 0 {
 			return fmt.Errorf("not applied here yet")
 		}
 		return nil
 	})
-	odd := func(incarnation string) registry.Registration {
+	unknownService := func(incarnation string) registry.Registration {
 		return registry.NewRegistration(incarnation, "nowhere", "10.0.0.9:80", "north", "v1", 4, registry.Ready, 0, nil, 9, 5)
 	}
-	if err := n.node.service.Hear(odd("i-1")); !failure.Is(err, failure.BadRequest) {
+	if err := n.node.service.ReceiveHeartbeat(unknownService("i-1")); !failure.Is(err, failure.BadRequest) {
 		t.Errorf("it was taken: %v", err)
 	}
 	if r, _ := n.node.service.registry.Get("i-1"); r.Service() != "menu" {
 		t.Errorf("the backend server is of service %s", r.Service())
 	}
-	if err := n.node.service.Hear(odd("i-9")); err != nil {
+	if err := n.node.service.ReceiveHeartbeat(unknownService("i-9")); err != nil {
 		t.Errorf("an entry of its own: %v", err)
 	}
 }
--- a/pkg/control/own.go
+++ b/pkg/control/own.go
@@ -24,13 +24,13 @@
 	"github.com/tidepost/tidepost/pkg/serviceconfig"
 )
 
-// maxWord bounds the body of a heartbeat.
-const maxWord = 64 << 10
+// maxHeartbeatBody bounds the body of a heartbeat.
+const maxHeartbeatBody = 64 << 10
 
-// Own returns the control node's own protocol.
-func Own() Protocol { return Protocol{Name: "own", Mount: mountOwn} }
+// NativeProtocol returns the control node's own protocol.
+func NativeProtocol() Protocol { return Protocol{Name: "own", Mount: mountNative} }
 
-func mountOwn(r chi.Router, s *Service) {
+func mountNative(r chi.Router, s *Service) {
 	r.Put("/v1/configuration", Handle(MaxDocument, func(r *http.Request, body []byte) (any, error) {
 		d, err := serviceconfig.ParseJSON(body)
 		if err != nil {
@@ -40,49 +40,49 @@
 	}))
 	r.Get("/v1/configuration", Handle(0, func(r *http.Request, _ []byte) (any, error) {
 		c, err := s.ReadConfiguration(r.Context())
-		return json.RawMessage(c.Source()), err
+		return json.RawMessage(c.Raw()), err
 	}))
-	r.Put("/v1/weights/{model}/{version}", Handle(maxWord, func(r *http.Request, _ []byte) (any, error) {
+	r.Put("/v1/weights/{model}/{version}", Handle(maxHeartbeatBody, func(r *http.Request, _ []byte) (any, error) {
 		version, err := strconv.ParseUint(chi.URLParam(r, "version"), 10, 64)
 		if err != nil {
 			return nil, failure.New(failure.BadRequest, "version: %v", err)
 		}
 		return nil, s.NameVersion(r.Context(), chi.URLParam(r, "model"), version)
 	}))
-	r.Put("/v1/backends/{incarnation}", Handle(maxWord, func(r *http.Request, body []byte) (any, error) {
-		word, err := parseWord(chi.URLParam(r, "incarnation"), body)
+	r.Put("/v1/backends/{incarnation}", Handle(maxHeartbeatBody, func(r *http.Request, body []byte) (any, error) {
+		registration, err := parseHeartbeat(chi.URLParam(r, "incarnation"), body)
 		if err != nil {
 			return nil, err
 		}
-		return nil, s.Hear(word)
+		return nil, s.ReceiveHeartbeat(registration)
 	}))
-	r.Delete("/v1/backends/{incarnation}", Handle(maxWord, func(r *http.Request, _ []byte) (any, error) {
-		return nil, s.Leave(chi.URLParam(r, "incarnation"))
+	r.Delete("/v1/backends/{incarnation}", Handle(maxHeartbeatBody, func(r *http.Request, _ []byte) (any, error) {
+		return nil, s.Deregister(chi.URLParam(r, "incarnation"))
 	}))
 }
 
-// word is a heartbeat as JSON.
-type word struct {
+// heartbeatBody is a heartbeat as JSON.
+type heartbeatBody struct {
 	Service       string        `json:"service"`
 	Address       string        `json:"address"`
 	FailureDomain string        `json:"failure_domain"`
 	Software      string        `json:"software"`
 	Slots         int           `json:"slots"`
 	State         string        `json:"state"`
-	Holdings      []holdingWord `json:"holdings"`
+	Holdings      []holdingBody `json:"holdings"`
 	Sequence      uint64        `json:"sequence"`
 	Born          uint64        `json:"born"`
 }
 
-type holdingWord struct {
+type holdingBody struct {
 	Model   string `json:"model"`
 	Version uint64 `json:"version"`
 	From    int    `json:"from"`
 	To      int    `json:"to"`
 }
 
-func parseWord(incarnation string, body []byte) (registry.Registration, error) {
-	var w word
+func parseHeartbeat(incarnation string, body []byte) (registry.Registration, error) {
+	var w heartbeatBody
 	if err := json.Unmarshal(body, &w); err != nil {
 		return registry.Registration{}, failure.New(failure.BadRequest, "heartbeat: %v", err)
 	}
@@ -100,16 +100,16 @@
 
 // Handle serves one call: it reads at most maxBody bytes and writes the result
 // as JSON, or the failure with its remedy.
-func Handle(maxBody int64, do func(r *http.Request, body []byte) (any, error)) http.HandlerFunc {
+func Handle(maxBody int64, handler func(r *http.Request, body []byte) (any, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		defer answerPanic(w)
-		_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(bodyTimeout))
+		defer recoverPanic(w)
+		_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(bodyReadTimeout))
 		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
 		if err != nil {
 			WriteFailure(w, failure.New(failure.TooLarge, "%v", err))
 			return
 		}
-		result, err := do(r, body)
+		result, err := handler(r, body)
 		if err != nil {
 			WriteFailure(w, err)
 			return
@@ -122,21 +122,21 @@
 	}
 }
 
-// answerPanic answers a call whose handler panicked, so that its caller does not wait for
+// recoverPanic answers a call whose handler panicked, so that its caller does not wait for
 // a connection that closed, and has the panic logged by the server.
-func answerPanic(w http.ResponseWriter) {
-	cause := recover()
-	if cause == nil {
+func recoverPanic(w http.ResponseWriter) {
+	recovered := recover()
+	if recovered == nil {
 		return
 	}
-	WriteFailure(w, failure.New(failure.Internal, "a panic: %v", cause))
+	WriteFailure(w, failure.New(failure.Internal, "a panic: %v", recovered))
 	if err := http.NewResponseController(w).Flush(); err == nil {
-		panic(cause)
+		panic(recovered)
 	}
 }
 
-// bodyTimeout bounds the sending of a body.
-const bodyTimeout = 10 * time.Second
+// bodyReadTimeout bounds the sending of a body.
+const bodyReadTimeout = 10 * time.Second
 
 // failureBody is a failure as JSON.
 type failureBody struct {
--- a/pkg/control/own_test.go
+++ b/pkg/control/own_test.go
@@ -12,7 +12,7 @@
 )
 
 // An operator whose call meets a panic hears so, and does not wait for an answer.
-func TestPanicInACallIsAnswered(t *testing.T) {
+func TestPanicInHandlerIsAnswered(t *testing.T) {
 	server := httptest.NewUnstartedServer(Handle(0, func(*http.Request, []byte) (any, error) { panic("seeded") }))
 	server.Config.ErrorLog = daemon.HTTPLog(log.NewNopLogger())
 	server.Start()
--- a/pkg/control/quarantine.go
+++ b/pkg/control/quarantine.go
@@ -13,19 +13,19 @@
 	"github.com/tidepost/tidepost/pkg/quarantine"
 )
 
-// learnRecords takes what a gateway or another node tells of requests under which servers
+// mergeRecords takes what a gateway or another node tells of requests under which servers
 // ended, and has what is new told to all others.
-func (s *Service) learnRecords(records []quarantine.Record) {
+func (s *Service) mergeRecords(records []quarantine.Record) {
 	changed, _ := s.quarantine.Merge(records)
 	s.publisher.QueueRecords(changed)
-	s.barredChanged(changed)
+	s.onRecordsChanged(changed)
 	quarantine.LogQuarantined(s.logger, changed)
 }
 
-// askTrial has the leader decide whether a gateway may try a barred request once more: one
+// requestTrial has the leader decide whether a gateway may try a barred request once more: one
 // node decides, so that not each gateway tries it.
-func (s *Service) askTrial(f quarantine.Fingerprint, tester string) {
-	if _, err := s.call(context.Background(), request{trial: f, tester: tester}); err != nil {
+func (s *Service) requestTrial(f quarantine.Fingerprint, tester string) {
+	if _, err := s.callLeader(context.Background(), leaderRequest{trial: f, tester: tester}); err != nil {
 		// The gateway asks again while the request comes.
 		_ = level.Info(s.logger).Log("msg", "no trial of a request", "fingerprint", f, "tester", tester, "err", err)
 	}
@@ -39,6 +39,6 @@
 		return
 	}
 	s.publisher.QueueRecords([]quarantine.Record{r})
-	s.barredChanged([]quarantine.Record{r})
+	s.onRecordsChanged([]quarantine.Record{r})
 	_ = level.Info(s.logger).Log("msg", "trial of a request", "fingerprint", f, "tester", tester, "trials", r.Trials())
 }
--- a/pkg/control/quarantine_test.go
+++ b/pkg/control/quarantine_test.go
@@ -13,16 +13,16 @@
 	"github.com/tidepost/tidepost/pkg/quarantine"
 )
 
-const endingRequest = quarantine.Fingerprint("0123456789abcdef")
+const testFingerprint = quarantine.Fingerprint("0123456789abcdef")
 
-// recordOf is a record of servers that ended under a request, each in a failure domain of
+// newTestRecord is a record of servers that ended under a request, each in a failure domain of
 // its own, a while ago.
-func recordOf(ago time.Duration, servers ...string) quarantine.Record {
+func newTestRecord(ago time.Duration, servers ...string) quarantine.Record {
 	var ends []quarantine.Crash
 	for _, name := range servers {
 		ends = append(ends, quarantine.NewCrash(name, 1, "hall-"+name, "v1/0", 0, ago))
 	}
-	return quarantine.NewRecord(endingRequest, ends, nil, 0, "", 0)
+	return quarantine.NewRecord(testFingerprint, ends, nil, 0, "", 0)
 }
 
 // gatewayTable is what a gateway knows of requests, with its follower.
@@ -33,15 +33,15 @@
 
 func (c *cluster) gateway(name string) gatewayTable {
 	table := quarantine.NewTable(nil)
-	f := c.followAs(name, func(f *feed.Follower) {
+	f := c.startFollowerAs(name, func(f *feed.Follower) {
 		f.Records = table.Records
 		f.OnUpdate = func(_ string, u feed.Update) { table.Merge(u.Records()) }
 	})
 	return gatewayTable{table, f}
 }
 
-// learn has a gateway learn of ends and tell of them.
-func (g gatewayTable) learn(r quarantine.Record) {
+// report has a gateway learn of ends and tell of them.
+func (g gatewayTable) report(r quarantine.Record) {
 	changed, _ := g.Merge([]quarantine.Record{r})
 	g.follower.ReportRecords(changed)
 }
@@ -50,8 +50,8 @@
 func (c *cluster) awaitBarred(name string, table *quarantine.Table) {
 	c.t.Helper()
 	c.eventually("barred at "+name, func() error {
-		if v, _ := table.Begin(endingRequest); v != quarantine.Quarantined {
-			return fmt.Errorf("%s, %d ends", v, table.Crashes(endingRequest))
+		if v, _ := table.Begin(testFingerprint); v != quarantine.Quarantined {
+			return fmt.Errorf("%s, %d ends", v, table.Crashes(testFingerprint))
 		}
 		return nil
 	})
@@ -59,15 +59,15 @@
 
 // Each gateway sees one end, and all learn of the three; so do those that start later,
 // and nodes that have started anew learn it from gateways.
-func TestGatewaysLearnFromEachOther(t *testing.T) {
+func TestGatewaysShareQuarantineRecords(t *testing.T) {
 	c := newCluster(t, 3)
 	c.awaitVoters(c.nodes...)
-	all := map[string]gatewayTable{}
+	gateways := map[string]gatewayTable{}
 	for _, name := range []string{"a", "b", "c"} {
-		all[name] = c.gateway(name)
-		all[name].learn(recordOf(0, name))
+		gateways[name] = c.gateway(name)
+		gateways[name].report(newTestRecord(0, name))
 	}
-	for name, g := range all {
+	for name, g := range gateways {
 		c.awaitBarred(name, g.Table)
 	}
 	c.awaitBarred("a gateway that starts later", c.gateway("d").Table)
@@ -85,19 +85,19 @@
 }
 
 // One whole run anywhere clears it everywhere.
-func TestAWholeRunClearsItEverywhere(t *testing.T) {
+func TestCompletedRunClearsBarEverywhere(t *testing.T) {
 	c := newCluster(t, 3)
 	a, b := c.gateway("a"), c.gateway("b")
-	a.learn(recordOf(0, "a", "b", "c"))
+	a.report(newTestRecord(0, "a", "b", "c"))
 	c.awaitBarred("b", b.Table)
-	r, tell := b.RecordCompletion(endingRequest, "v1/0")
-	if !tell {
+	r, changed := b.RecordCompletion(testFingerprint, "v1/0")
+	if !changed {
 		t.Fatal("a whole run of a barred request is not told")
 	}
 	b.follower.ReportRecords([]quarantine.Record{r})
 	for name, table := range map[string]*quarantine.Table{"a": a.Table, "control-2": c.nodes[2].node.service.quarantine} {
 		c.eventually("cleared at "+name, func() error {
-			if v, _ := table.Begin(endingRequest); v != quarantine.Clear {
+			if v, _ := table.Begin(testFingerprint); v != quarantine.Clear {
 				return errors.New(string(v))
 			}
 			return nil
@@ -106,23 +106,23 @@
 }
 
 // All gateways ask to try it at one moment, at different nodes: one of them may.
-func TestOneGatewayMakesTheTrial(t *testing.T) {
+func TestTrialIsGrantedToOneGateway(t *testing.T) {
 	c := newCluster(t, 3)
 	c.awaitVoters(c.nodes...)
-	testers := map[string]gatewayTable{}
+	gateways := map[string]gatewayTable{}
 	for _, name := range []string{"a", "b", "c", "d"} {
-		testers[name] = c.gateway(name)
+		gateways[name] = c.gateway(name)
 	}
-	testers["a"].learn(recordOf(time.Minute, "a", "b", "c"))
-	for name, g := range testers {
+	gateways["a"].report(newTestRecord(time.Minute, "a", "b", "c"))
+	for name, g := range gateways {
 		c.awaitBarred(name, g.Table)
 	}
 	granted := map[string]bool{}
 	c.eventually("trial", func() error {
-		for name, g := range testers {
-			switch g.BeginTrial(endingRequest, quarantine.TesterID(g.follower.Hello.Self())) {
+		for name, g := range gateways {
+			switch g.BeginTrial(testFingerprint, quarantine.TesterID(g.follower.Hello.Self())) {
 			case quarantine.TrialDue:
-				g.follower.RequestTrial(endingRequest)
+				g.follower.RequestTrial(testFingerprint)
 			case quarantine.TrialGranted:
 				granted[name] = true
 			}
@@ -133,8 +133,8 @@
 		return nil
 	})
 	c.put(c.nodes[0], 1) // what was asked before is decided by then
-	for name, g := range testers {
-		if g.BeginTrial(endingRequest, quarantine.TesterID(g.follower.Hello.Self())) == quarantine.TrialGranted {
+	for name, g := range gateways {
+		if g.BeginTrial(testFingerprint, quarantine.TesterID(g.follower.Hello.Self())) == quarantine.TrialGranted {
 			granted[name] = true
 		}
 	}
@@ -144,13 +144,13 @@
 }
 
 // All machines lose power at one moment, gateways too: the control nodes' disks remember.
-func TestBarredOutlivesALossOfPower(t *testing.T) {
+func TestBarredRequestsSurvivePowerLoss(t *testing.T) {
 	c := newCluster(t, 3)
 	c.awaitVoters(c.nodes...)
-	c.nodes[0].node.service.learnRecords([]quarantine.Record{recordOf(0, "a", "b", "c")})
+	c.nodes[0].node.service.mergeRecords([]quarantine.Record{newTestRecord(0, "a", "b", "c")})
 	for _, n := range c.nodes {
 		c.eventually("kept at "+n.name, func() error {
-			if _, err := n.disk.Folder().Read(keptFile); err != nil {
+			if _, err := n.disk.Folder().Read(quarantineFile); err != nil {
 				return err
 			}
 			return nil
@@ -167,23 +167,23 @@
 }
 
 // A disk that fails, or holds something else, keeps nothing and stops nothing.
-func TestKeeperGoesOnWithoutADisk(t *testing.T) {
+func TestQuarantineStoreToleratesDiskFailure(t *testing.T) {
 	table := quarantine.NewTable(nil)
-	k := &keeper{table: table, learn: func(r []quarantine.Record) { table.Merge(r) }, logger: log.NewNopLogger()}
-	table.Merge([]quarantine.Record{recordOf(0, "a", "b", "c")})
-	k.note(table.Records())
-	if err := k.keep(); err != nil {
+	k := &quarantineStore{table: table, mergeRecords: func(r []quarantine.Record) { table.Merge(r) }, logger: log.NewNopLogger()}
+	table.Merge([]quarantine.Record{newTestRecord(0, "a", "b", "c")})
+	k.markChanged(table.Records())
+	if err := k.writeIfChanged(); err != nil {
 		t.Errorf("without a disk: %v", err)
 	}
 	memory := disk.NewMemory()
-	if err := memory.Folder().Replace(keptFile, []byte("\xc1 no record")); err != nil {
+	if err := memory.Folder().Replace(quarantineFile, []byte("\xc1 no record")); err != nil {
 		t.Fatal(err)
 	}
-	k.use(memory.Folder())
-	if err := k.keep(); err != nil {
+	k.setFolder(memory.Folder())
+	if err := k.writeIfChanged(); err != nil {
 		t.Errorf("after an unreadable file: %v", err)
 	}
-	if records, err := readKept(memory.Folder()); err != nil || len(records) != 1 {
+	if records, err := readBarred(memory.Folder()); err != nil || len(records) != 1 {
 		t.Errorf("%d records, %v", len(records), err)
 	}
 }
--- a/pkg/control/read_test.go
+++ b/pkg/control/read_test.go
@@ -17,7 +17,7 @@
 // Shown by a node that is not the leader: by its log it held version 13 (`held already`) five
 // seconds before the read that it did not answer. Proved by plays without the document, and here
 // by what the leader sends.
-func TestReadSendsNoDocumentThatTheNodeHolds(t *testing.T) {
+func TestReadOmitsDocumentAppliedByNode(t *testing.T) {
 	const number = 7
 	c := newCluster(t, 3)
 	c.awaitVoters(c.nodes...)
@@ -25,7 +25,7 @@
 	ctx := context.Background()
 	for _, n := range c.nodes {
 		c.eventually("apply", func() error {
-			if n.node.service.state.Number() != number {
+			if n.node.service.state.ConfigurationNumber() != number {
 				return errors.New("not applied yet")
 			}
 			return nil
@@ -44,9 +44,9 @@
 			continue
 		}
 		for _, holds := range []uint64{number - 1, number} {
-			var answer response
+			var answer leaderResponse
 			c.eventually("ask", func() (err error) {
-				answer, err = s.callOnce(ctx, request{holds: holds})
+				answer, err = s.callLeaderOnce(ctx, leaderRequest{appliedNumber: holds})
 				return err
 			})
 			if sent := answer.configuration != nil; sent != (holds < number) || answer.number != number {
--- a/pkg/control/service.go
+++ b/pkg/control/service.go
@@ -24,30 +24,30 @@
 )
 
 const (
-	// answerWithin bounds a call: operators go to another node after a second.
-	answerWithin = 900 * time.Millisecond
-	// tryAgain lies between two tries to reach the leader.
-	tryAgain = 30 * time.Millisecond
+	// requestTimeout bounds a call: operators go to another node after a second.
+	requestTimeout = 900 * time.Millisecond
+	// leaderRetryDelay lies between two tries to reach the leader.
+	leaderRetryDelay = 30 * time.Millisecond
 )
 
-// request is a call handed to the leader.
+// leaderRequest is a call handed to the leader.
 //
 //wire:generate
-type request struct {
+type leaderRequest struct {
 	// data is the encoded command; empty for a confirmed read.
 	data []byte
 	// trial is a barred request that a gateway asks to try once more, and tester the
 	// gateway; both empty in other calls.
 	trial  quarantine.Fingerprint
 	tester string
-	// holds is the number of the configuration that the asking node has applied, in a read.
-	holds uint64
+	// appliedNumber is the number of the configuration that the asking node has applied, in a read.
+	appliedNumber uint64
 }
 
-// response is the leader's answer.
+// leaderResponse is the leader's answer.
 //
 //wire:generate
-type response struct {
+type leaderResponse struct {
 	// configuration is the newest, in answer to a read; nil where there is none, or the asking
 	// node holds it.
 	configuration *Configuration
@@ -63,12 +63,12 @@
 	registry *registry.Table
 	// quarantine is what gateways told of requests under which servers ended.
 	quarantine *quarantine.Table
-	// barredChanged gets the records that changed.
-	barredChanged func(changed []quarantine.Record)
-	publisher     *feed.Publisher
-	endpoint      *link.Endpoint
-	logger        log.Logger
-	metrics       *metrics
+	// onRecordsChanged gets the records that changed.
+	onRecordsChanged func(changed []quarantine.Record)
+	publisher        *feed.Publisher
+	endpoint         *link.Endpoint
+	logger           log.Logger
+	metrics          *metrics
 }
 
 // PutConfiguration has a configuration agreed on. One whose number is not
@@ -79,11 +79,11 @@
 		s.logChange("configuration", c.document.Number(), "refused", err)
 		return err
 	}
-	if c.document.Number() <= s.state.Number() {
+	if c.document.Number() <= s.state.ConfigurationNumber() {
 		s.logChange("configuration", c.document.Number(), "held already", nil)
 		return nil
 	}
-	err := s.agree(ctx, command{configuration: &c})
+	err := s.propose(ctx, command{configuration: &c})
 	s.logChange("configuration", c.document.Number(), "agreed", err)
 	return err
 }
@@ -93,11 +93,11 @@
 	if model == "" || version == 0 {
 		return failure.New(failure.BadDocument, "model %q, version %d: a name and a version from 1 are needed", model, version)
 	}
-	if version <= s.state.Version(model) {
+	if version <= s.state.NewestVersion(model) {
 		s.logChange("weights", version, "held already", nil)
 		return nil
 	}
-	err := s.agree(ctx, command{version: &VersionName{model, version}})
+	err := s.propose(ctx, command{version: &ModelVersion{model, version}})
 	s.logChange("weights", version, "agreed", err)
 	return err
 }
@@ -107,7 +107,7 @@
 // longer than a call may on a link that is full of them.
 // It fails with UnknownObject when there is none yet.
 func (s *Service) ReadConfiguration(ctx context.Context) (Configuration, error) {
-	answer, err := s.call(ctx, request{holds: s.state.Number()})
+	answer, err := s.callLeader(ctx, leaderRequest{appliedNumber: s.state.ConfigurationNumber()})
 	switch {
 	case err != nil:
 		return Configuration{}, err
@@ -119,10 +119,10 @@
 	return *s.state.Configuration(), nil
 }
 
-// Hear takes the word of a backend server. The word that it leaves is only
+// ReceiveHeartbeat takes the word of a backend server. The word that it leaves is only
 // taken by a node that hears a quorum: followers of a node that is cut off
 // would not learn of it.
-func (s *Service) Hear(r registry.Registration) error {
+func (s *Service) ReceiveHeartbeat(r registry.Registration) error {
 	if err := s.checkService(r); err != nil {
 		return err
 	}
@@ -133,7 +133,7 @@
 	}
 	s.metrics.heartbeats.Inc()
 	if r.State() == registry.Draining {
-		return s.needQuorum()
+		return s.requireQuorum()
 	}
 	return nil
 }
@@ -150,18 +150,18 @@
 	return failure.New(failure.BadRequest, "incarnation %q is one of service %q, and no service %q is configured", r.Incarnation(), held.Service(), r.Service())
 }
 
-// Leave takes the word that a backend server is gone.
-func (s *Service) Leave(incarnation string) error {
+// Deregister takes the word that a backend server is gone.
+func (s *Service) Deregister(incarnation string) error {
 	r, changed := s.registry.Leave(incarnation)
 	if changed {
 		s.publisher.QueueRegistrations(r)
 		s.logRegistration(r)
 	}
-	return s.needQuorum()
+	return s.requireQuorum()
 }
 
-func (s *Service) needQuorum() error {
-	if s.member.confirmed() {
+func (s *Service) requireQuorum() error {
+	if s.member.quorumConfirmed() {
 		return nil
 	}
 	return failure.New(failure.NoQuorum, "this node hears no quorum; another one may")
@@ -170,90 +170,90 @@
 // ----------------------------------------------------------------
 // Agreement
 
-func (s *Service) agree(ctx context.Context, c command) error {
+func (s *Service) propose(ctx context.Context, c command) error {
 	data, err := msgpack.Marshal(c)
 	if err != nil {
 		return failure.New(failure.Internal, "a command cannot be encoded: %v", err)
 	}
-	_, err = s.call(ctx, request{data: data})
+	_, err = s.callLeader(ctx, leaderRequest{data: data})
 	return err
 }
 
-// call hands a command or a read to the leader until it answers or the time
+// callLeader hands a command or a read to the leader until it answers or the time
 // is over.
-func (s *Service) call(ctx context.Context, r request) (response, error) {
-	ctx, cancel := context.WithTimeout(ctx, answerWithin)
+func (s *Service) callLeader(ctx context.Context, r leaderRequest) (leaderResponse, error) {
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	for {
-		answer, err := s.callOnce(ctx, r)
+		answer, err := s.callLeaderOnce(ctx, r)
 		if err == nil {
 			return answer, nil
 		}
 		select {
 		case <-ctx.Done():
 			return answer, failure.New(failure.NoQuorum, "no leader answered in time: %v", err)
-		case <-time.After(tryAgain):
+		case <-time.After(leaderRetryDelay):
 		}
 	}
 }
 
-func (s *Service) callOnce(ctx context.Context, r request) (response, error) {
+func (s *Service) callLeaderOnce(ctx context.Context, r leaderRequest) (leaderResponse, error) {
 	if s.member.state().Role == controllog.Leader {
 		return s.execute(ctx, r)
 	}
-	leader := s.member.leader()
+	leader := s.member.leaderAddress()
 	if leader == "" {
-		return response{}, failure.New(failure.NoQuorum, "no leader is known")
+		return leaderResponse{}, failure.New(failure.NoQuorum, "no leader is known")
 	}
 	// A leader whose disk hangs does not answer; a third of the time leaves
 	// room for the one after it.
-	ctx, cancel := context.WithTimeout(ctx, answerWithin/3)
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout/3)
 	defer cancel()
-	var answer response
+	var answer leaderResponse
 	err := s.endpoint.Call(ctx, leader, link.KindControlCall, r, &answer)
 	return answer, err
 }
 
 // execute carries a call out on the leader.
-func (s *Service) execute(ctx context.Context, r request) (response, error) {
+func (s *Service) execute(ctx context.Context, r leaderRequest) (leaderResponse, error) {
 	runner := s.member.runner.Load()
 	if runner == nil {
-		return response{}, failure.New(failure.NotLeader, "this node keeps no log now")
+		return leaderResponse{}, failure.New(failure.NotLeader, "this node keeps no log now")
 	}
 	if len(r.data) > 0 {
 		_, err := runner.Propose(ctx, r.data)
-		return response{}, err
+		return leaderResponse{}, err
 	}
 	if err := runner.ConfirmedRead(ctx); err != nil {
-		return response{}, err
+		return leaderResponse{}, err
 	}
 	if r.trial != "" {
 		s.grantTrial(r.trial, r.tester)
-		return response{}, nil
+		return leaderResponse{}, nil
 	}
-	return newestFor(r.holds, s.state.Configuration()), nil
+	return readResponse(r.appliedNumber, s.state.Configuration()), nil
 }
 
-// newestFor answers a read of a node that holds a configuration already; 0 for none.
-func newestFor(holds uint64, newest *Configuration) response {
+// readResponse answers a read of a node that holds a configuration already; 0 for none.
+func readResponse(appliedNumber uint64, newest *Configuration) leaderResponse {
 	if newest == nil {
-		return response{}
+		return leaderResponse{}
 	}
 	number := newest.document.Number()
-	if number > 0 && holds >= number {
-		return response{number: number}
+	if number > 0 && appliedNumber >= number {
+		return leaderResponse{number: number}
 	}
-	return response{configuration: newest, number: number}
+	return leaderResponse{configuration: newest, number: number}
 }
 
-// serveCall carries out a call that another node hands on.
-func (s *Service) serveCall(ctx context.Context, stream *link.Stream) error {
-	stream.SetDeadline(time.Now().Add(answerWithin))
-	var r request
+// serveLeaderCall carries out a call that another node hands on.
+func (s *Service) serveLeaderCall(ctx context.Context, stream *link.Stream) error {
+	stream.SetDeadline(time.Now().Add(requestTimeout))
+	var r leaderRequest
 	if err := stream.Receive(&r); err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(ctx, answerWithin)
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	answer, err := s.execute(ctx, r)
 	if err != nil {
@@ -265,12 +265,12 @@
 // ----------------------------------------------------------------
 // Logs
 
-func (s *Service) logChange(what string, number uint64, outcome string, err error) {
+func (s *Service) logChange(subject string, number uint64, outcome string, err error) {
 	if err != nil {
-		_ = level.Warn(s.logger).Log("msg", "change", "of", what, "number", number, "outcome", "not "+outcome, "err", err)
+		_ = level.Warn(s.logger).Log("msg", "change", "of", subject, "number", number, "outcome", "not "+outcome, "err", err)
 		return
 	}
-	_ = level.Info(s.logger).Log("msg", "change", "of", what, "number", number, "outcome", outcome)
+	_ = level.Info(s.logger).Log("msg", "change", "of", subject, "number", number, "outcome", outcome)
 }
 
 func (s *Service) logRegistration(r registry.Registration) {
--- a/pkg/control/silence_test.go
+++ b/pkg/control/silence_test.go
@@ -28,7 +28,7 @@
 // What proved it: every round of silence cost the leader its office before; a leader that
 // is heard again before an election is called keeps it. A slow machine may lose it once,
 // hence the rounds. What was acknowledged is kept in any case.
-func TestLeaderOutlivesSilentLinks(t *testing.T) {
+func TestLeaderKeepsLeadershipWhenLinksGoSilent(t *testing.T) {
 	c := newCluster(t, 3)
 	const rounds = 4
 	kept := 0
@@ -41,9 +41,9 @@
 		// Any node takes the next change, and every one has the change before.
 		c.put(c.nodes[(round+1)%3], 2*round+2)
 		for _, n := range c.nodes {
-			c.mustRead(n, 2*round+2)
+			c.requireRead(n, 2*round+2)
 		}
-		if now, leads := c.leadership(); now == term && leads == leader {
+		if newTerm, newLeader := c.leadership(); newTerm == term && newLeader == leader {
 			kept++
 		}
 	}
--- a/pkg/control/state.go
+++ b/pkg/control/state.go
@@ -35,14 +35,14 @@
 type Configuration struct {
 	// document is what the system obeys.
 	document serviceconfig.Document
-	// source is the operator's text, given back on a read.
-	source []byte
+	// raw is the operator's text, given back on a read.
+	raw []byte
 }
 
-// VersionName names the version of a model's weights that is to be served.
+// ModelVersion names the version of a model's weights that is to be served.
 //
 //wire:generate
-type VersionName struct {
+type ModelVersion struct {
 	// model is the model's name.
 	model string
 	// version is the version; the highest holds.
@@ -56,13 +56,13 @@
 	// configuration replaces the one held when its number is higher.
 	configuration *Configuration
 	// version is named when it is higher than the one held.
-	version *VersionName
+	version *ModelVersion
 }
 
-// image is the whole state, for snapshots.
+// snapshotData is the whole state, for snapshots.
 //
 //wire:generate
-type image struct {
+type snapshotData struct {
 	// configuration is the newest; nil when there is none.
 	configuration *Configuration
 	// versions are the named versions with their ages, by model and oldest first.
@@ -72,13 +72,13 @@
 
 // State is the agreed state at one node. It is safe for concurrent use.
 type State struct {
-	changed func()
-	now     func() time.Time
-	// noted gets what was learnt of versions and their ages, and where from.
-	noted func(moves []feed.VersionChange, source, from string)
+	onChange func()
+	now      func() time.Time
+	// onVersionChanges gets what was learnt of versions and their ages, and where from.
+	onVersionChanges func(moves []feed.VersionChange, source, from string)
 
-	named *feed.VersionTable // as the log says
-	told  *feed.VersionTable // as others told, for versions that the log may still bring
+	named    *feed.VersionTable // as the log says
+	reported *feed.VersionTable // as others told, for versions that the log may still bring
 
 	mu            sync.RWMutex
 	configuration *Configuration
@@ -89,15 +89,15 @@
 const (
 	sourceLog      = "applied"
 	sourceSnapshot = "snapshot"
-	sourceTold     = "told before"
+	sourceReported = "told before"
 )
 
 // NewState returns an empty state; changed is called after each change, from
 // the goroutine that made it.
-func NewState(changed func()) *State {
+func NewState(onChange func()) *State {
 	return &State{
-		changed: changed, now: time.Now, noted: func([]feed.VersionChange, string, string) {},
-		named: feed.NewVersionTable(), told: feed.NewVersionTable(),
+		onChange: onChange, now: time.Now, onVersionChanges: func([]feed.VersionChange, string, string) {},
+		named: feed.NewVersionTable(), reported: feed.NewVersionTable(),
 	}
 }
 
@@ -113,18 +113,18 @@
 		// keeps an older one running.
 		return nil
 	}
-	changed := s.takeConfiguration(c.configuration)
-	if v := c.version; v != nil && v.version > s.Version(v.model) {
-		changed = s.name([]feed.NamedVersion{feed.NewNamedVersion(v.model, v.version, 0)}, sourceLog) || changed
+	changed := s.applyConfiguration(c.configuration)
+	if v := c.version; v != nil && v.version > s.NewestVersion(v.model) {
+		changed = s.mergeNamed([]feed.NamedVersion{feed.NewNamedVersion(v.model, v.version, 0)}, sourceLog) || changed
 	}
 	if changed {
-		s.changed()
+		s.onChange()
 	}
 	return nil
 }
 
-// takeConfiguration takes a configuration that is newer, and tells whether it was.
-func (s *State) takeConfiguration(c *Configuration) bool {
+// applyConfiguration takes a configuration that is newer, and tells whether it was.
+func (s *State) applyConfiguration(c *Configuration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if c == nil || s.configuration != nil && c.document.Number() <= s.configuration.document.Number() {
@@ -134,66 +134,66 @@
 	return true
 }
 
-// name takes versions that the log names, with what others told of their ages
+// mergeNamed takes versions that the log names, with what others told of their ages
 // before, and tells whether that changed anything.
-func (s *State) name(all []feed.NamedVersion, source string) bool {
+func (s *State) mergeNamed(versions []feed.NamedVersion, source string) bool {
 	now := s.now()
-	named := s.named.Merge(all, now)
-	s.noted(named, source, "")
-	raised := s.named.MergeAges(s.toldOf(all, now), now)
-	s.noted(raised, sourceTold, "")
-	return count(named) || count(raised)
-}
-
-// toldOf returns the ages that others told of some versions.
-func (s *State) toldOf(all []feed.NamedVersion, now time.Time) (told []feed.NamedVersion) {
-	for _, w := range all {
-		if n := s.told.Next(w.Model(), w.Version()-1); n.Version() == w.Version() {
-			told = append(told, feed.NewNamedVersion(w.Model(), w.Version(), now.Sub(n.Since())))
+	named := s.named.Merge(versions, now)
+	s.onVersionChanges(named, source, "")
+	raised := s.named.MergeAges(s.reportedAges(versions, now), now)
+	s.onVersionChanges(raised, sourceReported, "")
+	return hasSignificant(named) || hasSignificant(raised)
+}
+
+// reportedAges returns the ages that others told of some versions.
+func (s *State) reportedAges(versions []feed.NamedVersion, now time.Time) (ages []feed.NamedVersion) {
+	for _, v := range versions {
+		if n := s.reported.Next(v.Model(), v.Version()-1); n.Version() == v.Version() {
+			ages = append(ages, feed.NewNamedVersion(v.Model(), v.Version(), now.Sub(n.Since())))
 		}
 	}
-	return told
+	return ages
 }
 
-// Learn takes the ages of versions that another node or a follower knows of. It
+// MergeAges takes the ages of versions that another node or a follower knows of. It
 // names none: one that the log has not brought here yet waits for it.
-func (s *State) Learn(all []feed.NamedVersion, source, from string) {
+func (s *State) MergeAges(versions []feed.NamedVersion, source, from string) {
 	now := s.now()
-	s.told.Merge(all, now)
-	raised := s.named.MergeAges(all, now)
-	s.noted(raised, source, from)
-	if count(raised) {
-		s.changed()
+	s.reported.Merge(versions, now)
+	raised := s.named.MergeAges(versions, now)
+	s.onVersionChanges(raised, source, from)
+	if hasSignificant(raised) {
+		s.onChange()
 	}
 }
 
-// count tells whether one of some changes is worth being told at once.
-func count(moves []feed.VersionChange) bool {
-	return slices.ContainsFunc(moves, feed.VersionChange.IsSignificant)
+// hasSignificant tells whether one of some changes is worth being told at once.
+func hasSignificant(changes []feed.VersionChange) bool {
+	return slices.ContainsFunc(changes, feed.VersionChange.IsSignificant)
 }
 
 func (s *State) snapshot() ([]byte, error) {
-	return msgpack.Marshal(image{configuration: s.Configuration(), versions: s.Weights()})
+	return msgpack.Marshal(snapshotData{configuration: s.Configuration(), versions: s.NamedVersions()})
 }
 
 // restore takes a snapshot. What is held and newer stays: a node that opens its
 // disk again has applied more than the snapshot holds.
 func (s *State) restore(raw []byte) error {
-	var i image
+	var i snapshotData
 	if err := msgpack.Unmarshal(raw, &i); err != nil {
 		return err
 	}
-	changed := s.takeConfiguration(i.configuration)
-	if s.name(i.versions, sourceSnapshot) || changed {
-		s.changed()
+	changed := s.applyConfiguration(i.configuration)
+	if s.mergeNamed(i.versions, sourceSnapshot) || changed {
+		s.onChange()
 	}
 	return nil
 }
 
-// suspended makes the ages of versions count how long the VM was suspended.
-func (s *State) suspended(by time.Duration) {
+// addSuspension makes the ages of versions count how long the VM was suspended.
+func (s *State) addSuspension(by time.Duration) {
 	s.named.AddSuspension(by)
-	s.told.AddSuspension(by)
+	s.reported.AddSuspension(by)
 }
 
 // Configuration returns the newest one; nil when there is none.
@@ -203,8 +203,8 @@
 	return s.configuration
 }
 
-// Number returns the newest configuration's number; 0 when there is none.
-func (s *State) Number() uint64 {
+// ConfigurationNumber returns the newest configuration's number; 0 when there is none.
+func (s *State) ConfigurationNumber() uint64 {
 	if c := s.Configuration(); c != nil {
 		return c.document.Number()
 	}
@@ -219,8 +219,8 @@
 	return nil
 }
 
-// Version returns the newest named version of a model; 0 when there is none.
-func (s *State) Version(model string) uint64 { return s.named.Newest(model).Version() }
+// NewestVersion returns the newest named version of a model; 0 when there is none.
+func (s *State) NewestVersion(model string) uint64 { return s.named.Newest(model).Version() }
 
-// Weights returns the named versions that somebody may still wait for.
-func (s *State) Weights() []feed.NamedVersion { return s.named.Current(s.now()) }
+// NamedVersions returns the named versions that somebody may still wait for.
+func (s *State) NamedVersions() []feed.NamedVersion { return s.named.Current(s.now()) }
--- a/pkg/control/stop_test.go
+++ b/pkg/control/stop_test.go
@@ -14,11 +14,11 @@
 // and may have handed to the log, is left without an answer, and nobody knows whether it is
 // in force. Cause: the stop did not ask what was under way. Here a version is named by a
 // request of which half has come when the signal does.
-func TestStopAnswersCallsUnderWay(t *testing.T) {
+func TestShutdownAnswersCallsInProgress(t *testing.T) {
 	c := newCluster(t, 3)
 	c.awaitVoters(c.nodes...)
 	n := c.nodes[0]
-	conn, err := net.Dial("tcp", n.calls)
+	conn, err := net.Dial("tcp", n.httpAddress)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -27,12 +27,12 @@
 	if _, err := io.WriteString(conn, "PUT /v1/weights/menu/3 HTTP/1.1\r\nHost: control\r\nContent-Length: 2\r\nExpect: 100-continue\r\n\r\n{"); err != nil {
 		t.Fatal(err)
 	}
-	if goOn, err := http.ReadResponse(reader, nil); err != nil || goOn.StatusCode != http.StatusContinue {
+	if interim, err := http.ReadResponse(reader, nil); err != nil || interim.StatusCode != http.StatusContinue {
 		t.Fatalf("it is not read: %v", err)
 	}
 	n.signals <- os.Interrupt
 	for {
-		later, err := net.Dial("tcp", n.calls)
+		later, err := net.Dial("tcp", n.httpAddress)
 		if err != nil {
 			break
 		}
@@ -48,6 +48,6 @@
 	if answer.StatusCode != http.StatusOK {
 		t.Errorf("status %d", answer.StatusCode)
 	}
-	<-n.ended
+	<-n.result
 	n.node = nil
 }
--- a/pkg/control/wire_generated.go
+++ b/pkg/control/wire_generated.go
@@ -12,22 +12,22 @@
 )
 
 // NewConfiguration returns a Configuration with the given fields.
-func NewConfiguration(document serviceconfig.Document, source []byte) Configuration {
-	return Configuration{document: document, source: source}
+func NewConfiguration(document serviceconfig.Document, raw []byte) Configuration {
+	return Configuration{document: document, raw: raw}
 }
 
 // Document is what the system obeys.
 func (c Configuration) Document() serviceconfig.Document { return c.document }
 
-// Source is the operator's text, given back on a read.
-func (c Configuration) Source() []byte { return c.source }
+// Raw is the operator's text, given back on a read.
+func (c Configuration) Raw() []byte { return c.raw }
 
 // EncodeMsgpack writes the fields in order, as one array.
 func (c Configuration) EncodeMsgpack(enc *msgpack.Encoder) error {
 	if err := enc.EncodeArrayLen(2); err != nil {
 		return err
 	}
-	return enc.EncodeMulti(c.document, c.source)
+	return enc.EncodeMulti(c.document, c.raw)
 }
 
 // DecodeMsgpack reads what EncodeMsgpack wrote, of this version or another.
@@ -36,7 +36,7 @@
 	if err != nil {
 		return err
 	}
-	fields := []any{&c.document, &c.source}
+	fields := []any{&c.document, &c.raw}
 	for i := 0; i < count; i++ {
 		if i >= len(fields) {
 			err = dec.Skip()
@@ -50,32 +50,32 @@
 	return nil
 }
 
-// NewVersionName returns a VersionName with the given fields.
-func NewVersionName(model string, version uint64) VersionName {
-	return VersionName{model: model, version: version}
+// NewModelVersion returns a ModelVersion with the given fields.
+func NewModelVersion(model string, version uint64) ModelVersion {
+	return ModelVersion{model: model, version: version}
 }
 
 // Model is the model's name.
-func (v VersionName) Model() string { return v.model }
+func (m ModelVersion) Model() string { return m.model }
 
 // Version is the version; the highest holds.
-func (v VersionName) Version() uint64 { return v.version }
+func (m ModelVersion) Version() uint64 { return m.version }
 
 // EncodeMsgpack writes the fields in order, as one array.
-func (v VersionName) EncodeMsgpack(enc *msgpack.Encoder) error {
+func (m ModelVersion) EncodeMsgpack(enc *msgpack.Encoder) error {
 	if err := enc.EncodeArrayLen(2); err != nil {
 		return err
 	}
-	return enc.EncodeMulti(v.model, v.version)
+	return enc.EncodeMulti(m.model, m.version)
 }
 
 // DecodeMsgpack reads what EncodeMsgpack wrote, of this version or another.
-func (v *VersionName) DecodeMsgpack(dec *msgpack.Decoder) error {
+func (m *ModelVersion) DecodeMsgpack(dec *msgpack.Decoder) error {
 	count, err := dec.DecodeArrayLen()
 	if err != nil {
 		return err
 	}
-	fields := []any{&v.model, &v.version}
+	fields := []any{&m.model, &m.version}
 	for i := 0; i < count; i++ {
 		if i >= len(fields) {
 			err = dec.Skip()
@@ -90,7 +90,7 @@
 }
 
 // newCommand returns a command with the given fields.
-func newCommand(configuration *Configuration, version *VersionName) command {
+func newCommand(configuration *Configuration, version *ModelVersion) command {
 	return command{configuration: configuration, version: version}
 }
 
@@ -122,26 +122,26 @@
 	return nil
 }
 
-// newImage returns a image with the given fields.
-func newImage(configuration *Configuration, versions []feed.NamedVersion) image {
-	return image{configuration: configuration, versions: versions}
+// newJoinRequest returns a joinRequest with the given fields.
+func newJoinRequest(voter controllog.Member) joinRequest {
+	return joinRequest{voter: voter}
 }
 
 // EncodeMsgpack writes the fields in order, as one array.
-func (i image) EncodeMsgpack(enc *msgpack.Encoder) error {
-	if err := enc.EncodeArrayLen(2); err != nil {
+func (j joinRequest) EncodeMsgpack(enc *msgpack.Encoder) error {
+	if err := enc.EncodeArrayLen(1); err != nil {
 		return err
 	}
-	return enc.EncodeMulti(i.configuration, i.versions)
+	return enc.EncodeMulti(j.voter)
 }
 
 // DecodeMsgpack reads what EncodeMsgpack wrote, of this version or another.
-func (i *image) DecodeMsgpack(dec *msgpack.Decoder) error {
+func (j *joinRequest) DecodeMsgpack(dec *msgpack.Decoder) error {
 	count, err := dec.DecodeArrayLen()
 	if err != nil {
 		return err
 	}
-	fields := []any{&i.configuration, &i.versions}
+	fields := []any{&j.voter}
 	for i := 0; i < count; i++ {
 		if i >= len(fields) {
 			err = dec.Skip()
@@ -155,26 +155,26 @@
 	return nil
 }
 
-// newJoin returns a join with the given fields.
-func newJoin(voter controllog.Member) join {
-	return join{voter: voter}
+// newJoinResponse returns a joinResponse with the given fields.
+func newJoinResponse(formed bool, leader string) joinResponse {
+	return joinResponse{formed: formed, leader: leader}
 }
 
 // EncodeMsgpack writes the fields in order, as one array.
-func (j join) EncodeMsgpack(enc *msgpack.Encoder) error {
-	if err := enc.EncodeArrayLen(1); err != nil {
+func (j joinResponse) EncodeMsgpack(enc *msgpack.Encoder) error {
+	if err := enc.EncodeArrayLen(2); err != nil {
 		return err
 	}
-	return enc.EncodeMulti(j.voter)
+	return enc.EncodeMulti(j.formed, j.leader)
 }
 
 // DecodeMsgpack reads what EncodeMsgpack wrote, of this version or another.
-func (j *join) DecodeMsgpack(dec *msgpack.Decoder) error {
+func (j *joinResponse) DecodeMsgpack(dec *msgpack.Decoder) error {
 	count, err := dec.DecodeArrayLen()
 	if err != nil {
 		return err
 	}
-	fields := []any{&j.voter}
+	fields := []any{&j.formed, &j.leader}
 	for i := 0; i < count; i++ {
 		if i >= len(fields) {
 			err = dec.Skip()
@@ -188,26 +188,26 @@
 	return nil
 }
 
-// newJoined returns a joined with the given fields.
-func newJoined(formed bool, leader string) joined {
-	return joined{formed: formed, leader: leader}
+// newLeaderRequest returns a leaderRequest with the given fields.
+func newLeaderRequest(data []byte, trial quarantine.Fingerprint, tester string, appliedNumber uint64) leaderRequest {
+	return leaderRequest{data: data, trial: trial, tester: tester, appliedNumber: appliedNumber}
 }
 
 // EncodeMsgpack writes the fields in order, as one array.
-func (j joined) EncodeMsgpack(enc *msgpack.Encoder) error {
-	if err := enc.EncodeArrayLen(2); err != nil {
+func (l leaderRequest) EncodeMsgpack(enc *msgpack.Encoder) error {
+	if err := enc.EncodeArrayLen(4); err != nil {
 		return err
 	}
-	return enc.EncodeMulti(j.formed, j.leader)
+	return enc.EncodeMulti(l.data, l.trial, l.tester, l.appliedNumber)
 }
 
 // DecodeMsgpack reads what EncodeMsgpack wrote, of this version or another.
-func (j *joined) DecodeMsgpack(dec *msgpack.Decoder) error {
+func (l *leaderRequest) DecodeMsgpack(dec *msgpack.Decoder) error {
 	count, err := dec.DecodeArrayLen()
 	if err != nil {
 		return err
 	}
-	fields := []any{&j.formed, &j.leader}
+	fields := []any{&l.data, &l.trial, &l.tester, &l.appliedNumber}
 	for i := 0; i < count; i++ {
 		if i >= len(fields) {
 			err = dec.Skip()
@@ -221,26 +221,26 @@
 	return nil
 }
 
-// newRequest returns a request with the given fields.
-func newRequest(data []byte, trial quarantine.Fingerprint, tester string, holds uint64) request {
-	return request{data: data, trial: trial, tester: tester, holds: holds}
+// newLeaderResponse returns a leaderResponse with the given fields.
+func newLeaderResponse(configuration *Configuration, number uint64) leaderResponse {
+	return leaderResponse{configuration: configuration, number: number}
 }
 
 // EncodeMsgpack writes the fields in order, as one array.
-func (r request) EncodeMsgpack(enc *msgpack.Encoder) error {
-	if err := enc.EncodeArrayLen(4); err != nil {
+func (l leaderResponse) EncodeMsgpack(enc *msgpack.Encoder) error {
+	if err := enc.EncodeArrayLen(2); err != nil {
 		return err
 	}
-	return enc.EncodeMulti(r.data, r.trial, r.tester, r.holds)
+	return enc.EncodeMulti(l.configuration, l.number)
 }
 
 // DecodeMsgpack reads what EncodeMsgpack wrote, of this version or another.
-func (r *request) DecodeMsgpack(dec *msgpack.Decoder) error {
+func (l *leaderResponse) DecodeMsgpack(dec *msgpack.Decoder) error {
 	count, err := dec.DecodeArrayLen()
 	if err != nil {
 		return err
 	}
-	fields := []any{&r.data, &r.trial, &r.tester, &r.holds}
+	fields := []any{&l.configuration, &l.number}
 	for i := 0; i < count; i++ {
 		if i >= len(fields) {
 			err = dec.Skip()
@@ -254,26 +254,26 @@
 	return nil
 }
 
-// newResponse returns a response with the given fields.
-func newResponse(configuration *Configuration, number uint64) response {
-	return response{configuration: configuration, number: number}
+// newSnapshotData returns a snapshotData with the given fields.
+func newSnapshotData(configuration *Configuration, versions []feed.NamedVersion) snapshotData {
+	return snapshotData{configuration: configuration, versions: versions}
 }
 
 // EncodeMsgpack writes the fields in order, as one array.
-func (r response) EncodeMsgpack(enc *msgpack.Encoder) error {
+func (s snapshotData) EncodeMsgpack(enc *msgpack.Encoder) error {
 	if err := enc.EncodeArrayLen(2); err != nil {
 		return err
 	}
-	return enc.EncodeMulti(r.configuration, r.number)
+	return enc.EncodeMulti(s.configuration, s.versions)
 }
 
 // DecodeMsgpack reads what EncodeMsgpack wrote, of this version or another.
-func (r *response) DecodeMsgpack(dec *msgpack.Decoder) error {
+func (s *snapshotData) DecodeMsgpack(dec *msgpack.Decoder) error {
 	count, err := dec.DecodeArrayLen()
 	if err != nil {
 		return err
 	}
-	fields := []any{&r.configuration, &r.number}
+	fields := []any{&s.configuration, &s.versions}
 	for i := 0; i < count; i++ {
 		if i >= len(fields) {
 			err = dec.Skip()
--- a/pkg/entry/coordinators.go
+++ b/pkg/entry/coordinators.go
@@ -77,7 +77,7 @@
 	if found := c.byDigest[digest]; found != nil {
 		return found, nil
 	}
-	model, ok := c.entry.state.View().Manifest(digest)
+	model, ok := c.entry.state.View().ModelByDigest(digest)
 	if !ok {
 		return nil, failure.New(failure.UnknownModel, "no model has the digest %s here yet", digest.Short())
 	}
--- a/pkg/entry/entry.go
+++ b/pkg/entry/entry.go
@@ -226,7 +226,7 @@
 		Endpoint:  e.process.Endpoint,
 		State:     e.state,
 		Addresses: e.settings.Entries,
-		Heard: func(confirmed bool) {
+		OnMessage: func(confirmed bool) {
 			if confirmed {
 				e.leaderSeenAt.Store(time.Now().UnixNano())
 			}
