--- a/pkg/configstate/distribute.go
+++ b/pkg/configstate/distribute.go
@@ -1,9 +1,7 @@
 // ================================================================
-// How configuration reaches the processes that are not voters: each keeps one
-// stream open to an entry and gets a delta for every change.
-//
-// Pushed, not polled: 5,600 changes a day are one in 15 s, and a change has to
-// be in force everywhere within 6 s.
+// Distribution of the configuration to processes that are not voters: each keeps a stream open to
+// an entry and receives a delta for every change. Deltas are pushed and not polled because a change
+// has to be in force everywhere within 6 s, although there is only one in 15 s (5,600 a day).
 // ================================================================
 
 package configstate
@@ -21,19 +19,19 @@
 )
 
 const (
-	// keepAlive is how often an idle stream carries an empty delta, so that a
-	// follower notices a silent cut.
+	// keepAlive is the interval of empty deltas on an idle stream, by which a follower detects a
+	// connection that is lost without a reset.
 	keepAlive = 2 * time.Second
-	// followTimeout is how long a follower waits for anything at all.
+	// followTimeout is how long a follower waits for a message.
 	followTimeout = 3 * keepAlive
-	// maxBehind is how many messages in a row an entry may be behind its
-	// follower.
+	// maxBehind is the number of consecutive messages with an older revision than the follower's
+	// after which it leaves the entry.
 	maxBehind    = 3
 	firstBackoff = 100 * time.Millisecond
 	maxBackoff   = 2 * time.Second
 )
 
-// Distributor serves the configuration to followers.
+// Distributor serves the configuration to followers. It is safe for concurrent use.
 type Distributor struct {
 	state     *State
 	confirmed func() bool
@@ -42,14 +40,15 @@
 	changed chan struct{}
 }
 
-// NewDistributor returns a distributor of a state; confirmed tells whether a
-// quorum's leader was heard of lately. Make it before the state is fed.
+// NewDistributor returns a distributor of a state. confirmed reports whether a leader, and so a
+// quorum, was known recently. Call it before the first change is applied to the state.
 func NewDistributor(s *State, confirmed func() bool) *Distributor {
 	d := &Distributor{state: s, confirmed: confirmed, changed: make(chan struct{})}
 	s.OnChange(func(contract.Delta) { d.notifyChange() })
 	return d
 }
 
+// notifyChange closes the channel that nextChange returned.
 func (d *Distributor) notifyChange() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -57,13 +56,14 @@
 	d.changed = make(chan struct{})
 }
 
+// nextChange returns a channel that is closed at the next change.
 func (d *Distributor) nextChange() <-chan struct{} {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.changed
 }
 
-// Serve answers one follower until its stream breaks.
+// Serve sends deltas to one follower until its stream fails or ctx ends.
 func (d *Distributor) Serve(ctx context.Context, s *link.Stream) error {
 	var f contract.DeltaRequest
 	if err := s.Receive(&f); err != nil {
@@ -96,18 +96,18 @@
 // ----------------------------------------------------------------
 // Follower
 
-// Follower keeps a state up to date from the first of its addresses that
-// answers.
+// Follower keeps a state up to date from the first of its addresses that answers.
 type Follower struct {
 	Endpoint *link.Endpoint
 	State    *State
-	// Addresses returns the entries to follow, best first.
+	// Addresses returns the addresses of the entries in order of preference.
 	Addresses func() []string
-	// OnMessage is told of every message, and whether it was confirmed.
+	// OnMessage is called with every message; confirmed reports whether the entry knew a leader, and
+	// so a quorum.
 	OnMessage func(confirmed bool)
 }
 
-// Run follows until the context ends.
+// Run follows entries until the context ends.
 func (f *Follower) Run(ctx context.Context) error {
 	b := backoff.NewExponentialBackOff(
 		backoff.WithInitialInterval(firstBackoff),
@@ -130,8 +130,8 @@
 	}
 }
 
-// followEntry reads from one entry until it breaks off, and tells whether anything
-// came from it.
+// followEntry applies the deltas of one entry until its stream fails, and reports whether it
+// received any message. It returns false if the entry stays behind this process.
 func (f *Follower) followEntry(ctx context.Context, address string) bool {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -157,11 +157,11 @@
 			behind = 0
 		}
 		if len(d.Objects()) > 0 && !f.State.ApplyDelta(d) && d.Revision() > f.State.Revision() {
-			// A gap: ask again from the revision that is in force here.
+			// Revisions are missing: subscribe again from the current revision.
 			return received
 		}
 		f.OnMessage(d.Confirmed())
 	}
-	// The entry stays behind what is in force here: look for a later one.
+	// The entry stays behind the revision of this process: try another entry.
 	return false
 }
--- a/pkg/configstate/state.go
+++ b/pkg/configstate/state.go
@@ -1,16 +1,9 @@
 // ================================================================
-// The configuration: objects by kind and name, and one revision number that
-// grows by one with each accepted change.
-//
-// A voter's State is fed by the control log (ApplyChange), that of any other
-// process by deltas (ApplyDelta). Either way it only ever goes forward.
-//
-// Readers on the path of a request use View, a read-only index behind an
-// atomic pointer: a change is rare (5,600 a day) and a request is not, so the
-// index is built once a change and never locked.
+// The configuration: objects by kind and name, and a revision number that increases by one with
+// each accepted change.
 // ================================================================
 
-// Package configstate holds the agreed configuration and its readable view.
+// Package configstate holds the replicated configuration and a read-only index of it.
 package configstate
 
 import (
@@ -28,41 +21,47 @@
 //go:generate go run github.com/tidepost/tidepost/tools/wiregen
 
 const (
-	// maxChangeResults is how many change ids are kept, so that a resent
-	// change gets its first result: almost three days at 5,600 a day.
+	// maxChangeResults is the number of stored results of changes, from which a resent change gets
+	// its first result: almost three days at 5,600 changes a day.
 	maxChangeResults = 16384
-	// maxTombstones is how many deletions are kept for deltas; who asks for
-	// an earlier revision gets a full copy.
+	// maxTombstones is the number of deleted objects that are kept for deltas. A follower with an
+	// older revision gets a full copy.
 	maxTombstones = 4096
 )
 
-// changeResult is the result of a change.
+// changeResult is the stored result of a change.
 //
 //wire:generate
 type changeResult struct {
-	// id is the change's.
+	// id is the id of the change.
 	id string
-	// content is the digest of what the change asked for.
+	// content is the digest of the content of the change.
 	content contract.Digest
-	// result is what its client got.
+	// result is the result that the client received.
 	result contract.ChangeResult
 }
 
-// snapshotData is the whole state in a snapshot.
+// snapshotData is the content of a snapshot: the whole state.
 //
 //wire:generate
 type snapshotData struct {
 	// revision is the revision of the objects.
 	revision uint64
-	// deltaFloor is the revision below which deltas are not possible.
+	// deltaFloor is the lowest revision from which a delta can be computed.
 	deltaFloor uint64
-	// objects are all objects and the kept tombstones.
+	// objects are all objects, including tombstones.
 	objects []contract.Object
-	// results are the remembered results, oldest first.
+	// results are the stored results of changes, oldest first.
 	results []changeResult
 }
 
-// State is the configuration of one process.
+// State is the configuration of one process. On a voter the control log applies changes to it
+// (ApplyChange), in any other process a Follower applies deltas (ApplyDelta); the revision never
+// decreases. It is safe for concurrent use.
+//
+// Request handlers read the configuration through View, an immutable index behind an atomic
+// pointer: changes are rare (5,600 a day) and requests are not, so the index is built once per
+// change and read without a lock.
 type State struct {
 	mu          sync.RWMutex
 	revision    uint64
@@ -74,8 +73,7 @@
 	onChange    []func(contract.Delta)
 	faults      Faults
 
-	// current is revision for readers without the lock; view may be behind it
-	// and is built anew when somebody looks.
+	// current equals revision and is read without the lock. view may be older; View rebuilds it.
 	current atomic.Uint64
 	view    atomic.Pointer[View]
 }
@@ -87,23 +85,22 @@
 	return s
 }
 
-// Faults are seeded faults, to show that a proof notices them. The zero value
-// has none.
+// Faults are injected faults by which tests verify that a check detects them. The zero value
+// injects none.
 type Faults struct {
-	// SkipBaseCheck accepts a change whatever it was made against.
+	// SkipBaseCheck accepts a change whatever its base revision is.
 	SkipBaseCheck bool
 }
 
-// SetFaults leaves safeguards out. Call it before the state is fed.
+// SetFaults injects faults. Call it before the first change is applied.
 func (s *State) SetFaults(f Faults) { s.faults = f }
 
-// OnChange has f called, in order and from the applying goroutine, with every
-// delta that takes effect. Set it before the state is fed.
+// OnChange registers f, which is called with every delta that takes effect, in order and in the
+// goroutine that applies it. Call it before the first change is applied.
 func (s *State) OnChange(f func(contract.Delta)) { s.onChange = append(s.onChange, f) }
 
-// View returns the readable index of the present revision. It is built by the
-// first reader after a change: a voter that replays ten thousand changes after
-// a restart needs one index and not ten thousand.
+// View returns the index of the current revision. The first reader after a change builds it: a voter
+// that replays ten thousand changes after a restart needs one index and not ten thousand.
 func (s *State) View() *View {
 	if v := s.view.Load(); v.revision == s.current.Load() {
 		return v
@@ -115,14 +112,14 @@
 	return v
 }
 
-// Revision returns the present revision.
+// Revision returns the current revision.
 func (s *State) Revision() uint64 { return s.current.Load() }
 
 // ----------------------------------------------------------------
-// Fed by the control log
+// Changes from the control log
 
-// ApplyChange applies a committed change and returns its result. A change
-// with a known id gets the result that it got before.
+// ApplyChange applies a committed change and returns its result. A change with a known id and the
+// same content gets the stored result.
 func (s *State) ApplyChange(c contract.Change) contract.ChangeResult {
 	s.mu.Lock()
 	content := contentDigest(c)
@@ -142,19 +139,20 @@
 	return result
 }
 
+// contentDigest returns the digest of the content of a change, without its id.
 func contentDigest(c contract.Change) contract.Digest {
 	if !c.Content().IsZero() {
 		return c.Content()
 	}
 	raw, err := msgpack.Marshal(contract.NewChange("", c.Operator(), c.Base(), c.Objects(), contract.Digest{}))
 	if err != nil {
-		// Encoding plain fields into memory cannot fail.
+		// Encoding the fields into memory cannot fail.
 		panic(err)
 	}
 	return contract.DigestOf(raw)
 }
 
-// accept checks a change and puts it in force.
+// accept checks a change and, if it is valid, applies it as the next revision.
 func (s *State) accept(c contract.Change) (contract.ChangeResult, contract.Delta) {
 	if refusal := s.checkChange(c); refusal != nil {
 		return contract.NewChangeResult(s.revision, refusal), contract.Delta{}
@@ -171,7 +169,8 @@
 	return contract.NewChangeResult(s.revision, nil), contract.NewDelta(before, s.revision, written, true)
 }
 
-// checkChange refuses a change that lost a race or that does not fit together.
+// checkChange rejects a change to objects that were changed after its base revision, and a change
+// that would leave the configuration invalid.
 func (s *State) checkChange(c contract.Change) *failure.Failure {
 	if len(c.Objects()) == 0 {
 		return failure.New(failure.BadDocument, "change %q has no objects", c.ID())
@@ -189,6 +188,7 @@
 	return checkReferences(s.objects, c.Objects())
 }
 
+// put stores an object. A deleted object is kept as a tombstone.
 func (s *State) put(o contract.Object) {
 	s.objects[o.Key()] = o
 	if !o.Deleted() {
@@ -200,6 +200,8 @@
 	}
 }
 
+// dropOldestTombstone removes the oldest tombstone: deltas from revisions before that deletion are
+// not possible any more.
 func (s *State) dropOldestTombstone() {
 	key := s.tombstones[0]
 	s.tombstones = s.tombstones[1:]
@@ -209,6 +211,7 @@
 	}
 }
 
+// storeResult stores the result of a change, and removes the oldest one beyond maxChangeResults.
 func (s *State) storeResult(r changeResult) {
 	s.results[r.id] = r
 	s.resultOrder = append(s.resultOrder, r.id)
@@ -225,10 +228,10 @@
 }
 
 // ----------------------------------------------------------------
-// Fed by deltas
+// Deltas from an entry
 
-// ApplyDelta puts a delta in force. It returns false for one that would go
-// back or that leaves a gap; the process then asks again from its revision.
+// ApplyDelta applies a delta. It returns false if the delta is older than the current revision or
+// leaves a gap; the process then has to subscribe again from its revision.
 func (s *State) ApplyDelta(d contract.Delta) bool {
 	s.mu.Lock()
 	full := d.From() == 0
@@ -250,14 +253,14 @@
 		s.deltaFloor = s.revision
 	}
 	s.current.Store(s.revision)
-	broken := invariant.Check(s.revision > before, "configuration_went_back", "from %d to %d", before, s.revision)
+	violation := invariant.Check(s.revision > before, "configuration_went_back", "from %d to %d", before, s.revision)
 	s.mu.Unlock()
 	s.notifyListeners(d)
-	return broken == nil
+	return violation == nil
 }
 
-// Since returns the delta from a revision to the present one, or a full copy
-// when the revision is too old; false when there is nothing newer.
+// Since returns the delta from a revision to the current one, or a full copy if the revision is too
+// old. It returns false if there is nothing newer.
 func (s *State) Since(revision uint64) (contract.Delta, bool) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -278,8 +281,8 @@
 	return contract.NewDelta(from, s.revision, objects, true), true
 }
 
-// Objects returns the objects of a kind (empty is all) and name (empty is
-// all), without the deleted ones, and the revision that they were read at.
+// Objects returns the current revision and its objects of a kind and name, without deleted ones. An
+// empty kind or name matches all.
 func (s *State) Objects(kind contract.ObjectKind, name string) (uint64, []contract.Object) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -311,35 +314,35 @@
 func (s *State) Snapshot() ([]byte, error) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	i := snapshotData{revision: s.revision, deltaFloor: s.deltaFloor}
+	d := snapshotData{revision: s.revision, deltaFloor: s.deltaFloor}
 	for _, o := range s.objects {
-		i.objects = append(i.objects, o)
+		d.objects = append(d.objects, o)
 	}
-	sortObjects(i.objects)
+	sortObjects(d.objects)
 	for _, id := range s.resultOrder {
-		i.results = append(i.results, s.results[id])
+		d.results = append(d.results, s.results[id])
 	}
-	return msgpack.Marshal(i)
+	return msgpack.Marshal(d)
 }
 
-// Restore replaces the state. It tells the listeners of a full copy.
+// Restore replaces the state by a snapshot, and calls the listeners with a full copy.
 func (s *State) Restore(raw []byte) error {
-	var i snapshotData
-	if err := msgpack.Unmarshal(raw, &i); err != nil {
+	var d snapshotData
+	if err := msgpack.Unmarshal(raw, &d); err != nil {
 		return failure.New(failure.CorruptLog, "the configuration in a snapshot cannot be read: %v", err)
 	}
 	s.mu.Lock()
-	s.revision, s.deltaFloor = i.revision, i.deltaFloor
+	s.revision, s.deltaFloor = d.revision, d.deltaFloor
 	s.objects, s.tombstones = map[contract.Key]contract.Object{}, nil
-	for _, o := range i.objects {
+	for _, o := range d.objects {
 		s.put(o)
 	}
 	s.results, s.resultOrder = map[string]changeResult{}, nil
-	for _, r := range i.results {
+	for _, r := range d.results {
 		s.storeResult(r)
 	}
 	s.current.Store(s.revision)
 	s.mu.Unlock()
-	s.notifyListeners(contract.NewDelta(0, i.revision, i.objects, true))
+	s.notifyListeners(contract.NewDelta(0, d.revision, d.objects, true))
 	return nil
 }
--- a/pkg/configstate/view.go
+++ b/pkg/configstate/view.go
@@ -1,6 +1,6 @@
 // ================================================================
-// The view: the configuration as the path of a request reads it, decoded and
-// with selectors parsed, built once a revision.
+// The view: an immutable index of the configuration for request handlers, with decoded objects and
+// parsed selectors, built once per revision.
 // ================================================================
 
 package configstate
@@ -13,20 +13,20 @@
 	"github.com/tidepost/tidepost/pkg/vm"
 )
 
-// group is a group with its selector parsed.
+// group is a group of the configuration with its parsed selector.
 type group struct {
 	name     string
 	spec     contract.Group
 	selector vm.Selector
 }
 
-// service is a service with its selector parsed.
+// service is a service of the configuration with its parsed selector.
 type service struct {
 	spec     contract.Service
 	selector vm.Selector
 }
 
-// View is a read-only index of one revision.
+// View is an immutable index of one revision. It is safe for concurrent use.
 type View struct {
 	revision      uint64
 	groups        []group
@@ -59,9 +59,8 @@
 	return v
 }
 
-// add puts an object into its place. What cannot be read was refused when it
-// was applied, so an error here means an object of a later version: it is
-// left out and the rest goes on.
+// add indexes an object. Objects that cannot be decoded were rejected when the change was applied,
+// so an error here means that a later release wrote the object; the index omits it.
 func (v *View) add(key contract.Key, o contract.Object) {
 	switch key.Kind {
 	case contract.KindGroup:
@@ -108,7 +107,7 @@
 	}
 }
 
-// indexServed lists, for each model, the digests that a group serves.
+// indexServed collects, for each model, the digests of the versions that groups serve.
 func (v *View) indexServed() {
 	for _, g := range v.groups {
 		if g.spec.Role() != contract.RoleServe {
@@ -131,7 +130,7 @@
 }
 
 // ----------------------------------------------------------------
-// Reading
+// Queries
 
 // Revision returns the revision of the view.
 func (v *View) Revision() uint64 { return v.revision }
@@ -142,27 +141,27 @@
 	return o, ok
 }
 
-// Organisations returns all organisations by name.
+// Organisations returns all organisations by name. The caller must not modify the map.
 func (v *View) Organisations() map[string]contract.Organisation { return v.organisations }
 
-// Service returns a plain service by name.
+// Service returns a service by name.
 func (v *View) Service(name string) (contract.Service, bool) {
 	s, ok := v.services[name]
 	return s.spec, ok
 }
 
-// Sources returns where weights come from.
+// Sources returns the sources of weights.
 func (v *View) Sources() []contract.Source { return v.sources }
 
-// ServedDigests returns the digests that groups serve of a model; false when
-// no group serves it.
+// ServedDigests returns the digests of the versions of a model that groups serve; false if no group
+// serves it.
 func (v *View) ServedDigests(model string) ([]contract.Digest, bool) {
 	d, ok := v.servedDigests[model]
 	return d, ok
 }
 
-// LabelsOf returns a VM's labels: its own, less those that operators removed,
-// with the operators' on top.
+// LabelsOf returns the labels of a VM: its own ones without those that operators removed, overridden
+// by those that operators set.
 func (v *View) LabelsOf(id vm.ID, own vm.Labels) vm.Labels {
 	set := v.labels[id]
 	merged := own.Merge(nil)
@@ -172,7 +171,7 @@
 	return merged.Merge(set.Labels())
 }
 
-// Assignment is a copy that a VM should carry, and in what role.
+// Assignment is a copy of a model's version that a VM should hold, and its role.
 type Assignment struct {
 	Group    string
 	Model    string
@@ -182,8 +181,8 @@
 	Role     contract.Role
 }
 
-// Assignments returns what a VM with the given labels should carry, in the
-// order of the groups' names.
+// Assignments returns the copies that a VM with the given labels should hold, sorted by the name of
+// the group.
 func (v *View) Assignments(labels vm.Labels) []Assignment {
 	var assignments []Assignment
 	for _, g := range v.groups {
@@ -200,7 +199,7 @@
 	return assignments
 }
 
-// ServicesOf returns the plain services that a VM with the labels may front.
+// ServicesOf returns the sorted names of the services whose selector matches the labels of a VM.
 func (v *View) ServicesOf(labels vm.Labels) []string {
 	var names []string
 	for name, s := range v.services {
@@ -212,7 +211,7 @@
 	return names
 }
 
-// ModelByDigest returns the manifest with a digest.
+// ModelByDigest returns the model whose manifest has the given digest.
 func (v *View) ModelByDigest(d contract.Digest) (contract.Model, bool) {
 	for key, digest := range v.digests {
 		if digest == d {
@@ -223,10 +222,10 @@
 }
 
 // ----------------------------------------------------------------
-// Checks of a change
+// Validation of a change
 
-// checkReferences refuses objects that cannot be read, and groups that name a
-// model which would not be there.
+// checkReferences rejects objects that cannot be decoded, and groups that refer to a model which
+// would not exist after the change.
 func checkReferences(present map[contract.Key]contract.Object, written []contract.Object) *failure.Failure {
 	overlay := map[contract.Key]contract.Object{}
 	for _, o := range written {
@@ -270,7 +269,7 @@
 	case contract.KindOrganisation:
 		spec, err := contract.DecodeBody[contract.Organisation](o)
 		if err == nil && spec.Weight() == 0 {
-			return failure.New(failure.BadDocument, "%s has weight 0; the least is 1", o.Key())
+			return failure.New(failure.BadDocument, "%s has weight 0; the minimum is 1", o.Key())
 		}
 		return err
 	case contract.KindLabels:
@@ -280,7 +279,7 @@
 		_, err := contract.DecodeBody[contract.Source](o)
 		return err
 	default:
-		return failure.New(failure.BadDocument, "%s is of an unknown kind", o.Key())
+		return failure.New(failure.BadDocument, "%s has an unknown kind", o.Key())
 	}
 }
 
@@ -293,16 +292,16 @@
 		return err
 	}
 	if g.Role() != contract.RoleServe && g.Role() != contract.RoleHold {
-		return failure.New(failure.BadDocument, "%s has role %q; roles are serve and hold", o.Key(), g.Role())
+		return failure.New(failure.BadDocument, "%s has role %q; valid roles are serve and hold", o.Key(), g.Role())
 	}
 	key := contract.Key{Kind: contract.KindModel, Name: contract.ModelKey(g.Model(), g.Version())}
 	if !exists(key) {
-		return failure.New(failure.BadDocument, "%s carries %s, which is not configured", o.Key(), key)
+		return failure.New(failure.BadDocument, "%s refers to %s, which is not configured", o.Key(), key)
 	}
 	return nil
 }
 
-// checkDeletedModels refuses to delete a model that a group still carries.
+// checkDeletedModels rejects the deletion of a model that a group still refers to.
 func checkDeletedModels(present, overlay map[contract.Key]contract.Object, exists func(contract.Key) bool) *failure.Failure {
 	deletes := false
 	for _, o := range overlay {
--- a/pkg/configstate/view_test.go
+++ b/pkg/configstate/view_test.go
@@ -7,8 +7,8 @@
 	"github.com/tidepost/tidepost/pkg/vm"
 )
 
-// TestOperatorRemovesVMLabel was found in the demo: the label of the
-// VM's settings came back from under the operator's.
+// An operator can remove a label that a VM's own settings define. Without a list of removed labels,
+// the VM's label would reappear when the operator's label is removed.
 func TestOperatorRemovesVMLabel(t *testing.T) {
 	own := vm.Labels{"purpose": "menu", "rack": "r1"}
 	s := NewState()
@@ -31,23 +31,22 @@
 	}
 	label("b", vm.Labels{"purpose": "portal"})
 	if got := s.View().LabelsOf("vm-1", own); got["purpose"] != "portal" {
-		t.Errorf("after it was set: %v", got)
+		t.Errorf("after setting it: %v", got)
 	}
 	if got := s.View().LabelsOf("vm-2", own); got["purpose"] != "menu" {
 		t.Errorf("another VM: %v", got)
 	}
 }
 
-// TestOlderDeltaIsRefused: what is in force never goes back, and a gap is not
-// jumped.
+// A delta that would decrease the revision or leave a gap is rejected.
 func TestOutOfOrderDeltaIsRejected(t *testing.T) {
 	s := NewState()
 	for _, c := range []struct {
 		from, revision uint64
-		taken          bool
+		applied        bool
 	}{{0, 5, true}, {0, 4, false}, {4, 5, false}, {6, 7, false}, {5, 6, true}, {0, 6, false}} {
-		if taken := s.ApplyDelta(contract.NewDelta(c.from, c.revision, nil, true)); taken != c.taken {
-			t.Errorf("delta from %d to %d: taken %t", c.from, c.revision, taken)
+		if applied := s.ApplyDelta(contract.NewDelta(c.from, c.revision, nil, true)); applied != c.applied {
+			t.Errorf("delta from %d to %d: applied %t", c.from, c.revision, applied)
 		}
 	}
 	if s.Revision() != 6 {
--- a/pkg/control/cluster_test.go
+++ b/pkg/control/cluster_test.go
@@ -23,23 +23,23 @@
 	"github.com/tidepost/tidepost/pkg/settings"
 )
 
-// cluster is a set of control nodes on loopback with disks in memory.
+// cluster is a set of control nodes on loopback addresses with disks in memory.
 type cluster struct {
 	t           *testing.T
 	nodes       []*testNode
-	clockOffset atomic.Int64 // how far the clock of named versions runs ahead
+	clockOffset atomic.Int64 // nanoseconds by which the clock of named versions is ahead
 }
 
-// testNode is one node with its disk, which outlives it.
+// testNode is one node and its disk, which is kept across restarts.
 type testNode struct {
 	name, linkAddress, httpAddress string
 	bootstrap                      bool
 	disk                           *disk.Memory
-	unreachable                    map[string]bool // link addresses that it cannot dial
+	unreachable                    map[string]bool // link addresses that the node cannot dial
 	node                           *Node
 	signals                        chan os.Signal
 	result                         chan error
-	silencer                       silenced.Conns // the links that it dialed
+	silencer                       silenced.Conns // the links that the node dialed
 }
 
 func newCluster(t *testing.T, size int) *cluster {
@@ -88,7 +88,7 @@
 		c.t.Fatal(err)
 	}
 	n.node.service.state.now = func() time.Time { return time.Now().Add(time.Duration(c.clockOffset.Load())) }
-	// The nodes of a test share an address and differ by port.
+	// The nodes of a test share an IP address, so the seeds need their ports.
 	n.node.member.config.seeds = func() []string { return c.seeds() }
 	n.node.nodeFollower.Seeds = n.node.member.config.seeds
 	n.signals, n.result = make(chan os.Signal, 1), make(chan error, 1)
@@ -131,11 +131,10 @@
 	n.node = nil
 }
 
-// waitTimeout ends a test that waits for what does not come; it is no bound on
-// how long things may take.
+// waitTimeout ends a test that waits in vain. It is not a bound on how long an operation may take.
 const waitTimeout = time.Minute
 
-// eventually tries until do succeeds.
+// eventually calls attempt until it succeeds.
 func (c *cluster) eventually(what string, attempt func() error) {
 	c.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
@@ -150,8 +149,8 @@
 	c.t.Fatalf("%s: %v", what, err)
 }
 
-// awaitVoters waits until a leader counts exactly the given nodes as voters,
-// in their present lives.
+// awaitVoters waits until the voters of a leader are exactly the given nodes in their current
+// incarnations.
 func (c *cluster) awaitVoters(nodes ...*testNode) {
 	c.t.Helper()
 	c.eventually("voters", func() error {
@@ -168,7 +167,7 @@
 				return nil
 			}
 		}
-		return fmt.Errorf("no leader counts them")
+		return fmt.Errorf("no leader has exactly these voters")
 	})
 }
 
@@ -201,7 +200,7 @@
 			return err
 		}
 		if got.Document().Number() != number {
-			c.t.Fatalf("%s reads %d, not %d", n.name, got.Document().Number(), number)
+			c.t.Fatalf("%s reads configuration %d, want %d", n.name, got.Document().Number(), number)
 		}
 		return nil
 	})
@@ -214,7 +213,7 @@
 	for _, n := range c.nodes {
 		c.requireRead(n, 7)
 	}
-	// A resend and an older number are acknowledged and change nothing.
+	// A repeated number and an older one are acknowledged and change nothing.
 	c.put(c.nodes[2], 7)
 	c.put(c.nodes[0], 5)
 	c.requireRead(c.nodes[2], 7)
@@ -224,8 +223,8 @@
 	c.eventually("name", func() error { return c.nodes[0].node.service.NameVersion(context.Background(), "menu", 3) })
 }
 
-// A node that loses its disk right after an acknowledgement comes back as
-// another voter, and what was acknowledged is still there.
+// A node that loses its disk right after an acknowledgement rejoins as another voter, and the
+// acknowledged change is kept.
 func TestWipedNodeRejoins(t *testing.T) {
 	c := newCluster(t, 3)
 	c.awaitVoters(c.nodes...)
@@ -240,8 +239,8 @@
 	c.requireRead(c.nodes[2], 8)
 }
 
-// One node loses its disk at the moment at which all others lose power: what was
-// acknowledged just before is read from the disks that are left, whichever node it was.
+// One node loses its disk while all others lose power: a change acknowledged just before is read
+// from the remaining disks, whichever node lost its disk.
 func TestDiskLossDuringPowerLoss(t *testing.T) {
 	for i, name := range []string{"first", "second", "third"} {
 		t.Run(name, func(t *testing.T) {
@@ -267,7 +266,7 @@
 	}
 }
 
-// All nodes at once lose power; their disks hold what was acknowledged.
+// All nodes lose power at once, and acknowledged changes are read from their disks.
 func TestAllNodesRestart(t *testing.T) {
 	c := newCluster(t, 3)
 	c.awaitVoters(c.nodes...)
@@ -283,7 +282,7 @@
 	c.requireRead(c.nodes[1], 7)
 }
 
-// A node that is gone for good is taken out once another has come in.
+// A node that does not come back is removed from the voters once another one has joined.
 func TestReplacedVoterIsRemoved(t *testing.T) {
 	c := newCluster(t, 3)
 	c.awaitVoters(c.nodes...)
@@ -298,8 +297,8 @@
 	c.requireRead(fresh, 8)
 }
 
-// A disk that fails stops the node's part in the log, not the node: it hands
-// calls on, and takes part again once the disk works.
+// A node whose disk fails leaves the control log but keeps running: it forwards calls, and takes
+// part in the log again once the disk works.
 func TestNodeForwardsCallsAfterDiskFailure(t *testing.T) {
 	c := newCluster(t, 3)
 	c.awaitVoters(c.nodes...)
@@ -325,7 +324,7 @@
 	}
 }
 
-// A node that hears no quorum does not acknowledge that a backend server leaves.
+// A node without contact to a quorum does not acknowledge that a backend server drains.
 func TestDrainingRequiresQuorum(t *testing.T) {
 	c := newCluster(t, 3)
 	c.awaitVoters(c.nodes...)
--- a/pkg/control/member.go
+++ b/pkg/control/member.go
@@ -1,13 +1,9 @@
 // ================================================================
-// The node as a member of the control log. The log forms itself: at the very
-// first start the first of the seeds forms a cluster of one, the others ask to
-// be taken in, and the leader takes out voters that are dead and not needed.
-//
-// A node whose disk fails stays up: its part of the log is opened again until
-// the disk answers, and meanwhile it hands calls on to the leader.
-//
-// Rejected: forming the cluster of all seeds at once. It needs every seed's
-// incarnation before there is a log to agree on it in.
+// The node as a member of the control log. At the very first start the first seed bootstraps a
+// cluster of one, and the others join it. Bootstrapping with all seeds at once would need every
+// seed's incarnation before there is a log to agree on it. The leader removes dead voters that are
+// not needed. A node whose disk fails keeps running: it reopens the disk until that succeeds, and
+// forwards calls to the leader meanwhile.
 // ================================================================
 
 package control
@@ -32,43 +28,45 @@
 )
 
 const (
-	// reopenDelay lies between two tries to open a failing disk.
+	// reopenDelay is the time between two attempts to open a failing disk.
 	reopenDelay = 300 * time.Millisecond
-	// membershipInterval is the time between looks at the membership.
+	// membershipInterval is the time between two checks of the membership.
 	membershipInterval = 250 * time.Millisecond
-	// joinTimeout bounds one call to another node.
+	// joinTimeout bounds one join call to another node.
 	joinTimeout = 900 * time.Millisecond
-	// electionTicks of 100 ms without a leader call for an election.
+	// electionTicks is the number of ticks of 100 ms without a leader that start an election.
 	electionTicks = 7
-	// removalTicks is for how long a voter that is not needed may be silent.
+	// removalTicks is the number of ticks for which a voter that is not needed may be silent
+	// before the leader removes it.
 	removalTicks = 15
-	// quorumValidity is how long the word of a quorum's leader counts.
+	// quorumValidity is how long a sign of a leader proves that a quorum exists.
 	quorumValidity = 1500 * time.Millisecond
 )
 
-// joinRequest asks to be taken in as a voter.
+// joinRequest asks a node to add a voter. Without a voter it only asks whether the node belongs to
+// a cluster.
 //
 //wire:generate
 type joinRequest struct {
-	// voter is who asks.
+	// voter is the node that wants to join; zero if there is none.
 	voter controllog.Member
 }
 
-// joinResponse is the answer: whether the cluster is formed at the node asked.
+// joinResponse is the answer to a joinRequest.
 //
 //wire:generate
 type joinResponse struct {
-	// formed says that the node belongs to a cluster.
+	// formed reports that the node belongs to a cluster.
 	formed bool
-	// leader is the link address of the leader; may be empty.
+	// leader is the link address of the leader; empty if it is not known.
 	leader string
 }
 
-// memberConfig says how a node takes part in the log.
+// memberConfig is the configuration of a member.
 type memberConfig struct {
 	identity   func(incarnation uint64) vm.Identity
 	openFolder func() (*disk.Folder, error)
-	// onOpen gets each data folder that was opened, and closing is called before it closes.
+	// onOpen is called with each data folder that was opened, and onClose before it is closed.
 	onOpen            func(*disk.Folder)
 	onClose           func()
 	endpoint          *link.Endpoint
@@ -80,20 +78,20 @@
 	toleratedFailures int
 }
 
-// member runs the node's part in the control log.
+// member is the node's membership of the control log. It is safe for concurrent use.
 type member struct {
 	config    memberConfig
 	messenger *link.Messenger[controllog.Message]
 
 	runner          atomic.Pointer[controllog.Runner]
 	self            atomic.Pointer[controllog.Member]
-	leaderKnownAt   atomic.Int64 // nanoseconds since started
-	leaderMessageAt atomic.Int64 // the same, of a message that a leader sent here
-	lastLeader      atomic.Pointer[string]
+	leaderKnownAt   atomic.Int64           // last time a leader was known, as nanoseconds since started; 0 if never
+	leaderMessageAt atomic.Int64           // last message from a leader, as nanoseconds since started
+	lastLeader      atomic.Pointer[string] // link address of the last leader that sent a message
 	started         time.Time
 
 	mu            sync.Mutex
-	joinAddresses map[string]bool // link addresses of control nodes heard of
+	joinAddresses map[string]bool // link addresses of the nodes that sent a joinRequest
 }
 
 func newMember(c memberConfig) *member {
@@ -103,7 +101,7 @@
 	}
 }
 
-// run keeps the member running until the context ends.
+// run runs the member until the context ends, and restarts it after a disk failure.
 func (m *member) run(ctx context.Context) error {
 	defer m.messenger.Close()
 	go m.manageMembership(ctx)
@@ -113,7 +111,7 @@
 		if ctx.Err() != nil {
 			return nil
 		}
-		_ = level.Warn(m.config.logger).Log("msg", "disk lost", "err", err)
+		_ = level.Warn(m.config.logger).Log("msg", "disk failed", "err", err)
 		select {
 		case <-ctx.Done():
 		case <-time.After(reopenDelay):
@@ -146,7 +144,7 @@
 	}
 	m.self.Store(&self)
 	m.runner.Store(runner)
-	_ = level.Info(m.config.logger).Log("msg", "disk open", "member", string(self.MemberID()))
+	_ = level.Info(m.config.logger).Log("msg", "disk opened", "member", string(self.MemberID()))
 	return runner.Run(ctx)
 }
 
@@ -154,7 +152,7 @@
 	m.messenger.Send(string(to.VM()), address, message)
 }
 
-// serveMessages takes the messages of another member.
+// serveMessages receives the log messages of another member until its stream ends.
 func (m *member) serveMessages(_ context.Context, s *link.Stream) error {
 	m.messenger.SetAddress(string(s.Peer().ID()), s.Peer().Address())
 	for {
@@ -171,7 +169,7 @@
 	}
 }
 
-// state returns what the member knows of itself; zero while its disk fails.
+// state returns the state of the log; zero while the disk fails and the log does not run.
 func (m *member) state() controllog.State {
 	if r := m.runner.Load(); r != nil {
 		return r.State()
@@ -179,8 +177,8 @@
 	return controllog.State{}
 }
 
-// noteLeaderMessage notes who leads. A node whose disk fails keeps no log that could
-// tell, and still hands calls on.
+// noteLeaderMessage stores the address of the leader that sent a message. A node whose disk fails
+// runs no log that knows the leader, and needs the address to forward calls.
 func (m *member) noteLeaderMessage(address string) {
 	m.lastLeader.Store(&address)
 	now := int64(time.Since(m.started))
@@ -188,7 +186,7 @@
 	m.leaderMessageAt.Store(now)
 }
 
-// leaderAddress returns the link address of the leader; "" when none was heard lately.
+// leaderAddress returns the link address of the leader; "" if none was known recently.
 func (m *member) leaderAddress() string {
 	if address := m.state().Leader.Address(); address != "" {
 		return address
@@ -199,16 +197,17 @@
 	return ""
 }
 
-// quorumConfirmed tells whether a quorum's leader was heard of lately.
+// quorumConfirmed reports whether a leader, and so a quorum, was known within quorumValidity.
 func (m *member) quorumConfirmed() bool {
 	at := m.leaderKnownAt.Load()
 	return at != 0 && time.Since(m.started)-time.Duration(at) < quorumValidity
 }
 
-// forgetLeader forgets that a leader was heard of: that was longer ago than the clock says.
+// forgetLeader resets the time at which a leader was last known. It is called after a suspension of
+// the VM, during which the clock did not advance.
 func (m *member) forgetLeader(time.Duration) { m.leaderKnownAt.Store(0) }
 
-// memberAddresses returns the link addresses of all members.
+// memberAddresses returns the sorted link addresses of all members.
 func (m *member) memberAddresses() []string {
 	var addresses []string
 	for _, v := range m.state().Members {
@@ -219,12 +218,15 @@
 }
 
 // ----------------------------------------------------------------
-// Forming and healing
+// Membership
 
+// manageMembership checks the membership regularly until the context ends.
 func (m *member) manageMembership(ctx context.Context) {
 	_ = daemon.Every(ctx, membershipInterval, func() { m.checkMembership(ctx) })
 }
 
+// checkMembership removes a dead voter if this node leads, bootstraps the cluster if this node has
+// to, and asks to join if it is not a member.
 func (m *member) checkMembership(ctx context.Context) {
 	self, state := m.self.Load(), m.state()
 	if self == nil || m.runner.Load() == nil {
@@ -240,20 +242,20 @@
 		}
 	case len(state.Members) == 0 && m.mayBootstrap(ctx, *self):
 		if err := m.runner.Load().Bootstrap(ctx); err != nil {
-			_ = level.Warn(m.config.logger).Log("msg", "forming failed", "err", err)
+			_ = level.Warn(m.config.logger).Log("msg", "cluster bootstrap failed", "err", err)
 		}
 	default:
 		m.requestJoin(ctx, *self)
 	}
 }
 
-// quorumConfirmedOrStarting tells whether a leader was heard of lately, or the node runs
-// too short a time to tell. A voter that hears none may have been taken out.
+// quorumConfirmedOrStarting reports whether a leader was known recently, or the node has not run
+// long enough to decide. A voter that knows no leader may have been removed.
 func (m *member) quorumConfirmedOrStarting() bool {
 	return m.quorumConfirmed() || time.Since(m.started) < 2*quorumValidity
 }
 
-// isVoter tells whether this life of the node stands among the members.
+// isVoter reports whether this incarnation of the node is among the members.
 func isVoter(s controllog.State, self controllog.Member) bool {
 	for _, v := range s.Members {
 		if v.MemberID() == self.MemberID() {
@@ -263,8 +265,8 @@
 	return false
 }
 
-// mayBootstrap tells whether this node is the one that forms the cluster: the first
-// start is allowed, it is the first seed, and no other seed is in a cluster.
+// mayBootstrap reports whether this node has to bootstrap the cluster: the settings allow it, the
+// node is the first seed, and no other seed reports that it belongs to a cluster.
 func (m *member) mayBootstrap(ctx context.Context, self controllog.Member) bool {
 	seeds := append([]string(nil), m.config.seeds()...)
 	sort.Strings(seeds)
@@ -279,7 +281,8 @@
 	return true
 }
 
-// requestJoin asks one node after the other to be taken in.
+// requestJoin asks one node after the other to join the cluster, until a leader has answered. The
+// leader that an answer names is asked next.
 func (m *member) requestJoin(ctx context.Context, self controllog.Member) {
 	tried := map[string]bool{self.Address(): true}
 	queue := append(m.memberAddresses(), m.config.seeds()...)
@@ -301,6 +304,7 @@
 	}
 }
 
+// joiningAddresses returns the sorted link addresses of the nodes that sent a joinRequest.
 func (m *member) joiningAddresses() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -312,6 +316,7 @@
 	return addresses
 }
 
+// callJoin sends a joinRequest to the node at address.
 func (m *member) callJoin(ctx context.Context, address string, j joinRequest) (joinResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
@@ -320,7 +325,7 @@
 	return answer, err
 }
 
-// serveJoin takes a node in, or names the leader.
+// serveJoin adds a node as a voter if this node leads, and answers with the leader's address.
 func (m *member) serveJoin(ctx context.Context, s *link.Stream) error {
 	var j joinRequest
 	if err := s.Receive(&j); err != nil {
@@ -333,26 +338,26 @@
 	answer := joinResponse{formed: len(state.Members) > 0, leader: state.Leader.Address()}
 	if state.Role == controllog.Leader && j.voter.ID() != "" {
 		if err := m.addVoter(ctx, state, j.voter); err != nil {
-			_ = level.Info(m.config.logger).Log("msg", "join put off", "member", string(j.voter.MemberID()), "err", err)
+			_ = level.Info(m.config.logger).Log("msg", "adding a voter failed", "member", string(j.voter.MemberID()), "err", err)
 		}
 	}
 	return s.Send(answer)
 }
 
+// addVoter adds a node to the cluster as a learner, unless it is a member already.
 func (m *member) addVoter(ctx context.Context, state controllog.State, v controllog.Member) error {
 	if isVoter(state, v) {
 		return nil
 	}
 	runner := m.runner.Load()
 	if runner == nil {
-		return failure.New(failure.NotLeader, "this node keeps no log now")
+		return failure.New(failure.NotLeader, "the control log does not run on this node")
 	}
 	return runner.AddMember(ctx, controllog.NewMember(v.ID(), v.Incarnation(), v.Address(), true, ""))
 }
 
-// removeDeadVoter takes one voter out that is silent and not needed: with it gone,
-// a later loss leaves a quorum that counting it would not. One that comes back
-// asks to be taken in again.
+// removeDeadVoter removes one voter that is silent and not needed: without it, a quorum may survive
+// a later loss that it would not survive otherwise. A removed voter that comes back joins again.
 func (m *member) removeDeadVoter(ctx context.Context, self controllog.Member, state controllog.State) {
 	if !state.CanChangeMembers {
 		return
@@ -376,8 +381,8 @@
 	if dead.ID() == "" || (!dead.Learner() && (voters <= needed || alive < needed)) {
 		return
 	}
-	_ = level.Info(m.config.logger).Log("msg", "voter removed", "member", string(dead.MemberID()), "voters", voters, "alive", alive)
+	_ = level.Info(m.config.logger).Log("msg", "removing a silent voter", "member", string(dead.MemberID()), "voters", voters, "alive", alive)
 	if err := m.runner.Load().RemoveMember(ctx, dead.MemberID()); err != nil {
-		_ = level.Info(m.config.logger).Log("msg", "removal put off", "err", err)
+		_ = level.Info(m.config.logger).Log("msg", "removing a voter failed", "err", err)
 	}
 }
--- a/pkg/control/metrics.go
+++ b/pkg/control/metrics.go
@@ -10,7 +10,7 @@
 	"github.com/tidepost/tidepost/pkg/metric"
 )
 
-// metrics are a node's figures.
+// metrics are the metrics of one node.
 type metrics struct {
 	heartbeats          prometheus.Counter
 	configurationNumber prometheus.Gauge
--- a/pkg/control/own.go
+++ b/pkg/control/native_protocol.go
@@ -1,11 +1,11 @@
 // ================================================================
-// The control node's own protocol, JSON over HTTP:
+// The native protocol of the control node, JSON over HTTP:
 //
-//	PUT  /v1/configuration              a document as docs/OPERATIONS.md shows
-//	GET  /v1/configuration              the newest, confirmed by a quorum
-//	PUT  /v1/weights/MODEL/VERSION      name a version
-//	PUT  /v1/backends/INCARNATION       a heartbeat
-//	DELETE /v1/backends/INCARNATION     a backend server leaves
+//	PUT    /v1/configuration            set the configuration (docs/OPERATIONS.md shows the document)
+//	GET    /v1/configuration            read the newest configuration, confirmed by a quorum
+//	PUT    /v1/weights/MODEL/VERSION    name a version
+//	PUT    /v1/backends/INCARNATION     heartbeat of a backend server
+//	DELETE /v1/backends/INCARNATION     deregister a backend server
 // ================================================================
 
 package control
@@ -24,10 +24,11 @@
 	"github.com/tidepost/tidepost/pkg/serviceconfig"
 )
 
-// maxHeartbeatBody bounds the body of a heartbeat.
+// maxHeartbeatBody is the maximum size in bytes of the body of a heartbeat, and of the calls that
+// need no body.
 const maxHeartbeatBody = 64 << 10
 
-// NativeProtocol returns the control node's own protocol.
+// NativeProtocol returns the native protocol of the control node, whose name in settings is "own".
 func NativeProtocol() Protocol { return Protocol{Name: "own", Mount: mountNative} }
 
 func mountNative(r chi.Router, s *Service) {
@@ -61,7 +62,7 @@
 	}))
 }
 
-// heartbeatBody is a heartbeat as JSON.
+// heartbeatBody is the JSON body of a heartbeat.
 type heartbeatBody struct {
 	Service       string        `json:"service"`
 	Address       string        `json:"address"`
@@ -74,6 +75,8 @@
 	Born          uint64        `json:"born"`
 }
 
+// holdingBody is a version of a model's weights, and the range of layers, that a backend server
+// holds.
 type holdingBody struct {
 	Model   string `json:"model"`
 	Version uint64 `json:"version"`
@@ -81,6 +84,7 @@
 	To      int    `json:"to"`
 }
 
+// parseHeartbeat returns the registration that a heartbeat describes.
 func parseHeartbeat(incarnation string, body []byte) (registry.Registration, error) {
 	var w heartbeatBody
 	if err := json.Unmarshal(body, &w); err != nil {
@@ -88,7 +92,7 @@
 	}
 	state := registry.State(w.State)
 	if state != registry.Ready && state != registry.Draining {
-		return registry.Registration{}, failure.New(failure.BadRequest, "heartbeat: state %q is not known", w.State)
+		return registry.Registration{}, failure.New(failure.BadRequest, "heartbeat: unknown state %q", w.State)
 	}
 	var holdings []registry.Holding
 	for _, h := range w.Holdings {
@@ -98,8 +102,8 @@
 	return r, r.Validate()
 }
 
-// Handle serves one call: it reads at most maxBody bytes and writes the result
-// as JSON, or the failure with its remedy.
+// Handle returns an HTTP handler that reads a body of at most maxBody bytes, calls handler, and
+// writes the result as JSON, or the failure with its remedy.
 func Handle(maxBody int64, handler func(r *http.Request, body []byte) (any, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		defer recoverPanic(w)
@@ -122,35 +126,35 @@
 	}
 }
 
-// recoverPanic answers a call whose handler panicked, so that its caller does not wait for
-// a connection that closed, and has the panic logged by the server.
+// recoverPanic answers a call whose handler panicked, instead of closing the connection without an
+// answer, and panics again so that the server logs it.
 func recoverPanic(w http.ResponseWriter) {
 	recovered := recover()
 	if recovered == nil {
 		return
 	}
-	WriteFailure(w, failure.New(failure.Internal, "a panic: %v", recovered))
+	WriteFailure(w, failure.New(failure.Internal, "the handler panicked: %v", recovered))
 	if err := http.NewResponseController(w).Flush(); err == nil {
 		panic(recovered)
 	}
 }
 
-// bodyReadTimeout bounds the sending of a body.
+// bodyReadTimeout bounds the time for reading a request body.
 const bodyReadTimeout = 10 * time.Second
 
-// failureBody is a failure as JSON.
+// failureBody is the JSON body of a failure.
 type failureBody struct {
 	Error  string `json:"error"`
 	Kind   string `json:"kind"`
 	Remedy string `json:"remedy"`
 }
 
-// WriteFailure answers a call with a failure's status, text and remedy.
+// WriteFailure answers a call with the status, message and remedy of a failure.
 func WriteFailure(w http.ResponseWriter, err error) {
 	f := failure.Of(err)
 	body, err := json.Marshal(failureBody{f.Message(), string(f.Kind()), f.Remedy()})
 	if err != nil {
-		// Encoding plain texts into memory cannot fail.
+		// Encoding strings into memory cannot fail.
 		panic(err)
 	}
 	w.Header().Set("Content-Type", "application/json")
@@ -159,5 +163,5 @@
 		w.Header().Set("Retry-After", strconv.FormatFloat(after.Seconds(), 'f', 2, 64))
 	}
 	w.WriteHeader(f.Status())
-	_, _ = w.Write(body) // a caller that left needs none
+	_, _ = w.Write(body) // an error means that the caller has disconnected
 }
--- a/pkg/control/own_test.go
+++ b/pkg/control/native_protocol_test.go
@@ -11,7 +11,7 @@
 	"github.com/tidepost/tidepost/pkg/daemon"
 )
 
-// An operator whose call meets a panic hears so, and does not wait for an answer.
+// A call whose handler panics is answered with an error, so that the operator does not wait.
 func TestPanicInHandlerIsAnswered(t *testing.T) {
 	server := httptest.NewUnstartedServer(Handle(0, func(*http.Request, []byte) (any, error) { panic("seeded") }))
 	server.Config.ErrorLog = daemon.HTTPLog(log.NewNopLogger())
--- a/pkg/control/node.go
+++ b/pkg/control/node.go
@@ -1,5 +1,6 @@
 // ================================================================
-// The node: puts the parts together and runs them until a signal.
+// The control node as a process: it creates its components, connects them and runs them until a
+// signal.
 // ================================================================
 
 package control
@@ -31,32 +32,33 @@
 )
 
 const (
-	// MaxDocument bounds an operator's document, in bytes.
+	// MaxDocument is the maximum size of an operator's document in bytes.
 	MaxDocument = 8 << 20
 
 	headerTimeout  = 3 * time.Second
 	idleTimeout    = 30 * time.Second
 	maxHeaderBytes = 16 << 10
 	maxConnections = 1024
-	// shutdownTimeout is how long a planned stop waits for calls: a change is agreed within some
-	// 100 ms, and one that finds no quorum is not worth more of the time of the stop.
+	// shutdownTimeout is how long a graceful shutdown waits for calls in progress. A change takes
+	// about 100 ms to commit; one that finds no quorum must not delay the shutdown longer.
 	shutdownTimeout = 2 * time.Second
-	// memoryLimitShare of the process's memory is the collector's limit.
+	// memoryLimitShare is the memory limit of the garbage collector as a share of the memory that
+	// the settings allow the process.
 	memoryLimitShare = 0.7
 )
 
-// Protocol is what operators and backend servers speak.
+// Protocol is an HTTP protocol for operators and backend servers.
 type Protocol struct {
-	// Name is how settings name it.
+	// Name is the protocol's name in settings.
 	Name string
-	// Mount adds the protocol's calls to a router.
+	// Mount adds the protocol's routes to a router.
 	Mount func(r chi.Router, s *Service)
 }
 
-// Seams are where a test replaces what lies outside of the process.
+// Seams replace the external dependencies of the process in tests.
 type Seams struct {
 	daemon.Seams
-	// Folder opens the data folder; the settings' folder when nil.
+	// Folder opens the data folder; if nil, the folder from the settings is opened.
 	Folder func() (*disk.Folder, error)
 }
 
@@ -72,15 +74,15 @@
 	suspension      *suspension.Watch
 	quarantineStore *quarantineStore
 	server          *http.Server
-	weightsCache    *staging.Cache // nil where the settings ask for none
+	weightsCache    *staging.Cache // nil if the settings do not enable it
 }
 
 // weightsFolder is the folder of the weights cache in the data folder.
 const weightsFolder = "weights"
 
-// New returns a node that is not running yet. path is its settings file, read
-// again on a reload; it may be empty. origin is what the origin of weights
-// speaks; nil where no weights are kept.
+// New returns a node that is not running yet. path is its settings file, which is read again on a
+// reload; it may be empty. origin is the protocol of the origin of weights; nil disables the
+// weights cache.
 func New(s settings.Control, path string, protocol Protocol, origin *staging.Protocol, seams Seams) (*Node, error) {
 	debug.SetMemoryLimit(int64(float64(s.Memory()) * memoryLimitShare))
 	process, err := daemon.New(s.Common().WithoutDataFolder(), vm.NewIncarnation(), seams.Seams)
@@ -141,19 +143,19 @@
 	if open == nil {
 		open = func() (*disk.Folder, error) { return disk.NewFolder(n.settings.Common().DataFolder()) }
 	}
-	own := n.process.Identity
+	self := n.process.Identity
 	return memberConfig{
 		identity: func(incarnation uint64) vm.Identity {
-			return vm.NewIdentity(own.ID(), incarnation, own.Region(), own.Domain(), own.Address())
+			return vm.NewIdentity(self.ID(), incarnation, self.Region(), self.Domain(), self.Address())
 		},
-		openFolder: open, onOpen: n.quarantineStore.setFolder, onClose: n.quarantineStore.clearFolder, endpoint: n.process.Endpoint, machine: n.service.state.StateMachine(),
-		recordEvent: n.recordEvent, logger: n.process.Logger,
-		seeds:     n.seedAddresses,
+		openFolder: open, onOpen: n.quarantineStore.setFolder, onClose: n.quarantineStore.clearFolder,
+		endpoint: n.process.Endpoint, machine: n.service.state.StateMachine(),
+		recordEvent: n.recordEvent, logger: n.process.Logger, seeds: n.seedAddresses,
 		bootstrap: n.settings.Bootstrap(), toleratedFailures: n.settings.Tolerate(),
 	}
 }
 
-// recordEvent notes an event and has changes of the voters told.
+// recordEvent records and logs an event, and publishes changes of the voters.
 func (n *Node) recordEvent(kind event.Kind, subject, detail string) {
 	n.process.Recorder.Record(kind, subject, detail)
 	_ = level.Info(n.process.Logger).Log("msg", string(kind), "subject", subject, "detail", detail)
@@ -162,7 +164,7 @@
 	}
 }
 
-// stateChanged has a new document or version told.
+// stateChanged publishes a new document or version.
 func (n *Node) stateChanged() {
 	n.service.metrics.configurationNumber.Set(float64(n.service.state.ConfigurationNumber()))
 	n.service.publisher.NotifyChange()
@@ -199,7 +201,7 @@
 	return err
 }
 
-// newServer returns the server of the calls of operators and backend servers.
+// newServer returns the HTTP server for operators and backend servers.
 func (n *Node) newServer() *http.Server {
 	router := chi.NewRouter()
 	n.protocol.Mount(router, n.service)
@@ -209,8 +211,8 @@
 	}
 }
 
-// serveHTTP serves calls, and returns when the node ends: a planned stop ends the serving
-// before that.
+// serveHTTP serves the calls of operators and backend servers. It returns only when ctx ends, since
+// its return would stop the whole node: a graceful shutdown closes the server earlier.
 func (n *Node) serveHTTP(ctx context.Context) error {
 	l, err := n.process.Listen(n.settings.Listen())
 	if err != nil {
@@ -223,8 +225,8 @@
 	return nil
 }
 
-// stopOnSignal waits for a signal, and then for the calls under way: an operator whose change
-// was read, and may be in force, hears of it.
+// stopOnSignal waits for a signal, and then for the calls in progress: an operator whose change was
+// read, and may have been committed, still gets the result.
 func (n *Node) stopOnSignal(ctx context.Context, signals <-chan os.Signal) error {
 	if err := daemon.WaitSignal(ctx, signals); err != nil {
 		return err
@@ -232,10 +234,10 @@
 	ctx, cancel := context.WithTimeout(ctx, shutdownTimeout)
 	defer cancel()
 	if err := n.server.Shutdown(ctx); err != nil {
-		_ = level.Warn(n.process.Logger).Log("msg", "the stop closes calls under way", "err", err)
+		_ = level.Warn(n.process.Logger).Log("msg", "shutdown closes calls in progress", "err", err)
 	}
 	return nil
 }
 
-// Called returns the protocol's name.
+// Called returns the protocol's name in settings.
 func (p Protocol) Called() string { return p.Name }
--- a/pkg/control/others.go
+++ b/pkg/control/node_follower.go
@@ -1,8 +1,7 @@
 // ================================================================
-// The other control nodes: each node follows all others and takes from them what
-// their followers and backend servers told. So a follower needs to hear of two
-// nodes only, and a heartbeat, a load or a new stager is told once between two
-// nodes and not once to every follower.
+// Exchange between control nodes: each node follows all others and receives what their followers
+// and backend servers report. So a gateway or stager needs to follow two nodes only, and a
+// heartbeat, a load or a new stager is sent once between two nodes instead of once per follower.
 // ================================================================
 
 package control
@@ -18,14 +17,16 @@
 )
 
 const (
-	// maxMissedHeartbeats heartbeats missed make a backend server silent.
+	// maxMissedHeartbeats is the number of missed heartbeats after which a backend server that
+	// sends them to this node is marked silent.
 	maxMissedHeartbeats = 4
-	// resendInterval is how often a node tells the others of the backend servers
-	// that it hears, and relayedSilence how long they wait for that: two times
-	// and a half.
+	// resendInterval is the time between two transmissions of the registrations that a node receives
+	// itself to the other nodes.
 	resendInterval = 30 * time.Second
+	// relayedTimeout is the time after which a registration relayed by another node is marked
+	// silent: 2.5 times resendInterval.
 	relayedTimeout = 75 * time.Second
-	// forgetAfter is when a registration is forgotten.
+	// forgetAfter is the time without news of a registration after which it is removed.
 	forgetAfter   = 2 * time.Minute
 	sweepInterval = time.Second
 )
@@ -36,7 +37,7 @@
 		Endpoint: n.process.Endpoint,
 		Hello:    feed.NewHello(feed.RoleNode, n.process.Identity, "", "", nil, false),
 		Seeds:    func() []string { return append(n.seedAddresses(), n.member.memberAddresses()...) },
-		// Documents come by the control log.
+		// Documents arrive through the control log: with the highest number none is sent here.
 		DocumentNumber: func() uint64 { return math.MaxUint64 },
 		OnUpdate:       n.receiveNodeUpdate,
 		Versions:       n.service.state.NamedVersions,
@@ -45,12 +46,12 @@
 	}
 }
 
-// mergeFollowerAges takes the ages of versions that a new follower knows of.
+// mergeFollowerAges takes the ages of versions from the Hello of a new follower.
 func (n *Node) mergeFollowerAges(f feed.Hello) {
 	n.service.state.MergeAges(f.Versions(), string(f.Role()), f.Self().Address())
 }
 
-// receiveNodeUpdate takes what another control node tells.
+// receiveNodeUpdate processes an Update from the control node at address.
 func (n *Node) receiveNodeUpdate(address string, u feed.Update) {
 	for _, r := range u.Registrations() {
 		if accepted, changed := n.service.registry.ReceiveRelayed(r); changed {
@@ -63,8 +64,8 @@
 	n.service.publisher.ReceiveNodeUpdate(address, u)
 }
 
-// expireRegistrations tells of backend servers that have gone silent, and forgets what nodes
-// told that have.
+// expireRegistrations publishes backend servers that have become silent, and removes what nodes and
+// followers reported once it is outdated.
 func (n *Node) expireRegistrations(ctx context.Context) error {
 	timeouts := registry.Timeouts{Direct: maxMissedHeartbeats * n.settings.Heartbeat(), Relayed: relayedTimeout, Forget: forgetAfter}
 	return daemon.Every(ctx, sweepInterval, func() {
@@ -78,7 +79,7 @@
 	})
 }
 
-// resendRegistrations tells the other nodes which backend servers are heard here.
+// resendRegistrations sends the registrations that this node receives itself to the other nodes.
 func (n *Node) resendRegistrations(ctx context.Context) error {
 	return daemon.Every(ctx, resendInterval, func() { n.service.publisher.ResendToNodes(n.service.registry.Direct()) })
 }
--- a/pkg/control/quarantine_test.go
+++ b/pkg/control/quarantine_records_test.go
@@ -15,8 +15,8 @@
 
 const testFingerprint = quarantine.Fingerprint("0123456789abcdef")
 
-// newTestRecord is a record of servers that ended under a request, each in a failure domain of
-// its own, a while ago.
+// newTestRecord returns a record of servers that crashed under a request, the given time ago and
+// each in a failure domain of its own.
 func newTestRecord(ago time.Duration, servers ...string) quarantine.Record {
 	var ends []quarantine.Crash
 	for _, name := range servers {
@@ -25,12 +25,13 @@
 	return quarantine.NewRecord(testFingerprint, ends, nil, 0, "", 0)
 }
 
-// gatewayTable is what a gateway knows of requests, with its follower.
+// gatewayTable is the quarantine table of a gateway and its follower.
 type gatewayTable struct {
 	*quarantine.Table
 	follower *feed.Follower
 }
 
+// gateway starts a gateway's follower that exchanges quarantine records.
 func (c *cluster) gateway(name string) gatewayTable {
 	table := quarantine.NewTable(nil)
 	f := c.startFollowerAs(name, func(f *feed.Follower) {
@@ -40,13 +41,13 @@
 	return gatewayTable{table, f}
 }
 
-// report has a gateway learn of ends and tell of them.
+// report merges a record into the gateway's table and reports it to the control nodes.
 func (g gatewayTable) report(r quarantine.Record) {
 	changed, _ := g.Merge([]quarantine.Record{r})
 	g.follower.ReportRecords(changed)
 }
 
-// awaitBarred waits until a table keeps the request away.
+// awaitBarred waits until the request is barred in a table.
 func (c *cluster) awaitBarred(name string, table *quarantine.Table) {
 	c.t.Helper()
 	c.eventually("barred at "+name, func() error {
@@ -57,8 +58,8 @@
 	})
 }
 
-// Each gateway sees one end, and all learn of the three; so do those that start later,
-// and nodes that have started anew learn it from gateways.
+// Three gateways see one crash each, and all of them get all three records. So does a gateway that
+// starts later, and restarted nodes get the records from gateways.
 func TestGatewaysShareQuarantineRecords(t *testing.T) {
 	c := newCluster(t, 3)
 	c.awaitVoters(c.nodes...)
@@ -84,7 +85,7 @@
 	}
 }
 
-// One whole run anywhere clears it everywhere.
+// One completed run of the request on any gateway clears it everywhere.
 func TestCompletedRunClearsBarEverywhere(t *testing.T) {
 	c := newCluster(t, 3)
 	a, b := c.gateway("a"), c.gateway("b")
@@ -92,7 +93,7 @@
 	c.awaitBarred("b", b.Table)
 	r, changed := b.RecordCompletion(testFingerprint, "v1/0")
 	if !changed {
-		t.Fatal("a whole run of a barred request is not told")
+		t.Fatal("a completed run of a barred request does not change its record")
 	}
 	b.follower.ReportRecords([]quarantine.Record{r})
 	for name, table := range map[string]*quarantine.Table{"a": a.Table, "control-2": c.nodes[2].node.service.quarantine} {
@@ -105,7 +106,7 @@
 	}
 }
 
-// All gateways ask to try it at one moment, at different nodes: one of them may.
+// All gateways ask different nodes for a trial at the same time, and one of them gets it.
 func TestTrialIsGrantedToOneGateway(t *testing.T) {
 	c := newCluster(t, 3)
 	c.awaitVoters(c.nodes...)
@@ -128,28 +129,28 @@
 			}
 		}
 		if len(granted) == 0 {
-			return errors.New("no gateway may try it")
+			return errors.New("no gateway got the trial")
 		}
 		return nil
 	})
-	c.put(c.nodes[0], 1) // what was asked before is decided by then
+	c.put(c.nodes[0], 1) // earlier trial requests are decided once this is committed
 	for name, g := range gateways {
 		if g.BeginTrial(testFingerprint, quarantine.TesterID(g.follower.Hello.Self())) == quarantine.TrialGranted {
 			granted[name] = true
 		}
 	}
 	if len(granted) != 1 {
-		t.Errorf("the gateways %v may try it", granted)
+		t.Errorf("gateways that got the trial: %v", granted)
 	}
 }
 
-// All machines lose power at one moment, gateways too: the control nodes' disks remember.
+// All machines, gateways too, lose power at once: the records are on the disks of control nodes.
 func TestBarredRequestsSurvivePowerLoss(t *testing.T) {
 	c := newCluster(t, 3)
 	c.awaitVoters(c.nodes...)
 	c.nodes[0].node.service.mergeRecords([]quarantine.Record{newTestRecord(0, "a", "b", "c")})
 	for _, n := range c.nodes {
-		c.eventually("kept at "+n.name, func() error {
+		c.eventually("stored at "+n.name, func() error {
 			if _, err := n.disk.Folder().Read(quarantineFile); err != nil {
 				return err
 			}
@@ -163,24 +164,24 @@
 	}
 	c.start(c.nodes[1])
 	c.awaitBarred("one node alone", c.nodes[1].node.service.quarantine)
-	c.awaitBarred("a gateway that starts anew", c.gateway("e").Table)
+	c.awaitBarred("a gateway that starts afterwards", c.gateway("e").Table)
 }
 
-// A disk that fails, or holds something else, keeps nothing and stops nothing.
+// The store works without a disk and replaces a file that it cannot read.
 func TestQuarantineStoreToleratesDiskFailure(t *testing.T) {
 	table := quarantine.NewTable(nil)
-	k := &quarantineStore{table: table, mergeRecords: func(r []quarantine.Record) { table.Merge(r) }, logger: log.NewNopLogger()}
+	store := &quarantineStore{table: table, mergeRecords: func(r []quarantine.Record) { table.Merge(r) }, logger: log.NewNopLogger()}
 	table.Merge([]quarantine.Record{newTestRecord(0, "a", "b", "c")})
-	k.markChanged(table.Records())
-	if err := k.writeIfChanged(); err != nil {
+	store.markChanged(table.Records())
+	if err := store.writeIfChanged(); err != nil {
 		t.Errorf("without a disk: %v", err)
 	}
 	memory := disk.NewMemory()
 	if err := memory.Folder().Replace(quarantineFile, []byte("\xc1 no record")); err != nil {
 		t.Fatal(err)
 	}
-	k.setFolder(memory.Folder())
-	if err := k.writeIfChanged(); err != nil {
+	store.setFolder(memory.Folder())
+	if err := store.writeIfChanged(); err != nil {
 		t.Errorf("after an unreadable file: %v", err)
 	}
 	if records, err := readBarred(memory.Folder()); err != nil || len(records) != 1 {
--- a/pkg/control/others_test.go
+++ b/pkg/control/registration_relay_test.go
@@ -14,7 +14,7 @@
 	return registry.NewRegistration("i-1", "menu", "10.0.0.1:80", "north", "v1", 4, state, 0, nil, sequence, 0)
 }
 
-// awaitState waits until a node knows the backend server in a state.
+// awaitState waits until the backend server has the given state on a node.
 func (c *cluster) awaitState(n *testNode, state registry.State) {
 	c.t.Helper()
 	c.eventually(fmt.Sprintf("%s at %s", state, n.name), func() error {
@@ -26,8 +26,7 @@
 	})
 }
 
-// A backend server calls one node; followers of the others hear of it too, and of
-// its end wherever it says so.
+// A backend server sends heartbeats to one node and is known to all. It may deregister at any node.
 func TestNodesRelayRegistrations(t *testing.T) {
 	c := newCluster(t, 3)
 	c.awaitVoters(c.nodes...)
@@ -41,9 +40,8 @@
 	}
 }
 
-// Two nodes that do not reach each other both reach the third, which tells each of
-// them what the other one heard: a backend server that leaves must get nothing from
-// gateways that follow any node.
+// Two nodes that cannot reach each other both reach the third, which relays registrations between
+// them: gateways must not send requests to a draining backend server, whichever node they follow.
 func TestRegistrationsRelayedAroundPartition(t *testing.T) {
 	c := &cluster{t: t}
 	for i := range 3 {
@@ -66,14 +64,14 @@
 		t.Fatal(err)
 	}
 	c.awaitState(last, registry.Ready)
-	// It is told on also where it is not acknowledged, since the last node may lead.
+	// The state is relayed even if the call is not acknowledged, since the last node may lead.
 	_ = first.node.service.ReceiveHeartbeat(heartbeat(registry.Draining, 2))
 	c.awaitState(last, registry.Draining)
 }
 
-// Another program writes an entry of a service that nobody has configured under the
-// incarnation of a backend server: that one holds. An entry of its own may stay, since the
-// service may be configured yet.
+// Another program sends a heartbeat for an unconfigured service with the incarnation of a backend
+// server: it is rejected. With an incarnation of its own it is accepted, since the service may be
+// configured later.
 func TestUnknownServiceCannotReplaceRegistration(t *testing.T) {
 	c := newCluster(t, 3)
 	n := c.nodes[0]
@@ -81,7 +79,7 @@
 	c.eventually("heartbeat", func() error { return n.node.service.ReceiveHeartbeat(heartbeat(registry.Ready, 1)) })
 	c.eventually("configuration", func() error {
 		if n.node.service.state.ConfigurationNumber() == 0 {
-			return fmt.Errorf("not applied here yet")
+			return fmt.Errorf("not applied on this node yet")
 		}
 		return nil
 	})
@@ -89,12 +87,12 @@
 		return registry.NewRegistration(incarnation, "nowhere", "10.0.0.9:80", "north", "v1", 4, registry.Ready, 0, nil, 9, 5)
 	}
 	if err := n.node.service.ReceiveHeartbeat(unknownService("i-1")); !failure.Is(err, failure.BadRequest) {
-		t.Errorf("it was taken: %v", err)
+		t.Errorf("heartbeat with the incarnation of another service: %v", err)
 	}
 	if r, _ := n.node.service.registry.Get("i-1"); r.Service() != "menu" {
-		t.Errorf("the backend server is of service %s", r.Service())
+		t.Errorf("service of the backend server: %s", r.Service())
 	}
 	if err := n.node.service.ReceiveHeartbeat(unknownService("i-9")); err != nil {
-		t.Errorf("an entry of its own: %v", err)
+		t.Errorf("heartbeat with an incarnation of its own: %v", err)
 	}
 }
--- a/pkg/control/service.go
+++ b/pkg/control/service.go
@@ -1,8 +1,7 @@
 // ================================================================
-// What a control node does for operators and backend servers, apart from the
-// protocol that they speak. Any node takes any call; what needs agreement goes
-// to the leader. All commands only raise what is held, so a call whose outcome
-// is unknown is simply made again.
+// The operations for operators and backend servers, independent of the protocol. Any node accepts
+// any call; commands and confirmed reads are forwarded to the leader. A command can only increase a
+// number or version, so a call whose outcome is unknown can be repeated.
 // ================================================================
 
 package control
@@ -24,23 +23,23 @@
 )
 
 const (
-	// requestTimeout bounds a call: operators go to another node after a second.
+	// requestTimeout bounds a call: operators try another node after a second.
 	requestTimeout = 900 * time.Millisecond
-	// leaderRetryDelay lies between two tries to reach the leader.
+	// leaderRetryDelay is the time between two attempts to reach the leader.
 	leaderRetryDelay = 30 * time.Millisecond
 )
 
-// leaderRequest is a call handed to the leader.
+// leaderRequest is a call forwarded to the leader.
 //
 //wire:generate
 type leaderRequest struct {
-	// data is the encoded command; empty for a confirmed read.
+	// data is the encoded command; empty for a confirmed read or a trial request.
 	data []byte
-	// trial is a barred request that a gateway asks to try once more, and tester the
-	// gateway; both empty in other calls.
-	trial  quarantine.Fingerprint
+	// trial is the fingerprint of the barred request that a gateway asks to try again; else empty.
+	trial quarantine.Fingerprint
+	// tester identifies the gateway that asks for the trial; else empty.
 	tester string
-	// appliedNumber is the number of the configuration that the asking node has applied, in a read.
+	// appliedNumber is, in a read, the number of the configuration that the calling node has applied.
 	appliedNumber uint64
 }
 
@@ -48,22 +47,21 @@
 //
 //wire:generate
 type leaderResponse struct {
-	// configuration is the newest, in answer to a read; nil where there is none, or the asking
-	// node holds it.
+	// configuration is, for a read, the newest configuration; nil if there is none or the calling
+	// node has applied it.
 	configuration *Configuration
-	// number is that of the newest, in answer to a read; 0 where there is none.
+	// number is, for a read, the number of the newest configuration; 0 if there is none.
 	number uint64
 }
 
-// Service is what a control node does for others. It is safe for concurrent
-// use.
+// Service implements the operations of a control node. It is safe for concurrent use.
 type Service struct {
 	state    *State
 	member   *member
 	registry *registry.Table
-	// quarantine is what gateways told of requests under which servers ended.
+	// quarantine holds the records of requests that crash backend servers.
 	quarantine *quarantine.Table
-	// onRecordsChanged gets the records that changed.
+	// onRecordsChanged is called with the quarantine records that changed.
 	onRecordsChanged func(changed []quarantine.Record)
 	publisher        *feed.Publisher
 	endpoint         *link.Endpoint
@@ -71,9 +69,9 @@
 	metrics          *metrics
 }
 
-// PutConfiguration has a configuration agreed on. One whose number is not
-// above the one held is acknowledged and changes nothing. A refused one fails
-// with BadDocument.
+// PutConfiguration commits a configuration to the control log. A configuration whose number is not
+// higher than the current one is acknowledged and changes nothing. It fails with BadDocument if the
+// document is invalid.
 func (s *Service) PutConfiguration(ctx context.Context, c Configuration) error {
 	if err := c.document.Check(); err != nil {
 		s.logChange("configuration", c.document.Number(), "refused", err)
@@ -88,10 +86,11 @@
 	return err
 }
 
-// NameVersion has a version of a model's weights agreed on.
+// NameVersion commits a version of a model's weights to the control log. A version that is not
+// higher than the current one is acknowledged and changes nothing.
 func (s *Service) NameVersion(ctx context.Context, model string, version uint64) error {
 	if model == "" || version == 0 {
-		return failure.New(failure.BadDocument, "model %q, version %d: a name and a version from 1 are needed", model, version)
+		return failure.New(failure.BadDocument, "model %q, version %d: a model name and a version of at least 1 are required", model, version)
 	}
 	if version <= s.state.NewestVersion(model) {
 		s.logChange("weights", version, "held already", nil)
@@ -102,10 +101,9 @@
 	return err
 }
 
-// ReadConfiguration returns the newest configuration, confirmed by a quorum. Where this node
-// has applied it already only its number comes from the leader: a large document would take
-// longer than a call may on a link that is full of them.
-// It fails with UnknownObject when there is none yet.
+// ReadConfiguration returns the newest configuration, confirmed by a quorum. If this node has
+// applied it already, the leader sends only its number: on a link that is saturated with documents,
+// a large document takes longer than requestTimeout. It fails with UnknownObject if there is none.
 func (s *Service) ReadConfiguration(ctx context.Context) (Configuration, error) {
 	answer, err := s.callLeader(ctx, leaderRequest{appliedNumber: s.state.ConfigurationNumber()})
 	switch {
@@ -114,14 +112,13 @@
 	case answer.configuration != nil:
 		return *answer.configuration, nil
 	case answer.number == 0:
-		return Configuration{}, failure.New(failure.UnknownObject, "no configuration was ever sent")
+		return Configuration{}, failure.New(failure.UnknownObject, "no configuration has been set")
 	}
 	return *s.state.Configuration(), nil
 }
 
-// ReceiveHeartbeat takes the word of a backend server. The word that it leaves is only
-// taken by a node that hears a quorum: followers of a node that is cut off
-// would not learn of it.
+// ReceiveHeartbeat processes a heartbeat of a backend server. That a server drains is acknowledged
+// only while a quorum is confirmed: an isolated node cannot inform the followers of other nodes.
 func (s *Service) ReceiveHeartbeat(r registry.Registration) error {
 	if err := s.checkService(r); err != nil {
 		return err
@@ -138,19 +135,20 @@
 	return nil
 }
 
-// checkService refuses a word of a service that nobody has configured where its incarnation
-// is known as one of a service that is: another program wrote it, and what it names must not
-// take the place of a backend server. Before it is configured a service may have servers.
+// checkService rejects a heartbeat that names an unconfigured service if its incarnation is
+// registered for a configured one: it comes from another program and must not replace the
+// registration of a backend server. A new incarnation may register before its service is
+// configured.
 func (s *Service) checkService(r registry.Registration) error {
 	held, known := s.registry.Get(r.Incarnation())
 	d := s.state.Document()
 	if !known || d == nil || held.Service() == r.Service() || d.HasService(r.Service()) || !d.HasService(held.Service()) {
 		return nil
 	}
-	return failure.New(failure.BadRequest, "incarnation %q is one of service %q, and no service %q is configured", r.Incarnation(), held.Service(), r.Service())
+	return failure.New(failure.BadRequest, "incarnation %q belongs to service %q, and service %q is not configured", r.Incarnation(), held.Service(), r.Service())
 }
 
-// Deregister takes the word that a backend server is gone.
+// Deregister marks a backend server as gone. It is acknowledged only while a quorum is confirmed.
 func (s *Service) Deregister(incarnation string) error {
 	r, changed := s.registry.Leave(incarnation)
 	if changed {
@@ -160,16 +158,18 @@
 	return s.requireQuorum()
 }
 
+// requireQuorum fails with NoQuorum unless a quorum is confirmed.
 func (s *Service) requireQuorum() error {
 	if s.member.quorumConfirmed() {
 		return nil
 	}
-	return failure.New(failure.NoQuorum, "this node hears no quorum; another one may")
+	return failure.New(failure.NoQuorum, "this node has no contact with a quorum; another node may have")
 }
 
 // ----------------------------------------------------------------
-// Agreement
+// Calls to the leader
 
+// propose commits a command through the leader.
 func (s *Service) propose(ctx context.Context, c command) error {
 	data, err := msgpack.Marshal(c)
 	if err != nil {
@@ -179,8 +179,7 @@
 	return err
 }
 
-// callLeader hands a command or a read to the leader until it answers or the time
-// is over.
+// callLeader sends a request to the leader, and retries until it succeeds or requestTimeout ends.
 func (s *Service) callLeader(ctx context.Context, r leaderRequest) (leaderResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
@@ -197,6 +196,7 @@
 	}
 }
 
+// callLeaderOnce sends a request to the leader, or executes it if this node leads.
 func (s *Service) callLeaderOnce(ctx context.Context, r leaderRequest) (leaderResponse, error) {
 	if s.member.state().Role == controllog.Leader {
 		return s.execute(ctx, r)
@@ -205,8 +205,8 @@
 	if leader == "" {
 		return leaderResponse{}, failure.New(failure.NoQuorum, "no leader is known")
 	}
-	// A leader whose disk hangs does not answer; a third of the time leaves
-	// room for the one after it.
+	// A leader whose disk hangs does not answer. A third of the timeout leaves time for its
+	// successor.
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout/3)
 	defer cancel()
 	var answer leaderResponse
@@ -214,11 +214,11 @@
 	return answer, err
 }
 
-// execute carries a call out on the leader.
+// execute executes a request on the leader.
 func (s *Service) execute(ctx context.Context, r leaderRequest) (leaderResponse, error) {
 	runner := s.member.runner.Load()
 	if runner == nil {
-		return leaderResponse{}, failure.New(failure.NotLeader, "this node keeps no log now")
+		return leaderResponse{}, failure.New(failure.NotLeader, "the control log does not run on this node")
 	}
 	if len(r.data) > 0 {
 		_, err := runner.Propose(ctx, r.data)
@@ -234,7 +234,8 @@
 	return readResponse(r.appliedNumber, s.state.Configuration()), nil
 }
 
-// readResponse answers a read of a node that holds a configuration already; 0 for none.
+// readResponse returns the answer to a read by a node that has applied a configuration with number
+// appliedNumber; 0 if it has applied none.
 func readResponse(appliedNumber uint64, newest *Configuration) leaderResponse {
 	if newest == nil {
 		return leaderResponse{}
@@ -246,7 +247,7 @@
 	return leaderResponse{configuration: newest, number: number}
 }
 
-// serveLeaderCall carries out a call that another node hands on.
+// serveLeaderCall executes a request that another node forwards.
 func (s *Service) serveLeaderCall(ctx context.Context, stream *link.Stream) error {
 	stream.SetDeadline(time.Now().Add(requestTimeout))
 	var r leaderRequest
@@ -265,6 +266,7 @@
 // ----------------------------------------------------------------
 // Logs
 
+// logChange logs the outcome of a change by an operator.
 func (s *Service) logChange(subject string, number uint64, outcome string, err error) {
 	if err != nil {
 		_ = level.Warn(s.logger).Log("msg", "change", "of", subject, "number", number, "outcome", "not "+outcome, "err", err)
--- a/pkg/control/stop_test.go
+++ b/pkg/control/shutdown_test.go
@@ -9,11 +9,9 @@
 	"testing"
 )
 
-// Seen beside streams that a planned stop of gateways cut: a control node that is stopped
-// closes the connections of its callers at once. How: an operator's change that it has read,
-// and may have handed to the log, is left without an answer, and nobody knows whether it is
-// in force. Cause: the stop did not ask what was under way. Here a version is named by a
-// request of which half has come when the signal does.
+// Failure: a control node that closes all connections at once when it is stopped leaves a change
+// that it has read, and may have proposed to the log, without an answer; the operator does not know
+// whether it is in force. Here the signal arrives in the middle of a request that names a version.
 func TestShutdownAnswersCallsInProgress(t *testing.T) {
 	c := newCluster(t, 3)
 	c.awaitVoters(c.nodes...)
@@ -28,7 +26,7 @@
 		t.Fatal(err)
 	}
 	if interim, err := http.ReadResponse(reader, nil); err != nil || interim.StatusCode != http.StatusContinue {
-		t.Fatalf("it is not read: %v", err)
+		t.Fatalf("the server does not read the body: %v", err)
 	}
 	n.signals <- os.Interrupt
 	for {
--- a/pkg/control/state.go
+++ b/pkg/control/state.go
@@ -1,18 +1,12 @@
 // ================================================================
-// The agreed state of the control nodes: the newest service configuration and
-// the named versions of each model's weights, of which the newest holds. Both
-// only ever rise, so a command that is applied twice, or late, changes nothing.
-//
-// The log says what is named and in which order. When that was, it cannot say: a
-// node that reads it again, or takes a snapshot, sees the versions later than they
-// were named. So a version's age is the largest that anybody alive knows: since it
-// was applied here, as a snapshot recorded it, or as another node or a follower
-// tells. Only where all that knew it have gone does it begin anew.
+// The replicated state of the control nodes: the newest service configuration and the named
+// versions of each model's weights, of which the newest is in force. Numbers and versions only
+// increase, so a command that is applied twice or late changes nothing.
 // ================================================================
 
-// Package control is the control node: it agrees on the service configuration
-// and on named weights, hears the heartbeats of backend servers, and feeds
-// gateways and stagers.
+// Package control implements the control node. Control nodes replicate the service configuration
+// and the named versions of weights, receive the heartbeats of backend servers, and publish all of
+// it to gateways and stagers.
 package control
 
 //go:generate go run github.com/tidepost/tidepost/tools/wiregen
@@ -33,67 +27,73 @@
 //
 //wire:generate
 type Configuration struct {
-	// document is what the system obeys.
+	// document is the parsed configuration.
 	document serviceconfig.Document
-	// raw is the operator's text, given back on a read.
+	// raw is the text that the operator sent; a read returns it.
 	raw []byte
 }
 
-// ModelVersion names the version of a model's weights that is to be served.
+// ModelVersion is the version of a model's weights that is to be served.
 //
 //wire:generate
 type ModelVersion struct {
 	// model is the model's name.
 	model string
-	// version is the version; the highest holds.
+	// version is the version number; the highest one is in force.
 	version uint64
 }
 
-// command is one command of the control log: one of its fields.
+// command is an entry of the control log. Exactly one of its fields is set.
 //
 //wire:generate
 type command struct {
-	// configuration replaces the one held when its number is higher.
+	// configuration replaces the current one if its number is higher.
 	configuration *Configuration
-	// version is named when it is higher than the one held.
+	// version becomes the newest named version if it is higher than the current one.
 	version *ModelVersion
 }
 
-// snapshotData is the whole state, for snapshots.
+// snapshotData is the content of a snapshot: the whole state.
 //
 //wire:generate
 type snapshotData struct {
-	// configuration is the newest; nil when there is none.
+	// configuration is the newest configuration; nil if there is none.
 	configuration *Configuration
-	// versions are the named versions with their ages, by model and oldest first.
-	// Earlier releases wrote the newest of each model, without an age.
+	// versions are the named versions with their ages, by model and oldest first. Earlier releases
+	// wrote only the newest version of each model, without an age.
 	versions []feed.NamedVersion
 }
 
-// State is the agreed state at one node. It is safe for concurrent use.
+// State is the replicated state on one node. It is safe for concurrent use.
+//
+// The log defines which versions are named and in which order, but not when: a node that replays
+// the log or restores a snapshot sees a version later than it was named. The age of a version is
+// therefore the largest one known: since it was applied here, as recorded in a snapshot, or as
+// reported by another node or a follower. The age restarts at 0 only if no process that knew it
+// is left.
 type State struct {
 	onChange func()
 	now      func() time.Time
-	// onVersionChanges gets what was learnt of versions and their ages, and where from.
-	onVersionChanges func(moves []feed.VersionChange, source, from string)
+	// onVersionChanges receives changes of versions and their ages, with the kind of their source
+	// and its address.
+	onVersionChanges func(changes []feed.VersionChange, source, from string)
 
-	named    *feed.VersionTable // as the log says
-	reported *feed.VersionTable // as others told, for versions that the log may still bring
+	named    *feed.VersionTable // versions that the log has named
+	reported *feed.VersionTable // versions that other processes reported, possibly before the log names them
 
 	mu            sync.RWMutex
 	configuration *Configuration
 }
 
-// Where a version or its age was learnt, for the log; followers and other nodes go
-// by their roles.
+// Sources of a version or its age in log lines. A follower or another node is logged by its role.
 const (
 	sourceLog      = "applied"
 	sourceSnapshot = "snapshot"
 	sourceReported = "told before"
 )
 
-// NewState returns an empty state; changed is called after each change, from
-// the goroutine that made it.
+// NewState returns an empty state. onChange is called after each change, in the goroutine that
+// made the change.
 func NewState(onChange func()) *State {
 	return &State{
 		onChange: onChange, now: time.Now, onVersionChanges: func([]feed.VersionChange, string, string) {},
@@ -101,7 +101,7 @@
 	}
 }
 
-// StateMachine is the state as the control log applies commands to it.
+// StateMachine returns the functions by which the control log applies commands and snapshots.
 func (s *State) StateMachine() controllog.StateMachine {
 	return controllog.StateMachine{Apply: s.apply, Snapshot: s.snapshot, Restore: s.restore}
 }
@@ -109,8 +109,8 @@
 func (s *State) apply(_ uint64, data []byte) any {
 	var c command
 	if err := msgpack.Unmarshal(data, &c); err != nil {
-		// The entry passed its checksum; a newer program wrote it. Skipping it
-		// keeps an older one running.
+		// The entry passed its checksum, so a newer release wrote it. Skipping it keeps an older
+		// release running.
 		return nil
 	}
 	changed := s.applyConfiguration(c.configuration)
@@ -123,7 +123,7 @@
 	return nil
 }
 
-// applyConfiguration takes a configuration that is newer, and tells whether it was.
+// applyConfiguration stores a configuration if it is newer, and reports whether it was.
 func (s *State) applyConfiguration(c *Configuration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -134,18 +134,19 @@
 	return true
 }
 
-// mergeNamed takes versions that the log names, with what others told of their ages
-// before, and tells whether that changed anything.
+// mergeNamed adds versions that the log names, with ages that were reported earlier, and reports
+// whether any change is significant.
 func (s *State) mergeNamed(versions []feed.NamedVersion, source string) bool {
 	now := s.now()
-	named := s.named.Merge(versions, now)
-	s.onVersionChanges(named, source, "")
+	added := s.named.Merge(versions, now)
+	s.onVersionChanges(added, source, "")
 	raised := s.named.MergeAges(s.reportedAges(versions, now), now)
 	s.onVersionChanges(raised, sourceReported, "")
-	return hasSignificant(named) || hasSignificant(raised)
+	return hasSignificant(added) || hasSignificant(raised)
 }
 
-// reportedAges returns the ages that others told of some versions.
+// reportedAges returns those of the versions for which other processes have reported an age, with
+// that age.
 func (s *State) reportedAges(versions []feed.NamedVersion, now time.Time) (ages []feed.NamedVersion) {
 	for _, v := range versions {
 		if n := s.reported.Next(v.Model(), v.Version()-1); n.Version() == v.Version() {
@@ -155,8 +156,8 @@
 	return ages
 }
 
-// MergeAges takes the ages of versions that another node or a follower knows of. It
-// names none: one that the log has not brought here yet waits for it.
+// MergeAges takes the ages of versions from another node or a follower. It does not name a version:
+// the age of a version that is not applied here yet is kept until the log names the version.
 func (s *State) MergeAges(versions []feed.NamedVersion, source, from string) {
 	now := s.now()
 	s.reported.Merge(versions, now)
@@ -167,7 +168,7 @@
 	}
 }
 
-// hasSignificant tells whether one of some changes is worth being told at once.
+// hasSignificant reports whether one of the changes has to be published at once.
 func hasSignificant(changes []feed.VersionChange) bool {
 	return slices.ContainsFunc(changes, feed.VersionChange.IsSignificant)
 }
@@ -176,34 +177,34 @@
 	return msgpack.Marshal(snapshotData{configuration: s.Configuration(), versions: s.NamedVersions()})
 }
 
-// restore takes a snapshot. What is held and newer stays: a node that opens its
-// disk again has applied more than the snapshot holds.
+// restore merges a snapshot into the state. Newer state is kept: a node that reopens its disk has
+// applied more than the snapshot contains.
 func (s *State) restore(raw []byte) error {
-	var i snapshotData
-	if err := msgpack.Unmarshal(raw, &i); err != nil {
+	var d snapshotData
+	if err := msgpack.Unmarshal(raw, &d); err != nil {
 		return err
 	}
-	changed := s.applyConfiguration(i.configuration)
-	if s.mergeNamed(i.versions, sourceSnapshot) || changed {
+	changed := s.applyConfiguration(d.configuration)
+	if s.mergeNamed(d.versions, sourceSnapshot) || changed {
 		s.onChange()
 	}
 	return nil
 }
 
-// addSuspension makes the ages of versions count how long the VM was suspended.
-func (s *State) addSuspension(by time.Duration) {
-	s.named.AddSuspension(by)
-	s.reported.AddSuspension(by)
+// addSuspension adds the time for which the VM was suspended to the ages of all versions.
+func (s *State) addSuspension(d time.Duration) {
+	s.named.AddSuspension(d)
+	s.reported.AddSuspension(d)
 }
 
-// Configuration returns the newest one; nil when there is none.
+// Configuration returns the newest configuration; nil if there is none.
 func (s *State) Configuration() *Configuration {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.configuration
 }
 
-// ConfigurationNumber returns the newest configuration's number; 0 when there is none.
+// ConfigurationNumber returns the number of the newest configuration; 0 if there is none.
 func (s *State) ConfigurationNumber() uint64 {
 	if c := s.Configuration(); c != nil {
 		return c.document.Number()
@@ -211,7 +212,7 @@
 	return 0
 }
 
-// Document returns the newest document; nil when there is none.
+// Document returns the newest document; nil if there is none.
 func (s *State) Document() *serviceconfig.Document {
 	if c := s.Configuration(); c != nil {
 		return &c.document
@@ -219,8 +220,9 @@
 	return nil
 }
 
-// NewestVersion returns the newest named version of a model; 0 when there is none.
+// NewestVersion returns the newest named version of a model; 0 if there is none.
 func (s *State) NewestVersion(model string) uint64 { return s.named.Newest(model).Version() }
 
-// NamedVersions returns the named versions that somebody may still wait for.
+// NamedVersions returns the named versions that a process may still be waiting for, by model and
+// oldest first, with their ages.
 func (s *State) NamedVersions() []feed.NamedVersion { return s.named.Current(s.now()) }
--- a/pkg/control/ages_test.go
+++ b/pkg/control/version_ages_test.go
@@ -17,13 +17,14 @@
 	"github.com/tidepost/tidepost/pkg/vm"
 )
 
-// newStateWithClock returns a state on a clock.
+// newStateWithClock returns a state that uses the given clock.
 func newStateWithClock(clock *time.Time) *State {
 	s := NewState(func() {})
 	s.now = func() time.Time { return *clock }
 	return s
 }
 
+// applyVersion applies the command that names a version.
 func applyVersion(t *testing.T, s *State, version uint64) {
 	t.Helper()
 	data, err := msgpack.Marshal(command{version: &ModelVersion{"menu", version}})
@@ -33,47 +34,47 @@
 	s.apply(0, data)
 }
 
-// namedAges returns the ages that a state tells, by version.
+// namedAges returns the ages of the named versions, by version.
 func namedAges(s *State) map[uint64]time.Duration {
 	ages := map[uint64]time.Duration{}
-	for _, w := range s.NamedVersions() {
-		ages[w.Version()] = w.Age()
+	for _, v := range s.NamedVersions() {
+		ages[v.Version()] = v.Age()
 	}
 	return ages
 }
 
-func requireAges(t *testing.T, s *State, ages map[uint64]time.Duration) {
+// requireAges fails the test unless a state has exactly the given ages, by version.
+func requireAges(t *testing.T, s *State, want map[uint64]time.Duration) {
 	t.Helper()
 	got := namedAges(s)
-	if len(got) != len(ages) {
-		t.Fatalf("told %v, wanted %v", got, ages)
+	if len(got) != len(want) {
+		t.Fatalf("ages %v, want %v", got, want)
 	}
-	for version, age := range ages {
+	for version, age := range want {
 		if got[version] != age {
-			t.Fatalf("told %v, wanted %v", got, ages)
+			t.Fatalf("ages %v, want %v", got, want)
 		}
 	}
 }
 
-// awaitAge waits until a node tells that a version was named at least age ago.
+// awaitAge waits until the age of a version on a node is at least age.
 func (c *cluster) awaitAge(n *testNode, version uint64, age time.Duration) {
 	c.t.Helper()
 	c.eventually(fmt.Sprintf("age at %s", n.name), func() error {
 		if got := namedAges(n.node.service.state); got[version] < age {
-			return fmt.Errorf("version %d is told to be %s old, not %s", version, got[version], age)
+			return fmt.Errorf("age of version %d: %s, want at least %s", version, got[version], age)
 		}
 		return nil
 	})
 }
 
-// clockAdvance is more than passes while a test waits.
+// clockAdvance is more time than a test takes.
 const clockAdvance = time.Hour
 
-// Seen: an engine on old weights got a request after the agreed time. A node that
-// had started anew stamped the version with the time at which it read its own log
-// again, told the feed so, and a gateway that had started beside it gave the old
-// engine as much time as if the version had just been named, although other nodes
-// knew better all the while. Proved by the age that the node goes on telling.
+// Failure: an engine with old weights gets a request after the time limit for them. A restarted
+// node takes the time at which it replays its log as the time at which the version was named, and
+// publishes that; a gateway that starts then gives the old engine the full time again. The node
+// has to take the age from the other nodes.
 func TestRestartedNodeGetsVersionAgeFromOtherNodes(t *testing.T) {
 	for name, replaceDisk := range map[string]func(*testNode){
 		"from its disk":          func(*testNode) {},
@@ -97,8 +98,8 @@
 	}
 }
 
-// Seen: as above, where the node joined late. The snapshot that it took named the
-// version and held no time, so it stamped that with the moment of its joining.
+// The same failure with a node that joins late: if a snapshot contains no age, the node takes the
+// time at which it joins as the time at which the version was named.
 func TestSnapshotKeepsVersionAges(t *testing.T) {
 	now := time.Unix(1000, 0)
 	s := newStateWithClock(&now)
@@ -110,7 +111,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// Another machine's clock shows another time.
+	// The clock of another machine differs.
 	joiningNow := time.Unix(5, 0)
 	joining := newStateWithClock(&joiningNow)
 	if err := joining.restore(raw); err != nil {
@@ -119,7 +120,7 @@
 	requireAges(t, joining, map[uint64]time.Duration{2: 7 * time.Second, 3: time.Second})
 	joiningNow = joiningNow.Add(2 * time.Second)
 	requireAges(t, joining, map[uint64]time.Duration{2: 9 * time.Second, 3: 3 * time.Second})
-	// A node that opens its disk again keeps what it knows.
+	// A node that reopens its disk keeps the ages that it knows.
 	now = now.Add(10 * time.Second)
 	if err := s.restore(raw); err != nil {
 		t.Fatal(err)
@@ -127,8 +128,8 @@
 	requireAges(t, s, map[uint64]time.Duration{2: 17 * time.Second, 3: 11 * time.Second})
 }
 
-// Snapshots go between releases both ways: an earlier one writes a version's name
-// alone, one of each model, and reads the first two parts of each.
+// Snapshots are exchanged with earlier releases in both directions. An earlier release writes one
+// version of each model, without an age, and reads the first two fields of each version.
 func TestSnapshotCompatibilityWithEarlierRelease(t *testing.T) {
 	now := time.Unix(1000, 0)
 	s := newStateWithClock(&now)
@@ -160,14 +161,13 @@
 		newest[n.Model()] = max(newest[n.Model()], n.Version())
 	}
 	if newest["menu"] != 4 || newest["soup"] != 8 {
-		t.Fatalf("an earlier release reads %v", names)
+		t.Fatalf("an earlier release would read %v", names)
 	}
 }
 
-// Seen: an engine on old weights got requests until the time of the later of two
-// versions. A gateway had started anew after the later one was named; nodes told
-// only that one, so it could not know that the earlier one was due before. Only
-// gateways that had lived through both sent nothing there.
+// Failure: an engine with old weights gets requests until the time limit of the later of two
+// versions. If nodes publish only the later version, a gateway that starts after both were named
+// does not know that the earlier one is due first.
 func TestNewFollowerReceivesEarlierVersion(t *testing.T) {
 	now := time.Unix(1000, 0)
 	s := newStateWithClock(&now)
@@ -178,18 +178,18 @@
 	follower := feed.NewVersionTable()
 	follower.Add(s.NamedVersions(), now)
 	if next := follower.Next("menu", 1); next.Version() != 2 || now.Sub(next.Since()) != 6*time.Second {
-		t.Fatalf("version %d, named %s ago, is the next above 1", next.Version(), now.Sub(next.Since()))
+		t.Fatalf("next version above 1: %d, named %s ago", next.Version(), now.Sub(next.Since()))
 	}
 	if due := follower.Due("menu", 6*time.Second, now); due != 2 {
-		t.Fatalf("version %d has been named for 6 s", due)
+		t.Fatalf("version due after 6 s: %d", due)
 	}
 	if s.NewestVersion("menu") != 3 || follower.Newest("menu").Version() != 3 {
 		t.Fatal("the newest version is not the last one named")
 	}
 }
 
-// A follower or another node may tell before the log has brought the version here;
-// what they tell names none.
+// A follower or another node may report the age of a version before the log names the version here.
+// The report alone does not name it.
 func TestAgeReportedBeforeVersionIsApplied(t *testing.T) {
 	now := time.Unix(1000, 0)
 	s := newStateWithClock(&now)
@@ -204,8 +204,8 @@
 	requireAges(t, s, map[uint64]time.Duration{2: 8 * time.Second, 3: 5 * time.Second})
 }
 
-// Nodes tell each other the ages with each Update. A change that the way of an Update
-// makes is taken and wakes nobody, or they would wake each other without end.
+// Nodes send each other the ages with each Update. An increase by no more than the transit time of
+// an Update is stored but not published, or nodes would trigger each other's Updates endlessly.
 func TestOnlySignificantAgeChangeNotifies(t *testing.T) {
 	now := time.Unix(1000, 0)
 	s := newStateWithClock(&now)
@@ -213,19 +213,19 @@
 	s.onChange = func() { notifications++ }
 	applyVersion(t, s, 2)
 	for _, step := range []struct {
-		age  time.Duration
-		told int
+		age           time.Duration
+		notifications int
 	}{{10 * time.Millisecond, 1}, {40 * time.Millisecond, 1}, {20 * time.Millisecond, 1}, {5 * time.Second, 2}, {5 * time.Second, 2}, {4 * time.Second, 2}} {
 		s.MergeAges([]feed.NamedVersion{feed.NewNamedVersion("menu", 2, step.age)}, "node", "control-2")
-		if notifications != step.told || namedAges(s)[2] < step.age {
-			t.Fatalf("after an age of %s: told %d times, age %s", step.age, notifications, namedAges(s)[2])
+		if notifications != step.notifications || namedAges(s)[2] < step.age {
+			t.Fatalf("after an age of %s: notified %d times, age %s", step.age, notifications, namedAges(s)[2])
 		}
 	}
 }
 
-// Seen: as in the first test, with all nodes killed at one moment: none of them
-// knew the version's age then, but gateways and stagers did, and nobody asked
-// them. What they tell counts for versions that the log holds, and names none.
+// The same failure as in the first test if all nodes crash at once: only gateways and stagers know
+// the age of the version then. Nodes have to take it from these followers, for versions that the
+// log names only.
 func TestFollowerRestoresVersionAges(t *testing.T) {
 	c := newCluster(t, 3)
 	c.awaitVoters(c.nodes...)
@@ -242,17 +242,18 @@
 	for _, n := range c.nodes {
 		c.awaitAge(n, 2, clockAdvance)
 		if version := n.node.service.state.NewestVersion("menu"); version != 2 {
-			t.Fatalf("%s takes version %d as named, which only a follower told", n.name, version)
+			t.Fatalf("newest version on %s: %d, which only a follower reported", n.name, version)
 		}
 	}
 }
 
-// startFollower starts a gateway's follower that knows of versions.
+// startFollower starts a gateway's follower that reports the given versions.
 func (c *cluster) startFollower(known []feed.NamedVersion) {
 	c.startFollowerAs("front-1", func(f *feed.Follower) { f.Versions = func() []feed.NamedVersion { return known } })
 }
 
-// startFollowerAs starts a gateway's follower of a name, after a change to it.
+// startFollowerAs starts the follower of a gateway with the given name, after configure has
+// modified it.
 func (c *cluster) startFollowerAs(name string, configure func(f *feed.Follower)) *feed.Follower {
 	identity := vm.NewIdentity(vm.ID(name), 1, "north", "hall-"+name, name+":1")
 	e := link.NewEndpoint(link.Config{
--- a/pkg/control/wire_generated.go
+++ b/pkg/control/wire_generated.go
@@ -16,10 +16,10 @@
 	return Configuration{document: document, raw: raw}
 }
 
-// Document is what the system obeys.
+// Document is the parsed configuration.
 func (c Configuration) Document() serviceconfig.Document { return c.document }
 
-// Raw is the operator's text, given back on a read.
+// Raw is the text that the operator sent; a read returns it.
 func (c Configuration) Raw() []byte { return c.raw }
 
 // EncodeMsgpack writes the fields in order, as one array.
@@ -58,7 +58,7 @@
 // Model is the model's name.
 func (m ModelVersion) Model() string { return m.model }
 
-// Version is the version; the highest holds.
+// Version is the version number; the highest one is in force.
 func (m ModelVersion) Version() uint64 { return m.version }
 
 // EncodeMsgpack writes the fields in order, as one array.
