--- a/soak/aim_test.go
+++ b/soak/aim_test.go
@@ -160,13 +160,13 @@
 
 // late is a request that began on a version after the time for the next was over.
 type late struct {
-	standin.Begun
+	standin.RunStart
 	after time.Duration
 }
 
 func (w *world) begunTooLate() []late {
 	var all []late
-	for _, b := range w.ledger.Begun() {
+	for _, b := range w.ledger.Started() {
 		next, named := w.named[b.Version+1]
 		if after := b.At.Sub(next); named && after > w.size.within {
 			all = append(all, late{b, after})
@@ -237,7 +237,7 @@
 )
 
 // follow counts a request in the course.
-func (r *row) follow(a standin.Answer) {
+func (r *row) follow(a standin.Result) {
 	if r.course == nil {
 		r.course = make([]share, courseSteps)
 	}
@@ -260,8 +260,8 @@
 const longestAnswer = 2 * time.Second
 
 // count counts the requests by when they were sent.
-func (r *row) count(answers []standin.Answer) {
-	within := func(a standin.Answer, from, to time.Time) bool { return !a.Sent.Before(from) && a.Sent.Before(to) }
+func (r *row) count(answers []standin.Result) {
+	within := func(a standin.Result, from, to time.Time) bool { return !a.Sent.Before(from) && a.Sent.Before(to) }
 	over := r.from.Add(-longestAnswer)
 	for _, a := range answers {
 		if within(a, over.Add(-window), over) {
@@ -271,7 +271,7 @@
 		if within(a, r.from.Add(-window), r.from) {
 			r.justBefore.add(a)
 		}
-		if within(a, over, r.from) && a.Sent.Add(a.Took).After(r.from) {
+		if within(a, over, r.from) && a.Sent.Add(a.Duration).After(r.from) {
 			r.underWay.add(a)
 		}
 		if within(a, r.from, r.to) {
@@ -283,14 +283,14 @@
 	}
 }
 
-func kindOf(a standin.Answer, streams, plain *share) *share {
-	if a.Ask.Kind == standin.Stream {
+func kindOf(a standin.Result, streams, plain *share) *share {
+	if a.Request.Kind == standin.Stream {
 		return streams
 	}
 	return plain
 }
 
-func (s *share) add(a standin.Answer) {
+func (s *share) add(a standin.Result) {
 	s.asked++
 	if a.InTime() {
 		s.inTime++
@@ -300,14 +300,14 @@
 // lateness counts the requests that were not answered in time, by why.
 type lateness struct{ refused, late, paused, lost int }
 
-func (l *lateness) add(a standin.Answer) {
+func (l *lateness) add(a standin.Result) {
 	switch {
 	case a.InTime():
-	case !a.Whole:
+	case !a.Complete:
 		l.lost++
-	case slices.ContainsFunc(a.Tries, func(t standin.Try) bool { return t.Refused != 0 }):
+	case slices.ContainsFunc(a.Attempts, func(t standin.Attempt) bool { return t.RefusalStatus != 0 }):
 		l.refused++
-	case a.First > standin.Objective:
+	case a.FirstEvent > standin.ResponseObjective:
 		l.late++
 	default:
 		l.paused++
--- a/soak/ends_servers_test.go
+++ b/soak/ends_servers_test.go
@@ -61,12 +61,12 @@
 func (r *endingRun) try(t *testing.T, gateway int) bool {
 	r.tries++
 	c := standin.Caller{Gateway: func(int) string { return r.world.at(gatewayVMs, gateway, callersPort) }}
-	a := c.Once(t.Context(), sized(standin.Ask{ID: fmt.Sprintf("ending-%d", r.tries), Kind: r.kind, Body: endingBody, Within: longWithin}), r.tries)
-	return strings.Contains(a.Tries[0].Why, keptAway)
+	a := c.DoOnce(t.Context(), sized(standin.Request{ID: fmt.Sprintf("ending-%d", r.tries), Kind: r.kind, Body: endingBody, Timeout: longWithin}), r.tries)
+	return strings.Contains(a.Attempts[0].Reason, keptAway)
 }
 
 // sized fills in the size of a request, which engines go by.
-func sized(a standin.Ask) standin.Ask {
+func sized(a standin.Request) standin.Request {
 	a.Prompt, a.Tokens, a.Stride = leastPrompt, leastTokens, figures.Stride
 	return a
 }
@@ -80,11 +80,11 @@
 			c := standin.Caller{Gateway: func(try int) string {
 				return r.world.at(gatewayVMs, (first+try)%r.world.size.gateways, callersPort)
 			}}
-			ask := sized(standin.Ask{ID: fmt.Sprintf("%s-%d-%d", name, random.Uint32(), n), Kind: kind, Body: body, Within: within})
+			ask := sized(standin.Request{ID: fmt.Sprintf("%s-%d-%d", name, random.Uint32(), n), Kind: kind, Body: body, Timeout: within})
 			a := c.Do(context.WithoutCancel(ctx), ask)
 			r.mu.Lock()
 			r.done[name]++
-			if a.Whole && a.Wrong == "" {
+			if a.Complete && a.Mismatch == "" {
 				r.whole[name]++
 			}
 			r.mu.Unlock()
@@ -95,7 +95,7 @@
 // ends is how many servers the request ended.
 func (w *world) ends() (count int) {
 	for _, s := range w.ending {
-		count += len(s.EndedBy())
+		count += len(s.CrashedBy())
 	}
 	return count
 }
@@ -104,7 +104,7 @@
 func (w *world) failRack(domain int) {
 	for i, s := range w.ending {
 		if i%zones == domain {
-			s.End()
+			s.Crash()
 		}
 	}
 }
@@ -155,7 +155,7 @@
 	w.t.Helper()
 	const look = 20 * time.Millisecond
 	for _, s := range w.ending {
-		for s.Served() != standin.FirstVersion {
+		for s.ServedVersion() != standin.FirstVersion {
 			select {
 			case <-w.t.Context().Done():
 				w.t.Fatal("an engine that started again serves nothing")
--- a/soak/ends_size_test.go
+++ b/soak/ends_size_test.go
@@ -54,7 +54,7 @@
 }
 
 // send sends requests of a name at a rate until the context ends.
-func (l *openLoad) send(ctx context.Context, name string, perSecond float64, a standin.Ask, random *rand.Rand) {
+func (l *openLoad) send(ctx context.Context, name string, perSecond float64, a standin.Request, random *rand.Rand) {
 	l.under.Go(func() {
 		ticker := time.NewTicker(time.Duration(float64(time.Second) / perSecond))
 		defer ticker.Stop()
@@ -67,19 +67,19 @@
 	})
 }
 
-func (l *openLoad) ask(name string, a standin.Ask, first int) {
+func (l *openLoad) ask(name string, a standin.Request, first int) {
 	c := standin.Caller{Gateway: func(try int) string {
 		return l.world.at(gatewayVMs, (first+try)%l.world.size.gateways, callersPort)
 	}}
 	do := c.Do
 	if name == "ending" {
-		do = func(ctx context.Context, a standin.Ask) standin.Answer { return c.Once(ctx, a, 0) }
+		do = func(ctx context.Context, a standin.Request) standin.Result { return c.DoOnce(ctx, a, 0) }
 	}
 	answer := do(context.Background(), a)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.sent[name]++
-	if answer.Whole && answer.Wrong == "" {
+	if answer.Complete && answer.Mismatch == "" {
 		l.whole[name]++
 	}
 }
@@ -96,16 +96,16 @@
 	random := rand.New(rand.NewPCG(seed(t), 1))
 	draws := func() *rand.Rand { return rand.New(rand.NewPCG(random.Uint64(), 1)) }
 	const within = 6 * time.Second
-	l.send(ctx, "safe", safePerSecond, standin.Ask{Kind: standin.Safe, Within: within}, draws())
-	l.send(ctx, "once", oncePerSecond, standin.Ask{Kind: standin.Unsafe, Within: within}, draws())
-	l.send(ctx, "popular", popularPerSecond, standin.Ask{Kind: standin.Safe, Within: within, Body: popularBody}, draws())
+	l.send(ctx, "safe", safePerSecond, standin.Request{Kind: standin.Safe, Timeout: within}, draws())
+	l.send(ctx, "once", oncePerSecond, standin.Request{Kind: standin.Unsafe, Timeout: within}, draws())
+	l.send(ctx, "popular", popularPerSecond, standin.Request{Kind: standin.Safe, Timeout: within, Body: popularBody}, draws())
 	s := &series{world: w, random: draws(), done: map[string]int{}}
 	kind := standin.Safe
 	if os.Getenv("TIDEPOST_KIND") == string(standin.Unsafe) {
 		kind = standin.Unsafe
 	}
 	if os.Getenv("TIDEPOST_ENDING") != "0" {
-		l.send(ctx, "ending", endingPerSecond, standin.Ask{Kind: kind, Within: within, Body: endingBody}, draws())
+		l.send(ctx, "ending", endingPerSecond, standin.Request{Kind: kind, Timeout: within, Body: endingBody}, draws())
 	}
 	if os.Getenv("TIDEPOST_RACKS") == "1" {
 		l.under.Go(func() { failRacks(ctx, w, draws()) })
@@ -168,7 +168,7 @@
 func (l *openLoad) judge(t *testing.T, kind standin.Kind) {
 	var ends []time.Time
 	for _, s := range l.world.ending {
-		for _, b := range s.EndedBy() {
+		for _, b := range s.CrashedBy() {
 			ends = append(ends, b.At)
 		}
 	}
--- a/soak/final_test.go
+++ b/soak/final_test.go
@@ -47,7 +47,7 @@
 	for round := range int(number(t, "TIDEPOST_ROUNDS", 14)) {
 		for range 1 + random.IntN(changes) {
 			acknowledged++
-			w.must(w.operator.Reconfigure(t.Context(), figures, standin.Change{Number: acknowledged, More: random.IntN(mostMore)}))
+			w.must(w.operator.Reconfigure(t.Context(), figures, standin.ConfigurationChange{Version: acknowledged, ExtraRoutes: random.IntN(mostMore)}))
 		}
 		all := random.IntN(3) > 0
 		lost := random.Perm(controlNodes)[:1+random.IntN(lostDisks)]
@@ -96,7 +96,7 @@
 	began := time.Now()
 	for _, node := range w.controlCalls() {
 		for {
-			held, err := w.operator.Held(ctx, node)
+			held, err := w.operator.ConfigurationVersion(ctx, node)
 			if err == nil && held == acknowledged {
 				break
 			}
--- a/soak/kept_test.go
+++ b/soak/kept_test.go
@@ -36,7 +36,7 @@
 
 	under sync.WaitGroup
 	mu    sync.Mutex
-	ended []standin.KeptRequest
+	ended []standin.KeepAliveRequest
 }
 
 // run has callers send requests until the context ends, and waits for the last ones.
@@ -47,18 +47,18 @@
 			if n >= l.streams {
 				draw, kind = drawPlain, "p"
 			}
-			drawBounded := func(r *rand.Rand) standin.Ask {
+			drawBounded := func(r *rand.Rand) standin.Request {
 				a := draw(r)
 				if l.within > 0 {
-					a.Within = l.within
+					a.Timeout = l.within
 				}
 				return a
 			}
-			c := &standin.KeptCaller{
-				Name:    fmt.Sprintf("%s%d.%d", kind, gateway+1, n),
-				Gateway: l.world.at(gatewayVMs, gateway, callersPort),
-				Draw:    drawBounded, Pause: l.pause, Ended: l.note,
-				Random: rand.New(rand.NewPCG(seed, uint64(gateway*1000+n))),
+			c := &standin.KeepAliveCaller{
+				Name:        fmt.Sprintf("%s%d.%d", kind, gateway+1, n),
+				Gateway:     l.world.at(gatewayVMs, gateway, callersPort),
+				NextRequest: drawBounded, MaxPause: l.pause, OnEnd: l.note,
+				Rand: rand.New(rand.NewPCG(seed, uint64(gateway*1000+n))),
 			}
 			l.under.Go(func() { c.Run(ctx) })
 		}
@@ -66,7 +66,7 @@
 	l.under.Wait()
 }
 
-func (l *keptLoad) note(k standin.KeptRequest) {
+func (l *keptLoad) note(k standin.KeepAliveRequest) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.ended = append(l.ended, k)
@@ -77,14 +77,14 @@
 
 func (b bounds) draw(r *rand.Rand) int { return b.least + r.IntN(b.most-b.least+1) }
 
-func (l *keptLoad) drawStream(r *rand.Rand) standin.Ask {
+func (l *keptLoad) drawStream(r *rand.Rand) standin.Request {
 	prompt := cmp.Or(l.prompt, bounds{leastPrompt, mostPrompt})
 	tokens := cmp.Or(l.tokens, bounds{leastTokens, mostTokens})
-	return standin.Ask{Kind: standin.Stream, Stride: figures.Stride, Within: streamWithin, Prompt: prompt.draw(r), Tokens: tokens.draw(r)}
+	return standin.Request{Kind: standin.Stream, Stride: figures.Stride, Timeout: streamWithin, Prompt: prompt.draw(r), Tokens: tokens.draw(r)}
 }
 
-func drawPlain(r *rand.Rand) standin.Ask {
-	a := standin.Ask{Kind: standin.Safe, Within: plainWithin}
+func drawPlain(r *rand.Rand) standin.Request {
+	a := standin.Request{Kind: standin.Safe, Timeout: plainWithin}
 	if r.IntN(2) == 0 {
 		a.Kind = standin.Unsafe
 	}
--- a/soak/limits_series_test.go
+++ b/soak/limits_series_test.go
@@ -110,7 +110,7 @@
 // sayWords has each server say one thing after the other.
 func (s *series) sayWords(ctx context.Context, some []inNeed) {
 	for _, one := range some {
-		s.loop(ctx, "word", limitPause, func(r *rand.Rand) { one.need.Say(words[r.IntN(len(words))]) })
+		s.loop(ctx, "word", limitPause, func(r *rand.Rand) { one.need.Announce(words[r.IntN(len(words))]) })
 	}
 }
 
@@ -118,12 +118,12 @@
 func (s *series) sayOnce(ctx context.Context, some []inNeed, text string) {
 	deadline, _ := ctx.Deadline()
 	for _, one := range some {
-		one.need.Say(text)
+		one.need.Announce(text)
 		s.under.Go(func() {
 			select {
 			case <-ctx.Done():
 			case <-time.After(time.Until(deadline) * 4 / 5):
-				one.need.Say("")
+				one.need.Announce("")
 			}
 		})
 	}
@@ -155,9 +155,9 @@
 		t.Errorf("%.2f of the limits was used; %.2f is the aim", share, leastUsed)
 	}
 	for _, k := range v.wrong {
-		t.Errorf("%s: %s", k.ID, k.Why)
+		t.Errorf("%s: %s", k.ID, k.Reason)
 	}
-	if n := v.ends[standin.Silent]; n > 0 {
+	if n := v.ends[standin.TimedOut]; n > 0 {
 		t.Errorf("%d requests had no answer at all", n)
 	}
 }
--- a/soak/limits_test.go
+++ b/soak/limits_test.go
@@ -37,7 +37,7 @@
 	some := []inNeed{w.engineInNeed(0), w.engineInNeed(1), w.plainInNeed(0)}
 	for _, words := range [][]string{{"1.5", "1", "3"}, {"1", "0", "1"}, {"many", "-1", "1e400"}, {"", "", ""}} {
 		for i, s := range some {
-			s.need.Say(words[i])
+			s.need.Announce(words[i])
 		}
 		time.Sleep(limitWindow + toldFor)
 	}
@@ -51,16 +51,16 @@
 		for _, line := range lines {
 			t.Error(line)
 		}
-		said := s.need.Sayings()
+		said := s.need.Announcements()
 		if n := between(s.need, said[0].From.Add(useFrom), said[2].From); n == 0 {
 			t.Errorf("%s got nothing while it named limits", s.name)
 		}
 	}
 	v := w.judge(l.ended, nil)
 	for _, k := range v.wrong {
-		t.Errorf("%s: %s", k.ID, k.Why)
+		t.Errorf("%s: %s", k.ID, k.Reason)
 	}
-	if v.ends[standin.Answered] == 0 {
+	if v.ends[standin.Succeeded] == 0 {
 		t.Error("nothing was answered")
 	}
 }
@@ -83,7 +83,7 @@
 }
 
 func (w *world) engineInNeed(i int) inNeed {
-	return inNeed{w.engines[i].Instance, &w.engines[i].Need}
+	return inNeed{w.engines[i].Instance, &w.engines[i].Limit}
 }
 
-func (w *world) plainInNeed(i int) inNeed { return inNeed{w.plain[i].Instance, &w.plain[i].Need} }
+func (w *world) plainInNeed(i int) inNeed { return inNeed{w.plain[i].Instance, &w.plain[i].Limit} }
--- a/soak/limits_verdict_test.go
+++ b/soak/limits_verdict_test.go
@@ -33,7 +33,7 @@
 // inNeed is a backend server that may name a limit.
 type inNeed struct {
 	name string
-	need *standin.Need
+	need *standin.LimitAnnouncer
 }
 
 // period is a time in which a backend server named one limit.
@@ -44,8 +44,8 @@
 }
 
 // periodsOf returns when limits were named that can be read.
-func periodsOf(n *standin.Need) (all []period) {
-	sayings := n.Sayings()
+func periodsOf(n *standin.LimitAnnouncer) (all []period) {
+	sayings := n.Announcements()
 	for i, s := range sayings {
 		to := time.Now()
 		if i+1 < len(sayings) {
@@ -88,9 +88,9 @@
 
 // counted returns the arrivals that the rule counts: from gateways that had been told for
 // toldFor, in the process that they are now, that the limit is named.
-func (w *world) counted(s inNeed, all []period) (counted []standin.Arrival) {
+func (w *world) counted(s inNeed, all []period) (counted []standin.RequestTime) {
 	told := map[string][]time.Time{}
-	for _, a := range s.need.Told() {
+	for _, a := range s.need.LimitedResponses() {
 		told[gatewayOf(a.ID)] = append(told[gatewayOf(a.ID)], a.At)
 	}
 	for _, a := range s.need.Arrivals() {
@@ -165,7 +165,7 @@
 }
 
 // between returns how many requests came to a backend server between two moments.
-func between(n *standin.Need, from, to time.Time) (count int) {
+func between(n *standin.LimitAnnouncer, from, to time.Time) (count int) {
 	for _, a := range n.Arrivals() {
 		if !a.At.Before(from) && a.At.Before(to) {
 			count++
--- a/soak/load_test.go
+++ b/soak/load_test.go
@@ -36,7 +36,7 @@
 	under   sync.WaitGroup
 	mu      sync.Mutex
 	asked   int
-	answers []standin.Answer
+	answers []standin.Result
 }
 
 func newLoad(w *world, seed uint64, within time.Duration) *load {
@@ -49,14 +49,14 @@
 
 // every is the time between two requests.
 func (l *load) every() time.Duration {
-	streams := loadShare * float64(l.world.size.engines) / figures.Turn().Seconds()
+	streams := loadShare * float64(l.world.size.engines) / figures.MeanSlotInterval().Seconds()
 	return time.Duration(float64(time.Second) * (1 - plainPart) / streams)
 }
 
 // draw draws the next request and the gateway of its first try.
-func (l *load) draw() (a standin.Ask, gateway int, kept bool) {
-	a = standin.Ask{
-		ID: fmt.Sprintf("r%d", l.asked), Kind: standin.Stream, Stride: figures.Stride, Within: l.within,
+func (l *load) draw() (a standin.Request, gateway int, kept bool) {
+	a = standin.Request{
+		ID: fmt.Sprintf("r%d", l.asked), Kind: standin.Stream, Stride: figures.Stride, Timeout: l.within,
 		Prompt: leastPrompt + l.random.IntN(mostPrompt-leastPrompt+1),
 		Tokens: leastTokens + l.random.IntN(mostTokens-leastTokens+1),
 	}
@@ -84,7 +84,7 @@
 	for range count {
 		a, gateway, kept := l.draw()
 		a.Kind = standin.Unsafe
-		over[standin.FirstTry(a.ID)] = l.begin(ctx, a, gateway, kept)
+		over[standin.FirstAttemptID(a.ID)] = l.begin(ctx, a, gateway, kept)
 	}
 	for id, ended := range over {
 		for l.world.ledger.Runs(id) == 0 && !isClosed(ended) {
@@ -103,13 +103,13 @@
 }
 
 // begin sends a request, and returns what is closed when it is over.
-func (l *load) begin(ctx context.Context, a standin.Ask, gateway int, kept bool) <-chan struct{} {
+func (l *load) begin(ctx context.Context, a standin.Request, gateway int, kept bool) <-chan struct{} {
 	over := make(chan struct{})
 	c := standin.Caller{Gateway: func(try int) string {
 		return l.world.at(gatewayVMs, (gateway+try)%l.world.size.gateways, callersPort)
 	}}
 	if kept {
-		c.Kept = l.kept[gateway]
+		c.KeepAliveClient = l.kept[gateway]
 	}
 	l.under.Go(func() {
 		defer close(over)
@@ -135,8 +135,8 @@
 }
 
 // all returns what became of the requests that are over.
-func (l *load) all() []standin.Answer {
+func (l *load) all() []standin.Result {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return append([]standin.Answer(nil), l.answers...)
+	return append([]standin.Result(nil), l.answers...)
 }
--- a/soak/lost_test.go
+++ b/soak/lost_test.go
@@ -112,7 +112,7 @@
 		t.Errorf("planned stops cut %d requests that they may not", n)
 	}
 	for _, k := range v.wrong {
-		t.Errorf("%s: %s", k.ID, k.Why)
+		t.Errorf("%s: %s", k.ID, k.Reason)
 	}
 }
 
--- a/soak/series_test.go
+++ b/soak/series_test.go
@@ -148,7 +148,7 @@
 	next := uint64(1)
 	s.loop(ctx, "change", changePause, func(r *rand.Rand) {
 		next++
-		c := standin.Change{Number: next, More: r.IntN(mostMore)}
+		c := standin.ConfigurationChange{Version: next, ExtraRoutes: r.IntN(mostMore)}
 		if err := s.world.operator.Reconfigure(context.WithoutCancel(ctx), figures, c); err != nil {
 			s.world.t.Error(err)
 		}
--- a/soak/silence_test.go
+++ b/soak/silence_test.go
@@ -75,7 +75,7 @@
 // it.
 func (w *world) awaitServed(version uint64) {
 	for _, e := range w.engines {
-		for e.Served() != version {
+		for e.ServedVersion() != version {
 			time.Sleep(10 * time.Millisecond)
 		}
 	}
@@ -83,31 +83,31 @@
 
 // checkPromises checks what every caller was promised. Each is served, but for the
 // requests that may have run and must not run again.
-func checkPromises(t *testing.T, w *world, answers []standin.Answer) {
+func checkPromises(t *testing.T, w *world, answers []standin.Result) {
 	t.Helper()
 	if len(answers) == 0 {
 		t.Fatal("nothing was asked")
 	}
 	for _, a := range answers {
-		if a.Wrong != "" {
-			t.Errorf("%s: %s", a.Ask.ID, a.Wrong)
+		if a.Mismatch != "" {
+			t.Errorf("%s: %s", a.Request.ID, a.Mismatch)
 		}
-		if !a.Whole && !a.Unknown {
-			t.Errorf("%s (%s) was not served: %+v", a.Ask.ID, a.Ask.Kind, a.Tries)
+		if !a.Complete && !a.OutcomeUnknown {
+			t.Errorf("%s (%s) was not served: %+v", a.Request.ID, a.Request.Kind, a.Attempts)
 		}
 		runs := 0
-		for _, try := range a.Tries {
+		for _, try := range a.Attempts {
 			n := w.ledger.Runs(try.ID)
 			runs += n
-			if try.Refused != 0 && n > 0 {
-				t.Errorf("%s was refused with %d and ran %d times", try.ID, try.Refused, n)
+			if try.RefusalStatus != 0 && n > 0 {
+				t.Errorf("%s was refused with %d and ran %d times", try.ID, try.RefusalStatus, n)
 			}
 		}
-		if a.Ask.Kind == standin.Unsafe && runs > 1 {
-			t.Errorf("%s may run once and ran %d times: %+v", a.Ask.ID, runs, a.Tries)
+		if a.Request.Kind == standin.Unsafe && runs > 1 {
+			t.Errorf("%s may run once and ran %d times: %+v", a.Request.ID, runs, a.Attempts)
 		}
-		if a.Whole && runs == 0 {
-			t.Errorf("%s was answered and never ran", a.Ask.ID)
+		if a.Complete && runs == 0 {
+			t.Errorf("%s was answered and never ran", a.Request.ID)
 		}
 	}
 }
--- a/soak/stop_of_all_test.go
+++ b/soak/stop_of_all_test.go
@@ -84,7 +84,7 @@
 	for _, name := range w.programs.names() {
 		w.programs.signal(name, syscall.SIGHUP)
 	}
-	w.must(w.operator.Reconfigure(t.Context(), figures, standin.Change{Number: 2, More: mostMoreInCI}))
+	w.must(w.operator.Reconfigure(t.Context(), figures, standin.ConfigurationChange{Version: 2, ExtraRoutes: mostMoreInCI}))
 	w.name(t.Context(), standin.FirstVersion+1)
 	for i := range w.size.gateways {
 		w.programs.signal(nameOf("gateway", i), syscall.SIGTERM)
@@ -103,7 +103,7 @@
 // slowEngines has all engines take so many times as long as their figures say.
 func (w *world) slowEngines(pace float64) {
 	for _, e := range w.engines {
-		e.Slow(pace)
+		e.SetSlowdown(pace)
 	}
 }
 
@@ -120,6 +120,6 @@
 		}
 	}
 	for _, k := range v.wrong {
-		t.Errorf("%s: %s", k.ID, k.Why)
+		t.Errorf("%s: %s", k.ID, k.Reason)
 	}
 }
--- a/soak/stop_test.go
+++ b/soak/stop_test.go
@@ -26,7 +26,7 @@
 
 // keptCallers runs callers that keep their connections to all gateways until the
 // function that it returns is called, which waits for the last answers.
-func (w *world) keptCallers(t *testing.T) (end func() []standin.KeptRequest) {
+func (w *world) keptCallers(t *testing.T) (end func() []standin.KeepAliveRequest) {
 	ctx, cancel := context.WithCancel(t.Context())
 	l := &keptLoad{world: w, streams: 3, plain: 3, pause: 20 * time.Millisecond, within: longWithin}
 	over := make(chan struct{})
@@ -34,7 +34,7 @@
 		defer close(over)
 		l.run(ctx, seed(t))
 	}()
-	return func() []standin.KeptRequest {
+	return func() []standin.KeepAliveRequest {
 		cancel()
 		<-over
 		return l.ended
@@ -60,7 +60,7 @@
 	for i := range w.size.gateways {
 		name := nameOf("gateway", i)
 		hangUp()
-		w.must(w.operator.Reconfigure(t.Context(), figures, standin.Change{Number: uint64(i + 2), More: mostMoreInCI}))
+		w.must(w.operator.Reconfigure(t.Context(), figures, standin.ConfigurationChange{Version: uint64(i + 2), ExtraRoutes: mostMoreInCI}))
 		w.programs.stop(name, syscall.SIGTERM)
 		w.programs.again(name)
 		w.awaitServing(i)
@@ -73,10 +73,10 @@
 const mostMoreInCI = 200
 
 // checkAnswered checks that whatever ran at a server was answered, and truly.
-func checkAnswered(t *testing.T, w *world, ended []standin.KeptRequest) {
+func checkAnswered(t *testing.T, w *world, ended []standin.KeepAliveRequest) {
 	t.Helper()
 	v := w.judge(ended, nil)
-	if v.ends[standin.Answered] == 0 {
+	if v.ends[standin.Succeeded] == 0 {
 		t.Fatal("nothing was answered")
 	}
 	for _, c := range v.cuts {
@@ -85,19 +85,19 @@
 		}
 	}
 	for _, k := range v.wrong {
-		t.Errorf("%s: %s", k.ID, k.Why)
+		t.Errorf("%s: %s", k.ID, k.Reason)
 	}
 }
 
 // askPaused sends one request over a connection of its own, has the gateway stand still
 // once the request has run for a while, and returns what became of it.
-func (w *world) askPaused(t *testing.T, a standin.Ask, ran, pause time.Duration) standin.KeptRequest {
-	ended := make(chan standin.KeptRequest, 1)
+func (w *world) askPaused(t *testing.T, a standin.Request, ran, pause time.Duration) standin.KeepAliveRequest {
+	ended := make(chan standin.KeepAliveRequest, 1)
 	ctx, cancel := context.WithCancel(t.Context())
-	c := &standin.KeptCaller{
-		Name: "paused", Gateway: w.at(gatewayVMs, 0, callersPort), Random: rand.New(rand.NewPCG(seed(t), 0)),
-		Draw: func(*rand.Rand) standin.Ask { return a },
-		Ended: func(k standin.KeptRequest) {
+	c := &standin.KeepAliveCaller{
+		Name: "paused", Gateway: w.at(gatewayVMs, 0, callersPort), Rand: rand.New(rand.NewPCG(seed(t), 0)),
+		NextRequest: func(*rand.Rand) standin.Request { return a },
+		OnEnd: func(k standin.KeepAliveRequest) {
 			ended <- k
 			cancel()
 		},
@@ -121,9 +121,9 @@
 // on. Its caller still waits, and is answered.
 func TestAnswerAfterAPauseIsWritten(t *testing.T) {
 	w := startWorld(t, small, logFolder(t))
-	k := w.askPaused(t, standin.Ask{Kind: standin.Unsafe, Within: plainWithin}, 0, 2*plainWithin)
-	if k.End != standin.Answered && k.End != standin.Refused {
-		t.Errorf("%s: %s, %s", k.ID, k.End, k.Why)
+	k := w.askPaused(t, standin.Request{Kind: standin.Unsafe, Timeout: plainWithin}, 0, 2*plainWithin)
+	if k.Outcome != standin.Succeeded && k.Outcome != standin.Refused {
+		t.Errorf("%s: %s, %s", k.ID, k.Outcome, k.Reason)
 	}
 }
 
@@ -137,10 +137,10 @@
 		longStream = 300
 	)
 	w := startWorld(t, small, logFolder(t))
-	a := standin.Ask{Kind: standin.Stream, Within: longWithin, Stride: figures.Stride, Prompt: leastPrompt, Tokens: longStream}
+	a := standin.Request{Kind: standin.Stream, Timeout: longWithin, Stride: figures.Stride, Prompt: leastPrompt, Tokens: longStream}
 	k := w.askPaused(t, a, before, pause)
-	if k.End != standin.Answered || k.Why != "" {
-		t.Errorf("%s: %s, %s", k.ID, k.End, k.Why)
+	if k.Outcome != standin.Succeeded || k.Reason != "" {
+		t.Errorf("%s: %s, %s", k.ID, k.Outcome, k.Reason)
 	}
 	if n := w.ledger.Runs(pausedRequest); n != 1 {
 		t.Errorf("it ran %d times", n)
--- a/soak/verdict_test.go
+++ b/soak/verdict_test.go
@@ -39,13 +39,13 @@
 }
 
 // covers tells whether a request was under way within the span or soon after it.
-func (s span) covers(k standin.KeptRequest) bool {
+func (s span) covers(k standin.KeepAliveRequest) bool {
 	return s.gateway == k.Gateway && k.Ended.After(s.from) && k.Sent.Before(s.to.Add(time.Second))
 }
 
 // cut is a request over a kept connection that ended without a whole answer.
 type cut struct {
-	standin.KeptRequest
+	standin.KeepAliveRequest
 	ran  int   // how often it ran at a server
 	stop *span // the planned stop that it met; nil for none
 	// cutByPlan says that it counts as cut by planned work, and leftAlone that it counts as
@@ -56,41 +56,41 @@
 
 // verdict is what became of all requests.
 type verdict struct {
-	ends map[standin.End]int
+	ends map[standin.Outcome]int
 	cuts []cut
 	// wrong are answers that seemed whole and were not those of their requests.
-	wrong []standin.KeptRequest
+	wrong []standin.KeepAliveRequest
 	// interrupted counts the streams under way that guards of gateways ended, by reason.
 	interrupted map[string]int
 }
 
 // judge looks at all requests that are over, when the run is. It ends the programs first: a line
 // waits in their queues for some ms before it is written, and longer on a busy machine.
-func (w *world) judge(ended []standin.KeptRequest, stops []span) verdict {
+func (w *world) judge(ended []standin.KeepAliveRequest, stops []span) verdict {
 	w.programs.end()
-	v := verdict{ends: map[standin.End]int{}, interrupted: map[string]int{}}
+	v := verdict{ends: map[standin.Outcome]int{}, interrupted: map[string]int{}}
 	told := w.requestLines(func(why string) { v.interrupted[why]++ })
 	for _, k := range ended {
-		v.ends[k.End]++
-		if k.End == standin.Answered && k.Why != "" {
+		v.ends[k.Outcome]++
+		if k.Outcome == standin.Succeeded && k.Reason != "" {
 			v.wrong = append(v.wrong, k)
 		}
-		if k.End != standin.Unanswered && k.End != standin.Midway && k.End != standin.Silent {
+		if k.Outcome != standin.NoResponse && k.Outcome != standin.Truncated && k.Outcome != standin.TimedOut {
 			continue
 		}
-		c := cut{KeptRequest: k, ran: w.ledger.Runs(k.ID), told: told[k.ID]}
+		c := cut{KeepAliveRequest: k, ran: w.ledger.Runs(k.ID), told: told[k.ID]}
 		if i := slices.IndexFunc(stops, func(s span) bool { return s.covers(k) }); i >= 0 {
 			c.stop = &stops[i]
 		}
 		c.cutByPlan = c.stop != nil && !c.stopAllows()
-		c.leftAlone = k.Before > 0 && c.ran > 0 && k.End != standin.Midway && !c.isLate()
+		c.leftAlone = k.AnsweredBefore > 0 && c.ran > 0 && k.Outcome != standin.Truncated && !c.isLate()
 		v.cuts = append(v.cuts, c)
 	}
 	return v
 }
 
 // isLate tells whether the request ended at its deadline or later.
-func (c cut) isLate() bool { return !c.Ended.Before(c.Sent.Add(c.Within - nearDeadline)) }
+func (c cut) isLate() bool { return !c.Ended.Before(c.Sent.Add(c.Timeout - nearDeadline)) }
 
 // stopAllows tells whether a planned stop may cut the request: nobody has read it, its
 // time was over, or it was sent early enough and a server was at work on it until late.
@@ -134,7 +134,7 @@
 		at = fmt.Sprintf(", sent %+.2f s from the signal, gone at %.2f", c.Sent.Sub(c.stop.from).Seconds(), c.stop.to.Sub(c.stop.from).Seconds())
 	}
 	return fmt.Sprintf("%s %s (%s, %d before): %s after %.2f s, ran %d, reset %t, cut by plan %t, left alone %t%s; %s; log %q",
-		c.Ended.Format("05.000"), c.ID, c.Kind, c.Before, c.End, c.Ended.Sub(c.Sent).Seconds(), c.ran, c.Reset, c.cutByPlan, c.leftAlone, at, c.Why, c.told)
+		c.Ended.Format("05.000"), c.ID, c.Kind, c.AnsweredBefore, c.Outcome, c.Ended.Sub(c.Sent).Seconds(), c.ran, c.Reset, c.cutByPlan, c.leftAlone, at, c.Reason, c.told)
 }
 
 // namesTheCut tells whether a gateway's line of a request says who cut it.
--- a/soak/world_test.go
+++ b/soak/world_test.go
@@ -75,8 +75,8 @@
 }
 
 // figures are those of the engines.
-var figures = standin.Figures{
-	Slots: 12, Waiting: 6, Step: 9270 * time.Microsecond, PerSequence: 23 * time.Microsecond, Stride: 5,
+var figures = standin.EngineParams{
+	Slots: 12, QueueLimit: 6, Step: 9270 * time.Microsecond, PerSequence: 23 * time.Microsecond, Stride: 5,
 	ReadPerSecond: 20700, Prompt: 800, Answer: 80,
 }
 
@@ -99,12 +99,12 @@
 	net  int // the second number of addresses
 	// programs are the processes.
 	programs *programs
-	ledger   *standin.Ledger
+	ledger   *standin.RunLog
 	origin   *standin.Origin
 	// engines and plain servers are in the order of their addresses.
 	engines  []*standin.Engine
 	plain    []*standin.Server
-	ending   []*standin.EndingServer // plain ones first, then engines
+	ending   []*standin.CrashingServer // plain ones first, then engines
 	operator standin.Operator
 	// named are the versions named so far, with when that was acknowledged.
 	named map[uint64]time.Time
@@ -120,8 +120,8 @@
 	s.tolerate = max(s.tolerate, 1)
 	s.reserve = cmp.Or(s.reserve, usualReserve)
 	w := &world{
-		t: t, size: s, net: freeNet(t), ledger: standin.NewLedger(),
-		origin: &standin.Origin{Takes: chunkTakes}, named: map[uint64]time.Time{},
+		t: t, size: s, net: freeNet(t), ledger: standin.NewRunLog(),
+		origin: &standin.Origin{ChunkTime: chunkTakes}, named: map[uint64]time.Time{},
 		links: map[int][]*faultproxy.Proxy{}, servers: map[int][]*faultproxy.Proxy{},
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -132,7 +132,7 @@
 	w.startEnding(ctx)
 	w.programs = newPrograms(t, folder)
 	w.startPrograms()
-	w.operator = standin.Operator{Nodes: w.controlCalls(), Origin: w.at(plainVMs, 0, originPort)}
+	w.operator = standin.Operator{ControlNodes: w.controlCalls(), Origin: w.at(plainVMs, 0, originPort)}
 	w.must(w.operator.Configure(ctx, figures))
 	w.name(ctx, standin.FirstVersion)
 	for i := range s.gateways {
@@ -145,7 +145,7 @@
 func (w *world) name(ctx context.Context, version uint64) {
 	w.t.Helper()
 	w.origin.Publish(version)
-	w.must(w.operator.Name(ctx, version))
+	w.must(w.operator.SetWeightsVersion(ctx, version))
 	w.named[version] = time.Now()
 }
 
@@ -251,7 +251,7 @@
 		w.beat(ctx, e.Instance, standin.EngineService, engineVMs, i, e)
 	}
 	for i := range w.size.plain {
-		s := &standin.Server{Instance: fmt.Sprintf("p-%d", i+1), Takes: w.size.plainTakes, Ledger: w.ledger}
+		s := &standin.Server{Instance: fmt.Sprintf("p-%d", i+1), ServiceTime: w.size.plainTakes, RunLog: w.ledger}
 		w.plain = append(w.plain, s)
 		serve(s.Run, w.at(plainVMs, i, ownServer))
 		w.beat(ctx, s.Instance, standin.PlainService, plainVMs, i, nil)
@@ -268,14 +268,14 @@
 	}
 }
 
-func (w *world) startOneEnding(ctx context.Context, instance, service string, kind, index int, f *standin.Figures) {
-	s := &standin.EndingServer{
-		Beats: standin.Beats{
+func (w *world) startOneEnding(ctx context.Context, instance, service string, kind, index int, f *standin.EngineParams) {
+	s := &standin.CrashingServer{
+		Heartbeats: standin.Heartbeats{
 			Instance: instance, Service: service, Address: w.at(kind, index, ownServer),
-			Zone: zone(index), Slots: figures.Slots, Every: beatEvery, Nodes: w.controlCalls(),
+			Zone: zone(index), Slots: figures.Slots, Interval: beatEvery, ControlNodes: w.controlCalls(),
 		},
-		Takes: w.size.plainTakes, Ledger: w.ledger, Body: endingBody, After: endsAfter, Down: endedFor,
-		SameInstance: w.size.sameInstance, Figures: f,
+		ServiceTime: w.size.plainTakes, RunLog: w.ledger, CrashBody: endingBody, CrashDelay: endsAfter, Downtime: endedFor,
+		SameInstance: w.size.sameInstance, EngineParams: f,
 	}
 	w.ending = append(w.ending, s)
 	go func() {
@@ -286,9 +286,9 @@
 }
 
 func (w *world) beat(ctx context.Context, instance, service string, kind, index int, engine *standin.Engine) {
-	b := &standin.Beats{
+	b := &standin.Heartbeats{
 		Instance: instance, Service: service, Address: w.at(kind, index, serverPort), Zone: zone(index),
-		Slots: figures.Slots, Engine: engine, Every: beatEvery, Nodes: w.controlCalls(),
+		Slots: figures.Slots, Engine: engine, Interval: beatEvery, ControlNodes: w.controlCalls(),
 	}
 	go b.Run(ctx)
 }
