--- a/bench/burst_test.go
+++ b/bench/burst_test.go
@@ -31,61 +31,61 @@
 const (
 	// window is the time in which the origin's link carries originCopies and a
 	// VM's link vmCopies.
-	window       = 240 * time.Second
-	originCopies = 4.0
-	vmCopies     = 2.0
-	chunks       = 512
-	blocks       = 4
-	exchange     = 200 * time.Millisecond
-	haveDelay    = 50 * time.Millisecond
-	reportEvery  = time.Second
+	window           = 240 * time.Second
+	originCopies     = 4.0
+	vmCopies         = 2.0
+	chunks           = 512
+	blocksPerChunk   = 4
+	exchangeInterval = 200 * time.Millisecond
+	haveDelay        = 50 * time.Millisecond
+	reportInterval   = time.Second
 	// frameOverhead is what a message costs besides its body, in bytes.
 	frameOverhead = 17 + 12
-	// giveUp bounds a burst that does not end.
-	giveUp = 20 * window
+	// maxDuration bounds a burst that does not end.
+	maxDuration = 20 * window
 )
 
 // burst is one run.
 type burst struct {
-	n        int
-	domains  int
-	together bool // a link's copies are both ways together
-	fault    string
-	draws    int
-	fetches  int
-	uploads  int
-	seed     uint64
-
-	mu       sync.Mutex
-	origin   *pacedLink
-	vms      []*burstVM
-	coords   []*burstCoordinator
-	drawn    int
-	crossed  int
-	control  int64
-	lastDone time.Time
-	pending  int
-	done     chan struct{}
-	began    time.Time
-	random   *rand.Rand
+	n          int
+	domains    int
+	halfDuplex bool // a link's copies are both ways together
+	fault      string
+	draws      int
+	fetches    int
+	uploads    int
+	seed       uint64
+
+	mu                sync.Mutex
+	origin            *pacedLink
+	vms               []*burstVM
+	coordinators      []*burstCoordinator
+	originChunks      int
+	crossDomainChunks int
+	controlBytes      int64
+	lastDone          time.Time
+	pending           int
+	done              chan struct{}
+	startedAt         time.Time
+	random            *rand.Rand
 }
 
 // pacedLink passes one block after another.
 type pacedLink struct {
-	mu   sync.Mutex
-	per  time.Duration // for one block
-	free time.Time
+	mu        sync.Mutex
+	blockTime time.Duration // for one block
+	freeAt    time.Time
 }
 
-// pass returns when a block is through.
-func (l *pacedLink) pass(earliest time.Time) time.Time {
+// transmit returns when a block is through.
+func (l *pacedLink) transmit(earliest time.Time) time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.free.Before(earliest) {
-		l.free = earliest
+	if l.freeAt.Before(earliest) {
+		l.freeAt = earliest
 	}
-	l.free = l.free.Add(l.per)
-	return l.free
+	l.freeAt = l.freeAt.Add(l.blockTime)
+	return l.freeAt
 }
 
 // burstVM is one VM with its swarm.
@@ -96,15 +96,15 @@
 	up, down *pacedLink
 	stalled  bool
 
-	mu      sync.Mutex
-	swarm   *spread.Swarm
-	dead    bool
-	whole   bool
-	watches map[vm.ID]bool // who listens to us
-	drawn   []uint32
-	told    map[vm.ID]bool // whom we listen to
-	asking  bool
-	again   bool
+	mu            sync.Mutex
+	swarm         *spread.Swarm
+	dead          bool
+	complete      bool
+	subscribers   map[vm.ID]bool // who listens to us
+	settledLeases []uint32
+	subscriptions map[vm.ID]bool // whom we listen to
+	reporting     bool
+	reportAgain   bool
 
 	uploading int
 }
@@ -118,13 +118,13 @@
 }
 
 func blockTime(copies float64) time.Duration {
-	return time.Duration(float64(window) / copies / chunks / blocks)
+	return time.Duration(float64(window) / copies / chunks / blocksPerChunk)
 }
 
-func newBurst(n, domains int, together bool, fault string, draws int, seed uint64) *burst {
+func newBurst(n, domains int, halfDuplex bool, fault string, draws int, seed uint64) *burst {
 	b := &burst{
-		n: n, domains: domains, together: together, fault: fault, draws: draws, seed: seed,
-		origin: &pacedLink{per: blockTime(originCopies)}, pending: n, uploads: 12,
+		n: n, domains: domains, halfDuplex: halfDuplex, fault: fault, draws: draws, seed: seed,
+		origin: &pacedLink{blockTime: blockTime(originCopies)}, pending: n, uploads: 12,
 		random: rand.New(rand.NewPCG(seed, 9)),
 	}
 	return b
@@ -133,22 +133,22 @@
 var digest = contract.DigestOf([]byte("burst"))
 
 func (b *burst) run() {
-	b.began = time.Now()
+	b.startedAt = time.Now()
 	b.done = make(chan struct{})
 	for d := range b.domains {
-		b.coords = append(b.coords, &burstCoordinator{domain: d, coordinator: b.newCoordinator(d)})
+		b.coordinators = append(b.coordinators, &burstCoordinator{domain: d, coordinator: b.newCoordinator(d)})
 	}
 	for i := range b.n {
 		d := i % b.domains
 		v := &burstVM{
 			burst: b, domain: d,
-			identity: vm.NewIdentity(vm.ID(fmt.Sprintf("vm-%03d", i)), 1, "", domainName(d), fmt.Sprintf("10.0.%d.%d:7001", i/250, i%250)),
-			up:       &pacedLink{per: blockTime(vmCopies)},
-			watches:  map[vm.ID]bool{}, told: map[vm.ID]bool{},
+			identity:    vm.NewIdentity(vm.ID(fmt.Sprintf("vm-%03d", i)), 1, "", domainName(d), fmt.Sprintf("10.0.%d.%d:7001", i/250, i%250)),
+			up:          &pacedLink{blockTime: blockTime(vmCopies)},
+			subscribers: map[vm.ID]bool{}, subscriptions: map[vm.ID]bool{},
 			swarm: spread.NewSwarm(spread.SwarmConfig{Total: chunks, Fetches: b.fetches, Random: rand.New(rand.NewPCG(b.seed, uint64(i)))}, spread.NewBitmap(chunks)),
 		}
-		v.down = &pacedLink{per: blockTime(vmCopies)}
-		if b.together {
+		v.down = &pacedLink{blockTime: blockTime(vmCopies)}
+		if b.halfDuplex {
 			v.down = v.up
 		}
 		b.vms = append(b.vms, v)
@@ -160,7 +160,7 @@
 	go b.injectFault()
 	select {
 	case <-b.done:
-	case <-time.After(giveUp):
+	case <-time.After(maxDuration):
 	}
 	// Virtual time stops with this goroutine, so the others end first.
 	time.Sleep(window)
@@ -180,22 +180,22 @@
 	case <-b.done:
 		return true
 	default:
-		return time.Since(b.began) > giveUp
+		return time.Since(b.startedAt) > maxDuration
 	}
 }
 
-func (b *burst) count(v any) {
+func (b *burst) countControl(v any) {
 	raw, err := msgpack.Marshal(v)
 	if err != nil {
 		panic(err)
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.control += int64(len(raw) + frameOverhead)
+	b.controlBytes += int64(len(raw) + frameOverhead)
 }
 
-// leave notes that a VM is ready or gone.
-func (b *burst) leave(ready bool) {
+// vmFinished notes that a VM is ready or gone.
+func (b *burst) vmFinished(ready bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if ready {
@@ -207,7 +207,7 @@
 	}
 }
 
-func (b *burst) find(id vm.ID) *burstVM {
+func (b *burst) findVM(id vm.ID) *burstVM {
 	for _, v := range b.vms {
 		if v.identity.ID() == id {
 			return v
@@ -230,42 +230,42 @@
 			_ = f
 		}
 		v.mu.Unlock()
-		v.report()
-		time.Sleep(reportEvery)
+		v.requestReport()
+		time.Sleep(reportInterval)
 	}
 }
 
-// report asks the coordinator; one at a time, again if something happened.
-func (v *burstVM) report() {
+// requestReport asks the coordinator; one at a time, again if something happened.
+func (v *burstVM) requestReport() {
 	v.mu.Lock()
-	if v.asking {
-		v.again = true
+	if v.reporting {
+		v.reportAgain = true
 		v.mu.Unlock()
 		return
 	}
-	v.asking = true
+	v.reporting = true
 	v.mu.Unlock()
-	go v.ask()
+	go v.sendReports()
 }
 
-func (v *burstVM) ask() {
+func (v *burstVM) sendReports() {
 	for {
 		v.mu.Lock()
-		r := contract.NewSpreadReport(v.identity, digest, v.swarm.Held().Bytes(), v.drawn, !v.swarm.Done(), spread.NeighbourHash(v.swarm.Neighbours()))
-		v.drawn = nil
-		v.again = false
+		r := contract.NewSpreadReport(v.identity, digest, v.swarm.Held().Bytes(), v.settledLeases, !v.swarm.Done(), spread.NeighbourHash(v.swarm.Neighbours()))
+		v.settledLeases = nil
+		v.reportAgain = false
 		v.mu.Unlock()
 		time.Sleep(2 * time.Millisecond)
-		c := v.burst.coords[v.domain]
+		c := v.burst.coordinators[v.domain]
 		c.mu.Lock()
 		plan := c.coordinator.Report(r, time.Now())
 		c.mu.Unlock()
-		v.burst.count(r)
-		v.burst.count(plan)
-		v.take(plan)
+		v.burst.countControl(r)
+		v.burst.countControl(plan)
+		v.applyPlan(plan)
 		v.mu.Lock()
-		if !v.again {
-			v.asking = false
+		if !v.reportAgain {
+			v.reporting = false
 			v.mu.Unlock()
 			return
 		}
@@ -273,7 +273,7 @@
 	}
 }
 
-func (v *burstVM) take(plan contract.SpreadPlan) {
+func (v *burstVM) applyPlan(plan contract.SpreadPlan) {
 	v.mu.Lock()
 	if v.swarm.Done() || v.dead {
 		v.mu.Unlock()
@@ -283,20 +283,20 @@
 		v.swarm.SetNeighbours(plan.Peers())
 	}
 	identities := v.swarm.Neighbours()
-	named := map[vm.ID]bool{}
+	neighbours := map[vm.ID]bool{}
 	for _, i := range identities {
-		named[i.ID()] = true
+		neighbours[i.ID()] = true
 	}
-	for id := range v.told {
-		if !named[id] {
-			delete(v.told, id)
+	for id := range v.subscriptions {
+		if !neighbours[id] {
+			delete(v.subscriptions, id)
 		}
 	}
-	var fresh []vm.ID
+	var added []vm.ID
 	for _, i := range identities {
-		if !v.told[i.ID()] {
-			v.told[i.ID()] = true
-			fresh = append(fresh, i.ID())
+		if !v.subscriptions[i.ID()] {
+			v.subscriptions[i.ID()] = true
+			added = append(added, i.ID())
 		}
 	}
 	for _, chunk := range plan.OriginChunks() {
@@ -306,30 +306,30 @@
 		v.swarm.Lease(int(i.Index()), i.Holder())
 	}
 	v.mu.Unlock()
-	for _, id := range fresh {
+	for _, id := range added {
 		v.subscribe(id)
 	}
-	v.advance()
+	v.startFetches()
 }
 
 // subscribe listens to a neighbour: all it holds now, and what comes.
 func (v *burstVM) subscribe(id vm.ID) {
-	other := v.burst.find(id)
+	other := v.burst.findVM(id)
 	other.mu.Lock()
 	if other.dead {
 		other.mu.Unlock()
 		return
 	}
-	other.watches[v.identity.ID()] = true
+	other.subscribers[v.identity.ID()] = true
 	held := other.swarm.Held()
 	other.mu.Unlock()
-	v.burst.count(contract.NewHeldChunks(digest, held.Bytes(), nil))
+	v.burst.countControl(contract.NewHeldChunks(digest, held.Bytes(), nil))
 	v.mu.Lock()
 	v.swarm.PeerHasChunks(id, held)
 	v.mu.Unlock()
 }
 
-func (v *burstVM) advance() {
+func (v *burstVM) startFetches() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.dead || v.swarm.Done() {
@@ -341,35 +341,35 @@
 }
 
 func (v *burstVM) fetch(f spread.Fetch) {
-	var from *pacedLink
+	var upLink *pacedLink
 	var other *burstVM
 	if f.Peer.ID() == spread.Origin {
-		from = v.burst.origin
+		upLink = v.burst.origin
 	} else {
-		other = v.burst.find(f.Peer.ID())
-		from = other.up
+		other = v.burst.findVM(f.Peer.ID())
+		upLink = other.up
 	}
 	time.Sleep(3 * time.Millisecond)
-	if other != nil && !other.takeUpload() {
-		v.lost(f, failure.Overloaded)
+	if other != nil && !other.startUpload() {
+		v.fetchFailed(f, failure.Overloaded)
 		return
 	}
-	passed := v.transfer(from, other)
+	delivered := v.transfer(upLink, other)
 	if other != nil {
 		other.endUpload()
 	}
-	if !passed {
-		v.lost(f, failure.Unreachable)
+	if !delivered {
+		v.fetchFailed(f, failure.Unreachable)
 		return
 	}
-	if other != nil && v.burst.corrupts() {
-		v.lost(f, failure.CorruptChunk)
+	if other != nil && v.burst.corruptsChunk() {
+		v.fetchFailed(f, failure.CorruptChunk)
 		return
 	}
-	v.got(f, other)
+	v.fetchSucceeded(f, other)
 }
 
-func (v *burstVM) takeUpload() bool {
+func (v *burstVM) startUpload() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.uploading >= v.burst.uploads {
@@ -386,9 +386,9 @@
 }
 
 // transfer passes a chunk block by block over both links.
-func (v *burstVM) transfer(from *pacedLink, other *burstVM) bool {
-	for range blocks {
-		if v.gone() || other != nil && other.gone() || v.burst.cutBetween(v, other) {
+func (v *burstVM) transfer(upLink *pacedLink, other *burstVM) bool {
+	for range blocksPerChunk {
+		if v.isDead() || other != nil && other.isDead() || v.burst.cutBetween(v, other) {
 			return false
 		}
 		if other != nil && other.stalled {
@@ -397,19 +397,19 @@
 		}
 		// The second link is entered only when the first has passed the block:
 		// a place reserved ahead would leave a gap that nobody can use.
-		time.Sleep(time.Until(from.pass(time.Now())))
-		time.Sleep(time.Until(v.down.pass(time.Now().Add(-v.down.per))))
+		time.Sleep(time.Until(upLink.transmit(time.Now())))
+		time.Sleep(time.Until(v.down.transmit(time.Now().Add(-v.down.blockTime))))
 	}
 	return true
 }
 
-func (v *burstVM) gone() bool {
+func (v *burstVM) isDead() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.dead
 }
 
-func (v *burstVM) lost(f spread.Fetch, kind failure.Kind) {
+func (v *burstVM) fetchFailed(f spread.Fetch, kind failure.Kind) {
 	v.mu.Lock()
 	if v.dead {
 		v.mu.Unlock()
@@ -417,68 +417,68 @@
 	}
 	v.swarm.FetchFailed(f.Chunk, f.Peer.ID(), kind, time.Now())
 	if f.Peer.ID() == spread.Origin || f.Peer.Domain() != v.identity.Domain() {
-		v.drawn = append(v.drawn, uint32(f.Chunk))
+		v.settledLeases = append(v.settledLeases, uint32(f.Chunk))
 	}
 	v.mu.Unlock()
-	v.advance()
+	v.startFetches()
 }
 
-func (v *burstVM) got(f spread.Fetch, other *burstVM) {
+func (v *burstVM) fetchSucceeded(f spread.Fetch, other *burstVM) {
 	v.mu.Lock()
 	if v.dead {
 		v.mu.Unlock()
 		return
 	}
-	fresh := !v.swarm.Held().Has(f.Chunk)
+	isNew := !v.swarm.Held().Has(f.Chunk)
 	v.swarm.FetchSucceeded(f.Chunk, f.Peer.ID(), time.Now())
 	leased := other == nil || other.domain != v.domain
 	if leased {
-		v.drawn = append(v.drawn, uint32(f.Chunk))
+		v.settledLeases = append(v.settledLeases, uint32(f.Chunk))
 	}
-	finished := v.swarm.Done() && !v.whole
-	v.whole = v.swarm.Done()
-	var watchers []vm.ID
-	for id := range v.watches {
-		watchers = append(watchers, id)
+	finished := v.swarm.Done() && !v.complete
+	v.complete = v.swarm.Done()
+	var subscribers []vm.ID
+	for id := range v.subscribers {
+		subscribers = append(subscribers, id)
 	}
 	v.mu.Unlock()
-	sort.Slice(watchers, func(i, j int) bool { return watchers[i] < watchers[j] })
-	v.burst.note(other, v)
+	sort.Slice(subscribers, func(i, j int) bool { return subscribers[i] < subscribers[j] })
+	v.burst.countTransfer(other, v)
 	if leased {
-		v.report()
+		v.requestReport()
 	}
 	if finished {
-		v.burst.leave(true)
+		v.burst.vmFinished(true)
 	}
-	if fresh {
-		go v.announce(f.Chunk, watchers)
+	if isNew {
+		go v.announce(f.Chunk, subscribers)
 	}
-	v.advance()
+	v.startFetches()
 }
 
-func (b *burst) note(from, to *burstVM) {
+func (b *burst) countTransfer(from, to *burstVM) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if from == nil {
-		b.drawn++
+		b.originChunks++
 	} else if from.domain != to.domain {
-		b.crossed++
+		b.crossDomainChunks++
 	}
 }
 
-func (v *burstVM) announce(chunk int, watchers []vm.ID) {
+func (v *burstVM) announce(chunk int, subscribers []vm.ID) {
 	time.Sleep(haveDelay)
-	for _, id := range watchers {
-		other := v.burst.find(id)
+	for _, id := range subscribers {
+		other := v.burst.findVM(id)
 		other.mu.Lock()
-		idle := !other.dead && !other.swarm.Done()
-		if idle {
+		wanted := !other.dead && !other.swarm.Done()
+		if wanted {
 			other.swarm.PeerHasChunk(v.identity.ID(), chunk)
 		}
 		other.mu.Unlock()
-		if idle {
-			v.burst.count(contract.NewHeldChunks(digest, nil, []uint32{uint32(chunk)}))
-			other.advance()
+		if wanted {
+			v.burst.countControl(contract.NewHeldChunks(digest, nil, []uint32{uint32(chunk)}))
+			other.startFetches()
 		}
 	}
 }
@@ -486,12 +486,12 @@
 // exchangeLoop has the coordinators tell each other what their domains hold.
 func (b *burst) exchangeLoop() {
 	for !b.ended() {
-		for _, c := range b.coords {
+		for _, c := range b.coordinators {
 			c.mu.Lock()
 			s := c.coordinator.Sources(time.Now())
 			cut := c.cut
 			c.mu.Unlock()
-			for _, other := range b.coords {
+			for _, other := range b.coordinators {
 				if other == c {
 					continue
 				}
@@ -502,8 +502,8 @@
 				other.mu.Unlock()
 			}
 		}
-		if time.Since(b.began) < 5*time.Second {
-			time.Sleep(exchange)
+		if time.Since(b.startedAt) < 5*time.Second {
+			time.Sleep(exchangeInterval)
 		} else {
 			time.Sleep(time.Second)
 		}
@@ -513,7 +513,7 @@
 // ----------------------------------------------------------------
 // Faults
 
-func (b *burst) corrupts() bool {
+func (b *burst) corruptsChunk() bool {
 	if b.fault != "corrupt_1%" {
 		return false
 	}
@@ -527,7 +527,7 @@
 		return false
 	}
 	for _, d := range []int{v.domain, other.domain} {
-		c := b.coords[d]
+		c := b.coordinators[d]
 		c.mu.Lock()
 		cut := c.cut
 		c.mu.Unlock()
@@ -553,15 +553,15 @@
 		}
 	case "coordinator_killed":
 		time.Sleep(window / 4)
-		c := b.coords[0]
+		c := b.coordinators[0]
 		c.mu.Lock()
 		c.coordinator = b.newCoordinator(0)
 		c.mu.Unlock()
 	case "domain_cut":
 		time.Sleep(window / 4)
-		b.coords[0].mu.Lock()
-		b.coords[0].cut = true
-		b.coords[0].mu.Unlock()
+		b.coordinators[0].mu.Lock()
+		b.coordinators[0].cut = true
+		b.coordinators[0].mu.Unlock()
 	}
 }
 
@@ -572,8 +572,8 @@
 		return
 	}
 	v.dead = true
-	if !v.whole {
-		b.leave(false)
+	if !v.complete {
+		b.vmFinished(false)
 	}
 }
 
@@ -581,8 +581,8 @@
 // Bounds, baselines and the table
 
 // fluidBound is the least time that any plan needs, in windows.
-func fluidBound(n int, together bool) float64 {
-	if together {
+func fluidBound(n int, halfDuplex bool) float64 {
+	if halfDuplex {
 		return 2 * float64(n) / (2*float64(n) + 4)
 	}
 	return max(1/originCopies, 1/vmCopies, float64(n)/(originCopies+float64(n)*vmCopies))
@@ -590,63 +590,63 @@
 
 // binaryTree is the time of whole copies down a binary tree: each VM sends to
 // two others at once when it has all.
-func binaryTree(n int, together bool) float64 {
+func binaryTree(n int, halfDuplex bool) float64 {
 	perLevel := 2 / vmCopies
 	levels := 0
 	for reached := 1; reached < n; reached += 1 << levels {
 		levels++
 	}
 	first := 1 / vmCopies
-	_ = together
+	_ = halfDuplex
 	return first + float64(levels)*perLevel
 }
 
-func play(t *testing.T, b *burst) {
+func runInBubble(t *testing.T, b *burst) {
 	synctest.Test(t, func(*testing.T) { b.run() })
 }
 
 func (b *burst) print(policy string) {
-	took := b.lastDone.Sub(b.began).Seconds() / window.Seconds()
+	took := b.lastDone.Sub(b.startedAt).Seconds() / window.Seconds()
 	links := "each_way"
-	if b.together {
+	if b.halfDuplex {
 		links = "both_ways_together"
 	}
 	faults := ""
 	if b.fault != "" {
 		faults = " fault=" + b.fault
 	}
-	left := ""
+	notReady := ""
 	if b.pending > 0 {
-		left = fmt.Sprintf(" NOT_READY=%d", b.pending)
+		notReady = fmt.Sprintf(" NOT_READY=%d", b.pending)
 	}
 	fmt.Printf("burst n=%d links=%s policy=%s ratio=%.3f origin_copies=%.3f cross_domain_copies=%.2f control_bytes_per_vm=%.0f/s%s%s\n",
-		b.n, links, policy, took/fluidBound(b.n, b.together), float64(b.drawn)/chunks, float64(b.crossed)/chunks,
-		float64(b.control)/float64(b.n)/b.lastDone.Sub(b.began).Seconds(), faults, left)
+		b.n, links, policy, took/fluidBound(b.n, b.halfDuplex), float64(b.originChunks)/chunks, float64(b.crossDomainChunks)/chunks,
+		float64(b.controlBytes)/float64(b.n)/b.lastDone.Sub(b.startedAt).Seconds(), faults, notReady)
 }
 
-var sizes = []struct{ n, domains int }{{12, 3}, {100, 3}, {440, 16}}
+var burstSizes = []struct{ n, domains int }{{12, 3}, {100, 3}, {440, 16}}
 
-// faultSizes leaves the largest out, which takes minutes for each fault.
-var faultSizes = sizes[:2]
+// burstFaultSizes leaves the largest out, which takes minutes for each fault.
+var burstFaultSizes = burstSizes[:2]
 
 func TestBurst(t *testing.T) {
-	for _, s := range sizes {
-		for _, together := range []bool{false, true} {
-			b := newBurst(s.n, s.domains, together, "", spread.DefaultOriginFetches, 1)
-			play(t, b)
+	for _, s := range burstSizes {
+		for _, halfDuplex := range []bool{false, true} {
+			b := newBurst(s.n, s.domains, halfDuplex, "", spread.DefaultOriginFetches, 1)
+			runInBubble(t, b)
 			b.print("draw_once")
-			bound := fluidBound(s.n, together)
+			bound := fluidBound(s.n, halfDuplex)
 			fmt.Printf("baseline n=%d way=all_from_origin ratio=%.1f origin_copies=%d\n", s.n, float64(s.n)/originCopies/bound, s.n)
-			fmt.Printf("baseline n=%d way=binary_tree_of_whole_copies ratio=%.1f origin_copies=1\n", s.n, binaryTree(s.n, together)/bound)
+			fmt.Printf("baseline n=%d way=binary_tree_of_whole_copies ratio=%.1f origin_copies=1\n", s.n, binaryTree(s.n, halfDuplex)/bound)
 		}
 	}
 }
 
 func TestBurstFaults(t *testing.T) {
 	for _, fault := range []string{"withdraw_10%", "corrupt_1%", "coordinator_killed", "domain_cut", "stalled_5%"} {
-		for _, s := range faultSizes {
+		for _, s := range burstFaultSizes {
 			b := newBurst(s.n, s.domains, false, fault, spread.DefaultOriginFetches, 1)
-			play(t, b)
+			runInBubble(t, b)
 			b.print("default")
 		}
 	}
@@ -655,12 +655,12 @@
 // TestBurstDraws looks for a setting that buys time with origin bytes, or bytes
 // with time: how many chunks are drawn at one time, and fetched at one time.
 func TestBurstDraws(t *testing.T) {
-	for _, together := range []bool{false, true} {
+	for _, halfDuplex := range []bool{false, true} {
 		for _, draws := range []int{16, 32, 64} {
 			for _, fetches := range []int{6, 10, 16} {
-				b := newBurst(12, 3, together, "", draws, 1)
+				b := newBurst(12, 3, halfDuplex, "", draws, 1)
 				b.fetches = fetches
-				play(t, b)
+				runInBubble(t, b)
 				b.print(fmt.Sprintf("draws_%d_fetches_%d", draws, fetches))
 			}
 		}
@@ -672,7 +672,7 @@
 	for _, uploads := range []int{4, 8, 12, 24} {
 		b := newBurst(100, 3, false, "", spread.DefaultOriginFetches, 1)
 		b.uploads = uploads
-		play(t, b)
+		runInBubble(t, b)
 		b.print(fmt.Sprintf("uploads_%d", uploads))
 	}
 }
--- a/bench/capacity_test.go
+++ b/bench/capacity_test.go
@@ -37,7 +37,7 @@
 		list, nil, contract.NewLoad(12, 3, 0.5, 900, 64), false, 1<<30, 1<<34)
 }
 
-func encoded(v any) []byte {
+func encode(v any) []byte {
 	raw, err := msgpack.Marshal(v)
 	if err != nil {
 		panic(err)
@@ -48,11 +48,11 @@
 func TestCapacityHeartbeats(t *testing.T) {
 	var sizes []point
 	for _, copies := range []int{1, 2, 4} {
-		sizes = append(sizes, point{float64(copies), float64(len(encoded(heartbeatOf(1, 1, copies))) + frameOverhead)})
+		sizes = append(sizes, point{float64(copies), float64(len(encode(heartbeatOf(1, 1, copies))) + frameOverhead)})
 	}
-	fit("heartbeat_size", "copy", "B", sizes)
+	fitLine("heartbeat_size", "copy", "B", sizes)
 
-	var heap, heard, usable []point
+	var heap, received, candidates []point
 	for _, n := range []int{35, 138, 550, 2200} {
 		view := membership.NewView(6 * time.Second)
 		heap = append(heap, point{float64(n), float64(heapOf(func() any {
@@ -61,12 +61,12 @@
 			}
 			return view
 		})) / 1024})
-		raws := make([][]byte, n)
+		payloads := make([][]byte, n)
 		for i := range n {
-			raws[i] = encoded(heartbeatOf(i, 2, 1))
+			payloads[i] = encode(heartbeatOf(i, 2, 1))
 		}
-		heard = append(heard, point{float64(n), microseconds(perCall(func() {
-			for _, raw := range raws {
+		received = append(received, point{float64(n), microseconds(perCall(func() {
+			for _, raw := range payloads {
 				var b contract.Heartbeat
 				if err := msgpack.Unmarshal(raw, &b); err != nil {
 					panic(err)
@@ -74,11 +74,11 @@
 				view.RecordHeartbeat(b, time.Now())
 			}
 		}))})
-		usable = append(usable, point{float64(n), microseconds(perCall(func() { view.Usable(time.Now()) }))})
+		candidates = append(candidates, point{float64(n), microseconds(perCall(func() { view.Usable(time.Now()) }))})
 	}
-	fit("entry_heap", "agent", "KiB", heap)
-	fit("entry_round_of_heartbeats", "agent", "us", heard)
-	fit("entry_candidates_of_a_request", "agent", "us", usable)
+	fitLine("entry_heap", "agent", "KiB", heap)
+	fitLine("entry_round_of_heartbeats", "agent", "us", received)
+	fitLine("entry_candidates_of_a_request", "agent", "us", candidates)
 }
 
 func TestCapacityRouting(t *testing.T) {
@@ -91,10 +91,10 @@
 		}
 		points = append(points, point{float64(n), microseconds(perCall(func() { router.Pick(replicas, "3f2a91c0", time.Now()) }))})
 	}
-	fit("entry_choice_of_a_replica", "replica", "us", points)
+	fitLine("entry_choice_of_a_replica", "replica", "us", points)
 }
 
-func configuration(labels int) *configstate.State {
+func newConfiguration(labels int) *configstate.State {
 	s := configstate.NewState()
 	var objects []contract.Object
 	add := func(kind contract.ObjectKind, name string, body any) {
@@ -114,8 +114,8 @@
 func TestCapacityConfiguration(t *testing.T) {
 	var heap, change, size []point
 	for _, n := range []int{220, 1100, 2200, 4400} {
-		heap = append(heap, point{float64(n), float64(heapOf(func() any { return configuration(n) })) / 1024})
-		s := configuration(n)
+		heap = append(heap, point{float64(n), float64(heapOf(func() any { return newConfiguration(n) })) / 1024})
+		s := newConfiguration(n)
 		i := 0
 		change = append(change, point{float64(n), microseconds(perCall(func() {
 			i++
@@ -126,11 +126,11 @@
 			s.ApplyChange(contract.NewChange(fmt.Sprint("change-", i), "ann", s.Revision(), []contract.Object{o}, contract.Digest{}))
 		}))})
 		full, _ := s.Since(0)
-		size = append(size, point{float64(n), float64(len(encoded(full))) / 1024})
+		size = append(size, point{float64(n), float64(len(encode(full))) / 1024})
 	}
-	fit("config_heap", "object", "KiB", heap)
-	fit("config_one_change", "object", "us", change)
-	fit("config_full_copy", "object", "KiB", size)
+	fitLine("config_heap", "object", "KiB", heap)
+	fitLine("config_one_change", "object", "us", change)
+	fitLine("config_full_copy", "object", "KiB", size)
 }
 
 func TestCapacityCoordinator(t *testing.T) {
@@ -156,11 +156,11 @@
 			i++
 			plan = c.Report(contract.NewSpreadReport(identityOf(i%n), digest, held.Bytes(), nil, true, 0), now)
 		}))})
-		bytes = append(bytes, point{float64(n), float64(len(encoded(plan)) + frameOverhead)})
+		bytes = append(bytes, point{float64(n), float64(len(encode(plan)) + frameOverhead)})
 	}
-	fit("coordinator_heap", "agent", "KiB", heap)
-	fit("coordinator_one_report", "agent", "us", report)
-	fit("coordinator_one_plan", "agent", "B", bytes)
+	fitLine("coordinator_heap", "agent", "KiB", heap)
+	fitLine("coordinator_one_report", "agent", "us", report)
+	fitLine("coordinator_one_plan", "agent", "B", bytes)
 }
 
 func TestCapacitySwarm(t *testing.T) {
@@ -192,8 +192,8 @@
 			}
 		}))})
 	}
-	fit("agent_swarm_heap", "chunk", "KiB", heap)
-	fit("agent_round_of_choices", "chunk", "us", next)
+	fitLine("agent_swarm_heap", "chunk", "KiB", heap)
+	fitLine("agent_round_of_choices", "chunk", "us", next)
 }
 
 func TestCapacityClaims(t *testing.T) {
@@ -207,5 +207,5 @@
 			return table
 		})) / 1024})
 	}
-	fit("voter_heap", "claim", "KiB", heap)
+	fitLine("voter_heap", "claim", "KiB", heap)
 }
--- a/bench/control_test.go
+++ b/bench/control_test.go
@@ -45,13 +45,13 @@
 	}
 }
 
-func newLogCluster(t *testing.T, voters int, every uint64) (*logCluster, *controllog.Runner) {
+func newLogCluster(t *testing.T, voters int, snapshotEvery uint64) (*logCluster, *controllog.Runner) {
 	ctx, cancel := context.WithCancel(context.Background())
 	c := &logCluster{runners: map[controllog.MemberID]*controllog.Runner{}, cancel: cancel}
 	var first *controllog.Runner
 	for i := range voters {
 		self := controllog.NewMember(vm.ID(fmt.Sprint("entry-", i)), uint64(i+1), fmt.Sprint(i), false, "")
-		r := newRunner(t, filepath.Join(t.TempDir(), fmt.Sprint(i)), self, c.send, every)
+		r := newRunner(t, filepath.Join(t.TempDir(), fmt.Sprint(i)), self, c.send, snapshotEvery)
 		c.mu.Lock()
 		c.runners[self.MemberID()] = r
 		c.mu.Unlock()
@@ -81,7 +81,7 @@
 	return c, first
 }
 
-func newRunner(t *testing.T, path string, self controllog.Member, send func(controllog.MemberID, string, controllog.Message), every uint64) *controllog.Runner {
+func newRunner(t *testing.T, path string, self controllog.Member, send func(controllog.MemberID, string, controllog.Message), snapshotEvery uint64) *controllog.Runner {
 	folder, err := disk.NewFolder(path)
 	if err != nil {
 		t.Fatal(err)
@@ -89,7 +89,7 @@
 	t.Cleanup(func() { _ = folder.Close() })
 	r, err := controllog.NewRunner(controllog.RunnerConfig{
 		Self: self, Folder: folder, Machine: agreed.NewMachine(configstate.NewState()).StateMachine(), Send: send,
-		Record: func(event.Kind, string, string) {}, Logger: log.NewNopLogger(), SnapshotEvery: every,
+		Record: func(event.Kind, string, string) {}, Logger: log.NewNopLogger(), SnapshotEvery: snapshotEvery,
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -113,10 +113,10 @@
 	return raw
 }
 
-// rate proposes from several callers for a while and returns how many a second
+// proposalRate proposes from several callers for a while and returns how many a second
 // were accepted, and how long one took on average.
-func rate(r *controllog.Runner, callers int, make func(i int) []byte) (float64, time.Duration) {
-	const span = time.Second
+func proposalRate(r *controllog.Runner, callers int, newCommand func(i int) []byte) (float64, time.Duration) {
+	const duration = time.Second
 	var wait sync.WaitGroup
 	var mu sync.Mutex
 	accepted, i := 0, 0
@@ -125,12 +125,12 @@
 		wait.Add(1)
 		go func() {
 			defer wait.Done()
-			for time.Since(began) < span {
+			for time.Since(began) < duration {
 				mu.Lock()
 				i++
 				n := i
 				mu.Unlock()
-				if _, err := r.Propose(context.Background(), make(n)); err == nil {
+				if _, err := r.Propose(context.Background(), newCommand(n)); err == nil {
 					mu.Lock()
 					accepted++
 					mu.Unlock()
@@ -144,31 +144,31 @@
 }
 
 func TestControlRates(t *testing.T) {
-	base := 0.0
+	oneVoter := 0.0
 	for _, voters := range []int{1, 3, 5} {
 		_, leader := newLogCluster(t, voters, 0)
-		single, alone := rate(leader, 1, func(i int) []byte { return command(agreed.CommandChange, labelChange(i, 1<<40)) })
-		many, _ := rate(leader, 64, func(i int) []byte { return command(agreed.CommandChange, labelChange(1000000+i, 1<<40)) })
-		claims, _ := rate(leader, 64, func(i int) []byte {
+		single, latency := proposalRate(leader, 1, func(i int) []byte { return command(agreed.CommandChange, labelChange(i, 1<<40)) })
+		batched, _ := proposalRate(leader, 64, func(i int) []byte { return command(agreed.CommandChange, labelChange(1000000+i, 1<<40)) })
+		claims, _ := proposalRate(leader, 64, func(i int) []byte {
 			return command(agreed.CommandClaim, contract.NewClaim("larder", fmt.Sprint("order-", i), fmt.Sprint(i), digest, time.Now().Add(time.Hour).UnixNano()))
 		})
-		if base == 0 {
-			base = single
+		if oneVoter == 0 {
+			oneVoter = single
 		}
 		fmt.Printf("control voters=%d acceptance_ms=%.2f against_one_voter=%.2f batched_against_single=%.1f claims_against_changes=%.2f (changes/s single=%.0f batched=%.0f claims/s=%.0f)\n",
-			voters, float64(alone.Microseconds())/1000, single/base, many/single, claims/many, single, many, claims)
+			voters, float64(latency.Microseconds())/1000, single/oneVoter, batched/single, claims/batched, single, batched, claims)
 	}
 }
 
 func TestControlRestart(t *testing.T) {
 	for _, changes := range []int{1000, 10000} {
-		for _, every := range []uint64{controllog.DefaultSnapshotEvery, 1 << 40} {
+		for _, snapshotEvery := range []uint64{controllog.DefaultSnapshotEvery, 1 << 40} {
 			path := filepath.Join(t.TempDir(), "voter")
 			self := controllog.NewMember("entry-0", 1, "0", false, "")
-			fill(t, path, self, changes, every)
+			writeChanges(t, path, self, changes, snapshotEvery)
 			began := time.Now()
 			ctx, cancel := context.WithCancel(context.Background())
-			r := newRunner(t, path, self, func(controllog.MemberID, string, controllog.Message) {}, every)
+			r := newRunner(t, path, self, func(controllog.MemberID, string, controllog.Message) {}, snapshotEvery)
 			go func() { _ = r.Run(ctx) }()
 			for r.ConfirmedRead(ctx) != nil {
 				time.Sleep(time.Millisecond)
@@ -183,12 +183,12 @@
 					size += info.Size()
 				}
 			}
-			fmt.Printf("control restart changes=%d snapshots=%t seconds=%.3f folder_KiB=%d\n", changes, every < 1<<40, took.Seconds(), size/1024)
+			fmt.Printf("control restart changes=%d snapshots=%t seconds=%.3f folder_KiB=%d\n", changes, snapshotEvery < 1<<40, took.Seconds(), size/1024)
 		}
 	}
 }
 
-func fill(t *testing.T, path string, self controllog.Member, changes int, every uint64) {
+func writeChanges(t *testing.T, path string, self controllog.Member, changes int, snapshotEvery uint64) {
 	ctx, cancel := context.WithCancel(context.Background())
 	folder, err := disk.NewFolder(path)
 	if err != nil {
@@ -197,7 +197,7 @@
 	r, err := controllog.NewRunner(controllog.RunnerConfig{
 		Self: self, Folder: folder, Machine: agreed.NewMachine(configstate.NewState()).StateMachine(),
 		Send: func(controllog.MemberID, string, controllog.Message) {}, Record: func(event.Kind, string, string) {},
-		Logger: log.NewNopLogger(), SnapshotEvery: every,
+		Logger: log.NewNopLogger(), SnapshotEvery: snapshotEvery,
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -233,11 +233,11 @@
 		endpoint := func(name string) *link.Endpoint {
 			return link.NewEndpoint(link.Config{Own: vm.NewIdentity(vm.ID(name), 1, "", "", ""), Clock: clock, Logger: log.NewNopLogger()})
 		}
-		state := configuration(2200)
+		state := newConfiguration(2200)
 		distributor := configstate.NewDistributor(state, func() bool { return true })
 		server := endpoint("entry")
 		server.HandleTopic(link.KindSubscribe, bus.TopicConfig, distributor.Serve)
-		address := serveOn(t, ctx, server)
+		address := serveOnLoopback(t, ctx, server)
 		var followers []*configstate.State
 		for i := range n {
 			s := configstate.NewState()
@@ -246,14 +246,14 @@
 			go func() { _ = f.Run(ctx) }()
 			followers = append(followers, s)
 		}
-		await(followers, 1)
+		awaitRevision(followers, 1)
 		const rounds = 10
 		used, began := processorTime(), time.Now()
 		var total time.Duration
 		for i := range rounds {
 			at := time.Now()
 			result := state.ApplyChange(labelChange(i, state.Revision()))
-			await(followers, result.Revision())
+			awaitRevision(followers, result.Revision())
 			total += time.Since(at)
 		}
 		_ = began
@@ -264,7 +264,7 @@
 	}
 }
 
-func await(states []*configstate.State, revision uint64) {
+func awaitRevision(states []*configstate.State, revision uint64) {
 	for _, s := range states {
 		for s.Revision() < revision {
 			time.Sleep(200 * time.Microsecond)
--- a/bench/loopback_test.go
+++ b/bench/loopback_test.go
@@ -10,8 +10,8 @@
 	"github.com/tidepost/tidepost/pkg/link"
 )
 
-// serveOn serves an endpoint on a free port of loopback.
-func serveOn(t *testing.T, ctx context.Context, e *link.Endpoint) string {
+// serveOnLoopback serves an endpoint on a free port of loopback.
+func serveOnLoopback(t *testing.T, ctx context.Context, e *link.Endpoint) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/bench/measure_test.go
+++ b/bench/measure_test.go
@@ -27,15 +27,15 @@
 
 // perCall returns the processor time of one call, over at least a while.
 func perCall(f func()) time.Duration {
-	const enough = 100 * time.Millisecond
+	const minTime = 100 * time.Millisecond
 	calls := 0
-	began := processorTime()
+	usedBefore := processorTime()
 	for batch := 1; ; batch *= 2 {
 		for range batch {
 			f()
 		}
 		calls += batch
-		if used := processorTime() - began; used > enough {
+		if used := processorTime() - usedBefore; used > minTime {
 			return used / time.Duration(calls)
 		}
 	}
@@ -62,9 +62,9 @@
 // point is a value at a size.
 type point struct{ size, value float64 }
 
-// fit prints the values and the line through them: value = base + slope*size.
+// fitLine prints the values and the line through them: value = base + slope*size.
 // The error is the largest distance from the line, against the largest value.
-func fit(name, per, unit string, points []point) {
+func fitLine(name, per, unit string, points []point) {
 	n := float64(len(points))
 	var sx, sy, sxx, sxy float64
 	for _, p := range points {
@@ -74,18 +74,18 @@
 		sxy += p.size * p.value
 	}
 	slope := (n*sxy - sx*sy) / (n*sxx - sx*sx)
-	base := (sy - slope*sx) / n
-	worst, largest := 0.0, 0.0
+	intercept := (sy - slope*sx) / n
+	maxError, maxValue := 0.0, 0.0
 	for _, p := range points {
-		worst = math.Max(worst, math.Abs(base+slope*p.size-p.value))
-		largest = math.Max(largest, math.Abs(p.value))
+		maxError = math.Max(maxError, math.Abs(intercept+slope*p.size-p.value))
+		maxValue = math.Max(maxValue, math.Abs(p.value))
 	}
-	var at []string
+	var values []string
 	for _, p := range points {
-		at = append(at, fmt.Sprintf("%.0f:%.4g", p.size, p.value))
+		values = append(values, fmt.Sprintf("%.0f:%.4g", p.size, p.value))
 	}
 	fmt.Printf("capacity %s slope=%.4g%s/%s base=%.4g%s error=%.0f%% at=%s\n",
-		name, slope, unit, per, base, unit, 100*worst/largest, strings.Join(at, ","))
+		name, slope, unit, per, intercept, unit, 100*maxError/maxValue, strings.Join(values, ","))
 }
 
 func microseconds(d time.Duration) float64 { return float64(d.Nanoseconds()) / 1000 }
--- a/bench/path_test.go
+++ b/bench/path_test.go
@@ -43,13 +43,13 @@
 	return path
 }
 
-// pathWorld is one entry, one agent, one engine and an origin on loopback.
-type pathWorld struct {
-	t                        *testing.T
-	callers, entryAt, engine string
+// pathSetup is one entry, one agent, one engine and an origin on loopback.
+type pathSetup struct {
+	t                                       *testing.T
+	callersAddress, entryAddress, engineURL string
 }
 
-func newPathWorld(t *testing.T) *pathWorld {
+func newPathSetup(t *testing.T) *pathSetup {
 	model := fake.NewEngine(64)
 	model.Step = 0
 	engineServer := httptest.NewServer(model.Handler())
@@ -58,8 +58,8 @@
 	origin.Put("menu", "v7", 1<<20, 1)
 	originServer := httptest.NewServer(origin.Handler())
 	t.Cleanup(originServer.Close)
-	w := &pathWorld{t: t, callers: loopback.FreeAddress(t), entryAt: loopback.FreeAddress(t), engine: engineServer.URL}
-	agentAt := loopback.FreeAddress(t)
+	p := &pathSetup{t: t, callersAddress: loopback.FreeAddress(t), entryAddress: loopback.FreeAddress(t), engineURL: engineServer.URL}
+	agentAddress := loopback.FreeAddress(t)
 
 	es, err := settings.LoadEntry(writeSettings(t, fmt.Sprintf(`
 vm: {name: entry-1, region: r, failure_domain: d}
@@ -67,7 +67,7 @@
 peers: {listen: "%s"}
 callers: {listen: "%s"}
 control_log: {voter: true}
-`, t.TempDir(), w.entryAt, w.callers)))
+`, t.TempDir(), p.entryAddress, p.callersAddress)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -77,7 +77,7 @@
 peers: {listen: "%s", entries: ["%s"]}
 engine: {url: "%s", checks_fences: true}
 heartbeat: {interval: 100ms}
-`, t.TempDir(), agentAt, w.entryAt, w.engine)))
+`, t.TempDir(), agentAddress, p.entryAddress, p.engineURL)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -89,38 +89,38 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.run(e.Run)
-	w.run(a.Run)
-	w.configure(originServer.URL)
-	return w
+	p.run(e.Run)
+	p.run(a.Run)
+	p.configure(originServer.URL)
+	return p
 }
 
-func (w *pathWorld) run(run func(<-chan os.Signal) error) {
+func (p *pathSetup) run(run func(<-chan os.Signal) error) {
 	signals, done := make(chan os.Signal, 1), make(chan struct{})
 	go func() {
 		defer close(done)
 		_ = run(signals)
 	}()
-	w.t.Cleanup(func() {
+	p.t.Cleanup(func() {
 		signals <- os.Kill
 		<-done
 	})
 }
 
-func (w *pathWorld) configure(origin string) {
+func (p *pathSetup) configure(origin string) {
 	operator := link.NewEndpoint(link.Config{Own: vm.NewIdentity("op", 1, "", "", ""), Clock: event.NewClock(time.Now), Logger: log.NewNopLogger()})
 	defer operator.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
-	boot := contract.NewVoterChange(contract.VoterBootstrap, "", "", 0)
-	for operator.Call(ctx, w.entryAt, link.KindVoterChange, boot, &contract.Acknowledgement{}) != nil && ctx.Err() == nil {
+	bootstrap := contract.NewVoterChange(contract.VoterBootstrap, "", "", 0)
+	for operator.Call(ctx, p.entryAddress, link.KindVoterChange, bootstrap, &contract.Acknowledgement{}) != nil && ctx.Err() == nil {
 		time.Sleep(20 * time.Millisecond)
 	}
 	var objects []contract.Object
 	add := func(kind contract.ObjectKind, name string, body any) {
 		o, err := contract.EncodeObject(kind, name, body)
 		if err != nil {
-			w.t.Fatal(err)
+			p.t.Fatal(err)
 		}
 		objects = append(objects, o)
 	}
@@ -128,23 +128,23 @@
 	add(contract.KindOrganisation, "larder", contract.NewOrganisation(1, 0))
 	add(contract.KindGroup, "menu", contract.NewGroup("purpose=menu", "menu", "v7", contract.RoleServe))
 	apply := contract.NewApply(contract.NewChange("c", "ann", 0, objects, contract.Digest{}), []contract.ModelName{contract.NewModelName("menu", "v7")})
-	for operator.Call(ctx, w.entryAt, link.KindApply, apply, &contract.ChangeResult{}) != nil && ctx.Err() == nil {
+	for operator.Call(ctx, p.entryAddress, link.KindApply, apply, &contract.ChangeResult{}) != nil && ctx.Err() == nil {
 		time.Sleep(20 * time.Millisecond)
 	}
 	for ctx.Err() == nil {
-		if status, _ := w.ask("http://"+w.callers, 1, true); status == http.StatusOK {
+		if status, _ := p.post("http://"+p.callersAddress, 1, true); status == http.StatusOK {
 			return
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	w.t.Fatal("the path does not come up")
+	p.t.Fatal("the path does not come up")
 }
 
-func (w *pathWorld) ask(base string, tokens int, stream bool) (int, int64) {
+func (p *pathSetup) post(base string, tokens int, stream bool) (int, int64) {
 	body := fmt.Sprintf(`{"model":"menu","stream":%t,"max_tokens":%d,"messages":[{"role":"user","content":"a soft breakfast"}]}`, stream, tokens)
 	request, err := http.NewRequest(http.MethodPost, base+"/v1/chat/completions", strings.NewReader(body))
 	if err != nil {
-		w.t.Fatal(err)
+		p.t.Fatal(err)
 	}
 	request.Header.Set(entry.HeaderOrganisation, "larder")
 	response, err := http.DefaultClient.Do(request)
@@ -156,15 +156,15 @@
 	return response.StatusCode, n
 }
 
-// cost measures requests one after another.
-func (w *pathWorld) cost(base string, tokens int) (processor, delay time.Duration, allocated uint64) {
+// costPerRequest measures requests one after another.
+func (p *pathSetup) costPerRequest(base string, tokens int) (processor, delay time.Duration, allocated uint64) {
 	const requests = 400
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	used, began := processorTime(), time.Now()
 	for range requests {
-		if status, _ := w.ask(base, tokens, true); status != http.StatusOK {
-			w.t.Fatalf("status %d", status)
+		if status, _ := p.post(base, tokens, true); status != http.StatusOK {
+			p.t.Fatalf("status %d", status)
 		}
 	}
 	processor, delay = (processorTime()-used)/requests, time.Since(began)/requests
@@ -173,15 +173,15 @@
 }
 
 func TestPath(t *testing.T) {
-	w := newPathWorld(t)
+	p := newPathSetup(t)
 	var added []point
 	for _, tokens := range []int{1, 32, 128} {
-		direct, directDelay, directBytes := w.cost(w.engine, tokens)
-		whole, wholeDelay, wholeBytes := w.cost("http://"+w.callers, tokens)
-		added = append(added, point{float64(tokens), microseconds(whole - direct)})
+		direct, directDelay, directBytes := p.costPerRequest(p.engineURL, tokens)
+		proxied, proxiedDelay, proxiedBytes := p.costPerRequest("http://"+p.callersAddress, tokens)
+		added = append(added, point{float64(tokens), microseconds(proxied - direct)})
 		fmt.Printf("path tokens=%d processor_ratio=%.2f added_processor_us=%.0f added_delay_us=%.0f added_allocated_KiB=%.0f\n",
-			tokens, float64(whole)/float64(direct), microseconds(whole-direct), microseconds(wholeDelay-directDelay),
-			float64(int64(wholeBytes)-int64(directBytes))/1024)
+			tokens, float64(proxied)/float64(direct), microseconds(proxied-direct), microseconds(proxiedDelay-directDelay),
+			float64(int64(proxiedBytes)-int64(directBytes))/1024)
 	}
-	fit("path_added_processor_time", "token", "us", added)
+	fitLine("path_added_processor_time", "token", "us", added)
 }
--- a/bench/route_test.go
+++ b/bench/route_test.go
@@ -29,23 +29,23 @@
 )
 
 const (
-	replicaCount   = 12
-	entryCount     = 6
-	batchSlots     = 16
-	engineLimit    = 20 // requests that an agent takes: the batch and a few
-	stepBase       = 10 * time.Millisecond
-	stepPerToken   = 500 * time.Microsecond
-	prefillPart    = 512 // prompt tokens read in one step at most
-	prefillToken   = 50 * time.Microsecond
-	prefixTokens   = 2000
-	tailTokens     = 200
-	meanTokens     = 80.0
-	prefixes       = 60
-	cachedPrefixes = 8
-	fullRate       = 80.0 // requests a second that are called 100%
-	runTime        = 60 * time.Second
-	firstTokenGoal = 720 * time.Millisecond
-	betweenGoal    = 63 * time.Millisecond
+	replicaCount    = 12
+	entryCount      = 6
+	batchSlots      = 16
+	requestLimit    = 20 // requests that an agent takes: the batch and a few
+	stepBase        = 10 * time.Millisecond
+	stepPerToken    = 500 * time.Microsecond
+	prefillPerStep  = 512 // prompt tokens read in one step at most
+	prefillPerToken = 50 * time.Microsecond
+	prefixTokens    = 2000
+	suffixTokens    = 200
+	meanTokens      = 80.0
+	prefixes        = 60
+	cachedPrefixes  = 8
+	fullRate        = 80.0 // requests a second that are called 100%
+	runTime         = 60 * time.Second
+	firstTokenGoal  = 720 * time.Millisecond
+	tokenGapGoal    = 63 * time.Millisecond
 )
 
 // routeRun is one run.
@@ -61,24 +61,24 @@
 	entries   []*entryModel
 	reportLag time.Duration
 
-	firsts   []float64
-	smallTTF []float64
-	gaps     []float64
-	good     int
-	refused  int
-	asked    int
-	retries  int
-	hits     int
-	sent     int
-	byOrg    map[string]float64
-	perSec   map[int]int
+	firstTokenTimes       []float64
+	othersFirstTokenTimes []float64
+	gaps                  []float64
+	goodRequests          int
+	refused               int
+	arrivals              int
+	retries               int
+	prefixHits            int
+	sent                  int
+	goodByOrg             map[string]float64
+	goodBySecond          map[int]int
 }
 
 // timedEvent is something that happens at a time.
 type timedEvent struct {
 	at       time.Time
 	sequence int
-	do       func()
+	run      func()
 }
 
 type eventQueue []timedEvent
@@ -96,9 +96,9 @@
 	return e
 }
 
-func (r *routeRun) after(d time.Duration, do func()) {
+func (r *routeRun) after(d time.Duration, run func()) {
 	r.sequence++
-	heap.Push(&r.events, timedEvent{r.now.Add(d), r.sequence, do})
+	heap.Push(&r.events, timedEvent{r.now.Add(d), r.sequence, run})
 }
 
 // ----------------------------------------------------------------
@@ -106,18 +106,18 @@
 
 // engineModel is one engine.
 type engineModel struct {
-	run     *routeRun
-	id      vm.ID
-	slow    float64
-	dead    bool
-	running []*callModel
-	waiting []*callModel
-	cache   []int
-	busy    bool
-}
-
-// callModel is one request.
-type callModel struct {
+	run      *routeRun
+	id       vm.ID
+	slowdown float64
+	dead     bool
+	running  []*requestModel
+	waiting  []*requestModel
+	cache    []int
+	busy     bool
+}
+
+// requestModel is one request.
+type requestModel struct {
 	org      string
 	prefix   int
 	prompt   int
@@ -130,19 +130,19 @@
 	attempts int
 }
 
-func (m *engineModel) take(c *callModel) {
-	c.prompt = tailTokens
-	if !m.cached(c.prefix) {
+func (m *engineModel) enqueue(c *requestModel) {
+	c.prompt = suffixTokens
+	if !m.lookUpPrefix(c.prefix) {
 		c.prompt += prefixTokens
 	} else {
-		m.run.hits++
+		m.run.prefixHits++
 	}
 	m.waiting = append(m.waiting, c)
-	m.step()
+	m.startStep()
 }
 
-// cached looks a prefix up and moves it to the front.
-func (m *engineModel) cached(prefix int) bool {
+// lookUpPrefix looks a prefix up and moves it to the front.
+func (m *engineModel) lookUpPrefix(prefix int) bool {
 	for i, p := range m.cache {
 		if p == prefix {
 			m.cache = append([]int{p}, append(m.cache[:i:i], m.cache[i+1:]...)...)
@@ -156,7 +156,7 @@
 	return false
 }
 
-func (m *engineModel) step() {
+func (m *engineModel) startStep() {
 	if m.busy || m.dead {
 		return
 	}
@@ -168,18 +168,18 @@
 		return
 	}
 	m.busy = true
-	left, decoding := prefillPart, 0
+	prefillLeft, decoding := prefillPerStep, 0
 	for _, c := range m.running {
 		if c.prompt == 0 {
 			decoding++
 			continue
 		}
-		part := min(c.prompt, left)
-		c.prompt -= part
-		left -= part
+		read := min(c.prompt, prefillLeft)
+		c.prompt -= read
+		prefillLeft -= read
 	}
-	took := stepBase + time.Duration(decoding)*stepPerToken + time.Duration(prefillPart-left)*prefillToken
-	m.run.after(time.Duration(float64(took)*m.slow), m.finishStep)
+	took := stepBase + time.Duration(decoding)*stepPerToken + time.Duration(prefillPerStep-prefillLeft)*prefillPerToken
+	m.run.after(time.Duration(float64(took)*m.slowdown), m.finishStep)
 }
 
 func (m *engineModel) finishStep() {
@@ -187,10 +187,10 @@
 	if m.dead {
 		return
 	}
-	var rest, ended []*callModel
+	var running, ended []*requestModel
 	for _, c := range m.running {
 		if c.prompt > 0 {
-			rest = append(rest, c)
+			running = append(running, c)
 			continue
 		}
 		if c.first.IsZero() {
@@ -200,19 +200,19 @@
 		}
 		c.last = m.run.now
 		if c.tokens--; c.tokens > 0 {
-			rest = append(rest, c)
+			running = append(running, c)
 		} else {
 			ended = append(ended, c)
 		}
 	}
-	m.running = rest
+	m.running = running
 	for _, c := range ended {
 		c.done(false)
 	}
-	m.step()
+	m.startStep()
 }
 
-func (m *engineModel) die() {
+func (m *engineModel) fail() {
 	m.dead = true
 	for _, c := range append(m.running, m.waiting...) {
 		c.done(true)
@@ -234,19 +234,19 @@
 }
 
 func (e *entryModel) candidates() []*route.Replica {
-	var open []*route.Replica
+	var candidates []*route.Replica
 	for i, r := range e.replicas {
-		if !e.run.replicas[i].dead || e.run.now.Sub(start) < e.run.diedAt()+6*time.Second {
-			open = append(open, r)
+		if !e.run.replicas[i].dead || e.run.now.Sub(startTime) < e.run.faultTime()+6*time.Second {
+			candidates = append(candidates, r)
 		}
 	}
-	return open
+	return candidates
 }
 
-// diedAt is when the replica of the fault dies; entries learn it 6 s later.
-func (r *routeRun) diedAt() time.Duration { return runTime / 2 }
+// faultTime is when the replica of the fault dies; entries learn it 6 s later.
+func (r *routeRun) faultTime() time.Duration { return runTime / 2 }
 
-func (e *entryModel) submit(c *callModel) {
+func (e *entryModel) submit(c *requestModel) {
 	r := e.run
 	ticket, err := e.admission.Admit(admission.Organisation{Name: c.org, Weight: 1}, r.now.Add(10*time.Second), r.now)
 	if err != nil {
@@ -257,7 +257,7 @@
 	e.send(c, ticket)
 }
 
-func (e *entryModel) send(c *callModel, ticket *admission.Ticket) {
+func (e *entryModel) send(c *requestModel, ticket *admission.Ticket) {
 	r := e.run
 	chosen := e.router.Pick(e.candidates(), fmt.Sprint(c.prefix), r.now)
 	if chosen == nil {
@@ -268,7 +268,7 @@
 	c.attempts++
 	target := r.replicas[indexOf(e.replicas, chosen)]
 	chosen.RequestSent()
-	if target.dead || len(target.running)+len(target.waiting) >= engineLimit {
+	if target.dead || len(target.running)+len(target.waiting) >= requestLimit {
 		chosen.RequestEnded(0, target.dead, r.now)
 		if c.attempts < 4 && e.budget.TryRetry() {
 			r.retries++
@@ -291,7 +291,7 @@
 		r.finish(c, failed)
 	}
 	r.sent++
-	target.take(c)
+	target.enqueue(c)
 }
 
 func indexOf(replicas []*route.Replica, wanted *route.Replica) int {
@@ -306,65 +306,65 @@
 // ----------------------------------------------------------------
 // The run
 
-var start = time.Unix(1_700_000_000, 0)
+var startTime = time.Unix(1_700_000_000, 0)
 
 func newRouteRun(policy string, load float64, fault string) *routeRun {
 	r := &routeRun{
-		policy: policy, load: load, fault: fault, now: start, random: rand.New(rand.NewPCG(7, 7)),
-		reportLag: 200 * time.Millisecond, byOrg: map[string]float64{}, perSec: map[int]int{},
+		policy: policy, load: load, fault: fault, now: startTime, random: rand.New(rand.NewPCG(7, 7)),
+		reportLag: 200 * time.Millisecond, goodByOrg: map[string]float64{}, goodBySecond: map[int]int{},
 	}
 	for i := range replicaCount {
-		r.replicas = append(r.replicas, &engineModel{run: r, id: vm.ID(fmt.Sprintf("vm-%d", i)), slow: 1})
+		r.replicas = append(r.replicas, &engineModel{run: r, id: vm.ID(fmt.Sprintf("vm-%d", i)), slowdown: 1})
 	}
 	for i := range entryCount {
 		e := &entryModel{
 			run: r, router: route.NewRouter(policy, uint64(i)), budget: route.NewBudget(10),
-			admission: admission.NewController(2 * replicaCount * engineLimit / entryCount),
+			admission: admission.NewController(2 * replicaCount * requestLimit / entryCount),
 		}
 		for _, m := range r.replicas {
-			e.replicas = append(e.replicas, route.NewReplica(m.id, start.Add(-time.Minute)))
+			e.replicas = append(e.replicas, route.NewReplica(m.id, startTime.Add(-time.Minute)))
 		}
 		r.entries = append(r.entries, e)
 	}
 	return r
 }
 
-func (r *routeRun) play() {
+func (r *routeRun) simulate() {
 	r.after(0, r.reportLoad)
-	r.after(r.gap(), r.arrive)
-	r.after(r.diedAt(), r.injectFault)
+	r.after(r.arrivalGap(), r.arrive)
+	r.after(r.faultTime(), r.injectFault)
 	if r.fault == "reports_5s_late" {
 		r.reportLag = 5 * time.Second
 	}
 	if r.fault == "slow_replica" {
-		r.replicas[3].slow = 3
+		r.replicas[3].slowdown = 3
 	}
-	end := start.Add(runTime + 20*time.Second)
+	end := startTime.Add(runTime + 20*time.Second)
 	for len(r.events) > 0 {
 		e := heap.Pop(&r.events).(timedEvent)
 		r.now = e.at
 		if r.now.After(end) {
 			return
 		}
-		e.do()
+		e.run()
 	}
 }
 
 func (r *routeRun) injectFault() {
 	switch r.fault {
 	case "replica_dies":
-		r.replicas[0].die()
+		r.replicas[0].fail()
 	case "entry_dies":
 		r.entries[0].dead = true
 	}
 }
 
 func (r *routeRun) reportLoad() {
-	if r.now.Sub(start) > runTime+20*time.Second {
+	if r.now.Sub(startTime) > runTime+20*time.Second {
 		return
 	}
 	for i, m := range r.replicas {
-		report := route.Report{InFlight: len(m.running) + len(m.waiting), Limit: engineLimit, CacheFree: 0.5}
+		report := route.Report{InFlight: len(m.running) + len(m.waiting), Limit: requestLimit, CacheFree: 0.5}
 		r.after(r.reportLag, func() {
 			for _, e := range r.entries {
 				report.At = r.now
@@ -375,10 +375,10 @@
 	r.after(time.Second, r.reportLoad)
 }
 
-// rate is what callers ask for at the moment.
-func (r *routeRun) rate() float64 {
+// arrivalRate is what callers ask for at the moment.
+func (r *routeRun) arrivalRate() float64 {
 	rate := r.load * fullRate
-	at := r.now.Sub(start)
+	at := r.now.Sub(startTime)
 	if r.fault == "retry_storm" {
 		// Overloaded twice over for ten seconds, then at 80%.
 		rate = 0.8 * fullRate
@@ -389,29 +389,29 @@
 	return rate
 }
 
-func (r *routeRun) gap() time.Duration {
-	return time.Duration(r.random.ExpFloat64() / r.rate() * float64(time.Second))
+func (r *routeRun) arrivalGap() time.Duration {
+	return time.Duration(r.random.ExpFloat64() / r.arrivalRate() * float64(time.Second))
 }
 
 func (r *routeRun) arrive() {
-	if r.now.Sub(start) > runTime {
+	if r.now.Sub(startTime) > runTime {
 		return
 	}
-	r.after(r.gap(), r.arrive)
-	c := &callModel{
-		org:     fmt.Sprintf("org-%d", r.organisation()),
+	r.after(r.arrivalGap(), r.arrive)
+	c := &requestModel{
+		org:     fmt.Sprintf("org-%d", r.drawOrganisation()),
 		prefix:  int(math.Floor(math.Pow(r.random.Float64(), 2) * prefixes)),
 		tokens:  max(1, int(math.Exp(math.Log(meanTokens)-0.32+0.8*r.random.NormFloat64()))),
 		arrived: r.now,
 	}
-	r.asked++
-	r.toEntry(c)
+	r.arrivals++
+	r.sendToEntry(c)
 }
 
-// organisation draws one of ten; two are large. In the flood the first asks
+// drawOrganisation draws one of ten; two are large. In the flood the first asks
 // for ten times its share.
-func (r *routeRun) organisation() int {
-	if r.fault == "organisation_floods" && r.now.Sub(start) > runTime/2 && r.random.IntN(2) == 0 {
+func (r *routeRun) drawOrganisation() int {
+	if r.fault == "organisation_floods" && r.now.Sub(startTime) > runTime/2 && r.random.IntN(2) == 0 {
 		return 0
 	}
 	weights := []int{30, 20, 7, 7, 6, 6, 6, 6, 6, 6}
@@ -425,7 +425,7 @@
 	return 0
 }
 
-func (r *routeRun) toEntry(c *callModel) {
+func (r *routeRun) sendToEntry(c *requestModel) {
 	alive := r.entries
 	if r.entries[0].dead {
 		alive = alive[1:]
@@ -433,30 +433,30 @@
 	alive[r.random.IntN(len(alive))].submit(c)
 }
 
-func (r *routeRun) refuse(c *callModel, err error) {
+func (r *routeRun) refuse(c *requestModel, err error) {
 	r.refused++
-	if r.fault == "retry_storm" && c.attempts < 40 && r.now.Sub(start) < runTime {
+	if r.fault == "retry_storm" && c.attempts < 40 && r.now.Sub(startTime) < runTime {
 		// Callers that ignore the time to come back and ask again at once.
 		c.attempts++
-		r.after(100*time.Millisecond, func() { r.toEntry(c) })
+		r.after(100*time.Millisecond, func() { r.sendToEntry(c) })
 	}
 	_ = err
 }
 
-func (r *routeRun) finish(c *callModel, failed bool) {
+func (r *routeRun) finish(c *requestModel, failed bool) {
 	if failed {
 		return
 	}
-	ttf := c.first.Sub(c.arrived).Seconds()
-	r.firsts = append(r.firsts, ttf)
+	firstToken := c.first.Sub(c.arrived).Seconds()
+	r.firstTokenTimes = append(r.firstTokenTimes, firstToken)
 	if c.org != "org-0" {
-		r.smallTTF = append(r.smallTTF, ttf)
+		r.othersFirstTokenTimes = append(r.othersFirstTokenTimes, firstToken)
 	}
 	r.gaps = append(r.gaps, c.gaps...)
-	if ttf <= firstTokenGoal.Seconds() && percentile(c.gaps, 0.95) <= betweenGoal.Seconds() {
-		r.good++
-		r.byOrg[c.org]++
-		r.perSec[int(r.now.Sub(start).Seconds())]++
+	if firstToken <= firstTokenGoal.Seconds() && percentile(c.gaps, 0.95) <= tokenGapGoal.Seconds() {
+		r.goodRequests++
+		r.goodByOrg[c.org]++
+		r.goodBySecond[int(r.now.Sub(startTime).Seconds())]++
 	}
 }
 
@@ -469,7 +469,7 @@
 	return sorted[min(len(sorted)-1, int(p*float64(len(sorted))))]
 }
 
-func jain(shares map[string]float64) float64 {
+func jainIndex(shares map[string]float64) float64 {
 	sum, squares := 0.0, 0.0
 	for _, v := range shares {
 		sum += v
@@ -487,9 +487,9 @@
 		fault = " fault=" + r.fault
 	}
 	fmt.Printf("route policy=%s load=%.0f%% first_token_p95_ms=%.0f between_p95_ms=%.0f goodput=%.1f refused=%.3f prefix_hit=%.2f jain=%.2f retries_per_request=%.3f others_first_p95_ms=%.0f%s\n",
-		r.policy, 100*r.load, 1000*percentile(r.firsts, 0.95), 1000*percentile(r.gaps, 0.95), float64(r.good)/runTime.Seconds(),
-		float64(r.refused)/float64(r.asked), float64(r.hits)/float64(max(r.sent, 1)), jain(r.byOrg),
-		float64(r.retries)/float64(r.asked), 1000*percentile(r.smallTTF, 0.95), fault)
+		r.policy, 100*r.load, 1000*percentile(r.firstTokenTimes, 0.95), 1000*percentile(r.gaps, 0.95), float64(r.goodRequests)/runTime.Seconds(),
+		float64(r.refused)/float64(r.arrivals), float64(r.prefixHits)/float64(max(r.sent, 1)), jainIndex(r.goodByOrg),
+		float64(r.retries)/float64(r.arrivals), 1000*percentile(r.othersFirstTokenTimes, 0.95), fault)
 }
 
 var policyNames = []string{
@@ -500,7 +500,7 @@
 	for _, load := range []float64{0.5, 0.8, 1, 1.5} {
 		for _, policy := range policyNames {
 			r := newRouteRun(policy, load, "")
-			r.play()
+			r.simulate()
 			r.print()
 		}
 	}
@@ -510,7 +510,7 @@
 	for _, fault := range []string{"", "replica_dies", "slow_replica", "reports_5s_late", "entry_dies", "organisation_floods", "retry_storm"} {
 		for _, policy := range []string{route.TwoChoicesName, route.ScoreName, route.PrefixBoundedName} {
 			r := newRouteRun(policy, 0.8, fault)
-			r.play()
+			r.simulate()
 			r.print()
 			if fault == "retry_storm" {
 				r.printRecovery()
@@ -523,7 +523,7 @@
 func (r *routeRun) printRecovery() {
 	const overloadEnd = 20
 	for second := overloadEnd; second < int(runTime.Seconds()); second++ {
-		if float64(r.perSec[second]) >= 0.9*0.8*fullRate*0.9 {
+		if float64(r.goodBySecond[second]) >= 0.9*0.8*fullRate*0.9 {
 			fmt.Printf("route policy=%s fault=retry_storm goodput_back_after=%ds\n", r.policy, second-overloadEnd)
 			return
 		}
--- a/prove/backends_test.go
+++ b/prove/backends_test.go
@@ -25,31 +25,31 @@
 	"github.com/tidepost/tidepost/pkg/fake"
 )
 
-// step is the time between two tokens.
-const step = 10 * time.Millisecond
+// tokenInterval is the time between two tokens.
+const tokenInterval = 10 * time.Millisecond
 
-// ledger is what really happened, over all backend servers.
-type ledger struct {
+// record is what really happened, over all backend servers.
+type record struct {
 	mu         sync.Mutex
 	runs       map[string]int // by request body
 	violations []string
 }
 
-func newLedger() *ledger { return &ledger{runs: map[string]int{}} }
+func newRunRecord() *record { return &record{runs: map[string]int{}} }
 
-func (l *ledger) ran(body string) {
+func (l *record) addRun(body string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.runs[body]++
 }
 
-func (l *ledger) count(body string) int {
+func (l *record) runCount(body string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.runs[body]
 }
 
-func (l *ledger) violation(format string, arguments ...any) {
+func (l *record) addViolation(format string, arguments ...any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.violations = append(l.violations, fmt.Sprintf(format, arguments...))
@@ -60,23 +60,23 @@
 
 // modelEngine is an engine in memory.
 type modelEngine struct {
-	ledger *ledger
-
-	mu       sync.Mutex
-	instance int
-	fence    uint64
-	loaded   map[string]string // digest to model
-	content  map[string]string // digest to what the weights really are
-	starts   int
-	given    int
-	busy     int
-	overlaps int
-	loadTime time.Duration
-	held     bool
+	record *record
+
+	mu             sync.Mutex
+	instance       int
+	fence          uint64
+	loaded         map[string]string // digest to model
+	content        map[string]string // digest to what the weights really are
+	requestCount   int
+	orderCount     int
+	ordersInFlight int
+	overlapCount   int
+	loadTime       time.Duration
+	blocked        bool
 }
 
-func newModelEngine(l *ledger) *modelEngine {
-	return &modelEngine{ledger: l, loaded: map[string]string{}, content: map[string]string{}, loadTime: 5 * step}
+func newModelEngine(l *record) *modelEngine {
+	return &modelEngine{record: l, loaded: map[string]string{}, content: map[string]string{}, loadTime: 5 * tokenInterval}
 }
 
 func (m *modelEngine) setLoadTime(d time.Duration) {
@@ -85,48 +85,48 @@
 	m.loadTime = d
 }
 
-// orders counts the orders given so far, and overlapping those that came while
+// ordersReceived counts the orders given so far, and overlapping those that came while
 // another was under way.
-func (m *modelEngine) orders() int {
+func (m *modelEngine) ordersReceived() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.given
+	return m.orderCount
 }
 
-func (m *modelEngine) overlapping() int {
+func (m *modelEngine) overlappingOrders() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.overlaps
+	return m.overlapCount
 }
 
 func (m *modelEngine) engine() *engine.Engine {
-	return &engine.Engine{SendOrder: m.give, ReadState: m.report, SendRequest: m.send}
+	return &engine.Engine{SendOrder: m.sendOrder, ReadState: m.readState, SendRequest: m.sendRequest}
 }
 
-// hold makes every answer wait for release, so that a VM that drains stays.
-func (m *modelEngine) hold() {
+// blockAnswers makes every answer wait for release, so that a VM that drains stays.
+func (m *modelEngine) blockAnswers() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.held = true
+	m.blocked = true
 }
 
-func (m *modelEngine) release() {
+func (m *modelEngine) unblockAnswers() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.held = false
+	m.blocked = false
 }
 
-// started counts the requests that reached the engine.
-func (m *modelEngine) started() int {
+// requestsReceived counts the requests that reached the engine.
+func (m *modelEngine) requestsReceived() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.starts
+	return m.requestCount
 }
 
-func (m *modelEngine) isHeld() bool {
+func (m *modelEngine) isBlocked() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.held
+	return m.blocked
 }
 
 // restart loses what was loaded.
@@ -137,17 +137,17 @@
 	m.loaded = map[string]string{}
 }
 
-// give loads without looking, as a trusting engine does; what it has loaded is
+// sendOrder loads without looking, as a trusting engine does; what it has loaded is
 // found out at once and remembered.
-func (m *modelEngine) give(ctx context.Context, o engine.Order) (engine.State, error) {
-	type answer struct {
+func (m *modelEngine) sendOrder(ctx context.Context, o engine.Order) (engine.State, error) {
+	type result struct {
 		state engine.State
 		err   error
 	}
-	done := make(chan answer, 1)
+	done := make(chan result, 1)
 	go func() {
-		s, err := m.carryOut(o)
-		done <- answer{s, err}
+		s, err := m.execute(o)
+		done <- result{s, err}
 	}()
 	select {
 	case a := <-done:
@@ -158,19 +158,19 @@
 	}
 }
 
-func (m *modelEngine) carryOut(o engine.Order) (engine.State, error) {
+func (m *modelEngine) execute(o engine.Order) (engine.State, error) {
 	m.mu.Lock()
 	loadTime := m.loadTime
-	m.given++
-	m.busy++
-	if m.busy > 1 {
-		m.overlaps++
+	m.orderCount++
+	m.ordersInFlight++
+	if m.ordersInFlight > 1 {
+		m.overlapCount++
 	}
 	m.mu.Unlock()
 	time.Sleep(loadTime)
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.busy--
+	m.ordersInFlight--
 	if o.Fence <= m.fence {
 		return engine.State{}, failure.New(failure.StaleOrder, "fence %d is not above %d", o.Fence, m.fence)
 	}
@@ -188,7 +188,7 @@
 	return m.state(), nil
 }
 
-func (m *modelEngine) report(context.Context) (engine.State, error) {
+func (m *modelEngine) readState(context.Context) (engine.State, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.state(), nil
@@ -202,33 +202,33 @@
 	return s
 }
 
-// send answers with tokens that name the request and what the weights are.
-func (m *modelEngine) send(ctx context.Context, r contract.Request) (*http.Response, error) {
+// sendRequest answers with tokens that name the request and what the weights are.
+func (m *modelEngine) sendRequest(ctx context.Context, r contract.Request) (*http.Response, error) {
 	m.mu.Lock()
 	digest := r.Digest().String()
 	model, loaded := m.loaded[digest]
 	content := m.content[digest]
 	instance := m.instance
-	m.starts++
+	m.requestCount++
 	m.mu.Unlock()
-	m.ledger.ran(string(r.Body()))
+	m.record.addRun(string(r.Body()))
 	if !loaded || model != r.Model() {
-		return response(http.StatusNotFound, "text/plain", digest, strings.NewReader("not loaded")), nil
+		return newResponse(http.StatusNotFound, "text/plain", digest, strings.NewReader("not loaded")), nil
 	}
 	if content != digest {
-		m.ledger.violation("an answer from weights %.12s under the digest %.12s", content, digest)
+		m.record.addViolation("an answer from weights %.12s under the digest %.12s", content, digest)
 	}
 	reader, writer := io.Pipe()
 	go func() {
-		for i := range tokens {
-			time.Sleep(step)
-			for m.isHeld() && ctx.Err() == nil {
-				time.Sleep(step)
+		for i := range answerTokens {
+			time.Sleep(tokenInterval)
+			for m.isBlocked() && ctx.Err() == nil {
+				time.Sleep(tokenInterval)
 			}
 			m.mu.Lock()
-			gone := m.instance != instance
+			restarted := m.instance != instance
 			m.mu.Unlock()
-			if gone || ctx.Err() != nil {
+			if restarted || ctx.Err() != nil {
 				_ = writer.CloseWithError(errors.New("connection reset"))
 				return
 			}
@@ -241,23 +241,23 @@
 	}()
 	stop := context.AfterFunc(ctx, func() { _ = reader.CloseWithError(ctx.Err()) })
 	_ = stop
-	return response(http.StatusOK, "text/event-stream", digest, reader), nil
+	return newResponse(http.StatusOK, "text/event-stream", digest, reader), nil
 }
 
-// tokens is the length of every answer.
-const tokens = 12
+// answerTokens is the length of every answer.
+const answerTokens = 12
 
-// wholeAnswer is what a caller must get for a body.
-func wholeAnswer(body string) string {
+// completeAnswer is what a caller must get for a body.
+func completeAnswer(body string) string {
 	var b strings.Builder
-	for i := range tokens {
+	for i := range answerTokens {
 		fmt.Fprintf(&b, "data: %s:%d\n\n", body, i)
 	}
 	b.WriteString("data: [DONE]\n\n")
 	return b.String()
 }
 
-func response(status int, contentType, digest string, body io.Reader) *http.Response {
+func newResponse(status int, contentType, digest string, body io.Reader) *http.Response {
 	h := http.Header{}
 	h.Set("Content-Type", contentType)
 	h.Set(engine.DigestHeader, digest)
@@ -273,7 +273,7 @@
 
 // plainService is a service in memory whose calls may not be repeated.
 type plainService struct {
-	ledger *ledger
+	record *record
 
 	mu   sync.Mutex
 	mode string
@@ -281,7 +281,7 @@
 
 // The ways in which a call can end.
 const (
-	modeFine       = ""
+	modeNormal     = ""
 	modeLoseAnswer = "lose_answer"
 )
 
@@ -296,12 +296,12 @@
 		p.mu.Lock()
 		mode := p.mode
 		p.mu.Unlock()
-		p.ledger.ran(string(r.Body()))
-		time.Sleep(3 * step)
+		p.record.addRun(string(r.Body()))
+		time.Sleep(3 * tokenInterval)
 		if mode == modeLoseAnswer {
 			return nil, failure.New(failure.OutcomeUnknown, "connection reset").WithRan(failure.RanUnknown)
 		}
-		return response(http.StatusOK, "text/plain", "", strings.NewReader("done:"+string(r.Body()))), nil
+		return newResponse(http.StatusOK, "text/plain", "", strings.NewReader("done:"+string(r.Body()))), nil
 	}}
 }
 
@@ -310,16 +310,16 @@
 
 // origin holds the versions of one model.
 type origin struct {
-	mu       sync.Mutex
-	versions map[string][]byte
-	corrupt  float64
-	random   *rand.Rand
-	bytes    int64
+	mu           sync.Mutex
+	versions     map[string][]byte
+	corruptShare float64
+	random       *rand.Rand
+	bytesServed  int64
 }
 
 const (
-	chunkSize = 1 << 10
-	copySize  = 24 * chunkSize
+	chunkSize   = 1 << 10
+	weightsSize = 24 * chunkSize
 )
 
 func newOrigin(random *rand.Rand) *origin {
@@ -329,7 +329,7 @@
 func (o *origin) put(version string, seed uint64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.versions[version] = fake.Weights(copySize, seed)
+	o.versions[version] = fake.Weights(weightsSize, seed)
 }
 
 func (o *origin) manifest(_ context.Context, _ string, name contract.ModelName) (contract.Manifest, error) {
@@ -342,14 +342,14 @@
 	return contract.ManifestOf(data, chunkSize), nil
 }
 
-func (o *origin) draw(_ context.Context, _ string, a configstate.Assignment, chunk int) ([]byte, error) {
-	time.Sleep(2 * step)
+func (o *origin) fetchChunk(_ context.Context, _ string, a configstate.Assignment, chunk int) ([]byte, error) {
+	time.Sleep(2 * tokenInterval)
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	offset, length := a.Manifest.ChunkRange(chunk)
 	data := append([]byte(nil), o.versions[a.Version][offset:offset+length]...)
-	o.bytes += length
-	if o.random.Float64() < o.corrupt {
+	o.bytesServed += length
+	if o.random.Float64() < o.corruptShare {
 		data[0] ^= 0xff
 	}
 	return data, nil
--- a/prove/callers_test.go
+++ b/prove/callers_test.go
@@ -41,37 +41,37 @@
 	{"priority unreadable", "/v1/chat/completions", `{"model":"menu"}`, map[string]string{entry.HeaderPriority: "high"}},
 }
 
-func TestRefusalsAreTypedAndTrue(t *testing.T) {
+func TestRefusalsAreTypedAndAccurate(t *testing.T) {
 	bubble.Run(t, func(t *testing.T) {
-		w := newWorld(t, 1)
-		defer w.stop()
-		w.start()
-		w.eventually("the plain service", func() bool { return w.order("entry-1", "", "try").whole() })
-		before := w.ledger.count("flour")
+		cl := newCluster(t, 1)
+		defer cl.stop()
+		cl.start()
+		cl.eventually("the plain service", func() bool { return cl.orderFromService("entry-1", "", "try").isComplete() })
+		before := cl.record.runCount("flour")
 		var lines strings.Builder
 		for _, c := range refusedCalls {
-			fmt.Fprintf(&lines, "%s: %s\n", c.name, w.refusal(c.path, c.body, c.headers))
+			fmt.Fprintf(&lines, "%s: %s\n", c.name, cl.refusal(c.path, c.body, c.headers))
 		}
-		w.order("entry-1", "key-1", "flour")
-		fmt.Fprintf(&lines, "key used for another body: %s\n", w.refusal("/services/ordering/orders", "sugar", map[string]string{entry.HeaderIdempotencyKey: "key-1"}))
-		if n := w.ledger.count("flour") - before; n != 1 || w.ledger.count("sugar") != 0 {
-			t.Errorf("flour ran %d times, sugar %d", n, w.ledger.count("sugar"))
+		cl.orderFromService("entry-1", "key-1", "flour")
+		fmt.Fprintf(&lines, "key used for another body: %s\n", cl.refusal("/services/ordering/orders", "sugar", map[string]string{entry.HeaderIdempotencyKey: "key-1"}))
+		if n := cl.record.runCount("flour") - before; n != 1 || cl.record.runCount("sugar") != 0 {
+			t.Errorf("flour ran %d times, sugar %d", n, cl.record.runCount("sugar"))
 		}
 		checkGolden(t, refusalsFile, lines.String())
 	})
 }
 
 // refusal returns what stands in a refusal, in one line.
-func (w *world) refusal(path, body string, headers map[string]string) string {
+func (cl *cluster) refusal(path, body string, headers map[string]string) string {
 	r := httptest.NewRequest("POST", path, strings.NewReader(body))
 	r.Header.Set(entry.HeaderOrganisation, "larder")
 	for k, v := range headers {
 		r.Header.Set(k, v)
 	}
 	recorder := httptest.NewRecorder()
-	w.mu.Lock()
-	e := w.entries["entry-1"]
-	w.mu.Unlock()
+	cl.mu.Lock()
+	e := cl.entries["entry-1"]
+	cl.mu.Unlock()
 	e.Handler().ServeHTTP(recorder, r)
 	var answer struct {
 		Error struct{ Type, Message, Remedy, Ran string }
@@ -107,17 +107,17 @@
 // order run twice that the configuration does not let.
 func TestCallerCannotMakeAnOrderRepeatable(t *testing.T) {
 	bubble.Run(t, func(t *testing.T) {
-		w := newWorld(t, 1)
-		defer w.stop()
-		w.start()
-		w.eventually("the plain service in two failure domains", func() bool {
-			return w.order("entry-1", "", "try").whole() && w.order("entry-3", "", "try").whole()
+		cl := newCluster(t, 1)
+		defer cl.stop()
+		cl.start()
+		cl.eventually("the plain service in two failure domains", func() bool {
+			return cl.orderFromService("entry-1", "", "try").isComplete() && cl.orderFromService("entry-3", "", "try").isComplete()
 		})
 		// Entries hear of each other's services once a second.
 		time.Sleep(5 * time.Second)
-		w.service.setMode(modeLoseAnswer)
-		a := w.ask("entry-1", "/services/ordering/orders", "flour", map[string]string{entry.HeaderRepeatable: "true"})
-		if n := w.ledger.count("flour"); n != 1 || a.saysNotRun() {
+		cl.service.setMode(modeLoseAnswer)
+		a := cl.post("entry-1", "/services/ordering/orders", "flour", map[string]string{entry.HeaderRepeatable: "true"})
+		if n := cl.record.runCount("flour"); n != 1 || a.saysNotRun() {
 			t.Errorf("ran %d times, answer %+v", n, a)
 		}
 	})
--- a/prove/faults_test.go
+++ b/prove/faults_test.go
@@ -6,55 +6,55 @@
 
 import "time"
 
-// note counts a fault.
-func (w *world) note() { w.faults++ }
+// countFault counts a fault.
+func (cl *cluster) countFault() { cl.faultCount++ }
 
 // killAgentFor kills an agent, and starts it again after a while.
-func (w *world) killAgentFor(name string, d time.Duration) { w.killFor(name, d, w.startAgent) }
+func (cl *cluster) killAgentFor(name string, d time.Duration) { cl.killFor(name, d, cl.startAgent) }
 
 // killEntryFor kills an entry, and starts it again after a while.
-func (w *world) killEntryFor(name string, d time.Duration) { w.killFor(name, d, w.startEntry) }
+func (cl *cluster) killEntryFor(name string, d time.Duration) { cl.killFor(name, d, cl.startEntry) }
 
-func (w *world) killFor(name string, d time.Duration, start func(name string)) {
-	if !w.up(name) {
+func (cl *cluster) killFor(name string, d time.Duration, start func(name string)) {
+	if !cl.isRunning(name) {
 		return
 	}
-	w.note()
-	w.kill(name)
+	cl.countFault()
+	cl.kill(name)
 	time.Sleep(d)
 	start(name)
 }
 
-// cutFor cuts the link between two hosts without a word.
-func (w *world) cutFor(a, b string, d time.Duration) {
-	w.note()
-	w.network.SetCut(a, b, true)
+// cutLinkFor cuts the link between two hosts without a word.
+func (cl *cluster) cutLinkFor(a, b string, d time.Duration) {
+	cl.countFault()
+	cl.network.SetCut(a, b, true)
 	time.Sleep(d)
-	w.network.SetCut(a, b, false)
+	cl.network.SetCut(a, b, false)
 }
 
 // isolateFor cuts a host off from all entries and agents.
-func (w *world) isolateFor(name string, d time.Duration) {
-	w.note()
-	w.isolate(name, true)
+func (cl *cluster) isolateFor(name string, d time.Duration) {
+	cl.countFault()
+	cl.isolate(name, true)
 	time.Sleep(d)
-	w.isolate(name, false)
+	cl.isolate(name, false)
 }
 
-func (w *world) isolate(name string, cut bool) {
-	for other := range entryPlaces {
+func (cl *cluster) isolate(name string, cut bool) {
+	for other := range entryLocations {
 		if other != name {
-			w.network.SetCut(name, other, cut)
+			cl.network.SetCut(name, other, cut)
 		}
 	}
-	for other := range agentPlaces {
+	for other := range agentLocations {
 		if other != name {
-			w.network.SetCut(name, other, cut)
+			cl.network.SetCut(name, other, cut)
 		}
 	}
 }
 
-// millis returns a random time up to most.
-func (w *world) millis(most int) time.Duration {
-	return time.Duration(1+w.random.IntN(most)) * time.Millisecond
+// randomMillis returns a random time up to most.
+func (cl *cluster) randomMillis(limit int) time.Duration {
+	return time.Duration(1+cl.random.IntN(limit)) * time.Millisecond
 }
--- a/prove/promises_test.go
+++ b/prove/promises_test.go
@@ -21,23 +21,23 @@
 var allEntries = []string{"entry-1", "entry-2", "entry-3", "entry-4"}
 var allAgents = []string{"agent-1", "agent-2", "agent-3", "agent-4", "agent-5"}
 
-// chatting sends n chats from random entries over a time, and calls check with
+// sendChats sends n chats from random entries over a time, and calls check with
 // each answer once it has come.
-func (w *world) chatting(n int, over time.Duration, check func(body string, a answer)) {
+func (cl *cluster) sendChats(n int, over time.Duration, check func(body string, a answer)) {
 	for i := range n {
-		at, after := w.pick(allEntries...), w.millis(int(over/time.Millisecond))
-		w.background(func() {
+		at, after := cl.pick(allEntries...), cl.randomMillis(int(over/time.Millisecond))
+		cl.background(func() {
 			time.Sleep(after)
-			body, a := w.chat(at, fmt.Sprintf("chat-%d", i))
+			body, a := cl.chat(at, fmt.Sprintf("chat-%d", i))
 			check(body, a)
 		})
 	}
 }
 
-// checkWhole reports an answer that looks whole and is not the caller's.
-func (w *world) checkWhole(body string, a answer) {
-	if a.whole() && a.body != wholeAnswer(body) {
-		w.ledger.violation("answer to %s: %q", body, a.body)
+// checkComplete reports an answer that looks whole and is not the caller's.
+func (cl *cluster) checkComplete(body string, a answer) {
+	if a.isComplete() && a.body != completeAnswer(body) {
+		cl.record.addViolation("answer to %s: %q", body, a.body)
 	}
 }
 
@@ -46,53 +46,53 @@
 func TestPromise1NoPartialWeights(t *testing.T) {
 	proof{
 		number: 1, name: "no_partial_or_mixed_weights",
-		scenario: func(w *world) {
-			w.origin.mu.Lock()
-			w.origin.corrupt = 0.2
-			w.origin.mu.Unlock()
-			w.chatting(40, 20*time.Second, w.checkWhole)
-			s, err := w.status("entry-1")
-			w.must(err)
-			_, err = w.apply("entry-1", "roll", s.Revision(), "v2")
-			w.must(err)
+		scenario: func(cl *cluster) {
+			cl.origin.mu.Lock()
+			cl.origin.corruptShare = 0.2
+			cl.origin.mu.Unlock()
+			cl.sendChats(40, 20*time.Second, cl.checkComplete)
+			s, err := cl.status("entry-1")
+			cl.must(err)
+			_, err = cl.apply("entry-1", "roll", s.Revision(), "v2")
+			cl.must(err)
 			// The version changes at the origin in mid-copy, and back.
-			time.Sleep(w.millis(200))
-			w.note()
-			w.origin.put("v2", 99)
-			time.Sleep(w.millis(2000))
-			w.killAgentFor(w.pick(allAgents...), w.millis(1500))
-			w.note()
-			w.engines[w.pick(allAgents...)].restart()
-			w.origin.put("v2", 2)
-			w.killAgentFor(w.pick(allAgents...), w.millis(1500))
-			w.eventually("v2 ready everywhere", func() bool { return w.ready("v2") == len(allAgents) })
-			w.requests.Wait()
+			time.Sleep(cl.randomMillis(200))
+			cl.countFault()
+			cl.origin.put("v2", 99)
+			time.Sleep(cl.randomMillis(2000))
+			cl.killAgentFor(cl.pick(allAgents...), cl.randomMillis(1500))
+			cl.countFault()
+			cl.engines[cl.pick(allAgents...)].restart()
+			cl.origin.put("v2", 2)
+			cl.killAgentFor(cl.pick(allAgents...), cl.randomMillis(1500))
+			cl.eventually("v2 ready everywhere", func() bool { return cl.ready("v2") == len(allAgents) })
+			cl.callers.Wait()
 		},
-		seeded: map[string]func(w *world){
-			"skip_verify": func(w *world) {
-				w.agentFaults.SkipVerify = true
-				w.origin.corrupt = 0.2
+		seededFaults: map[string]func(cl *cluster){
+			"skip_verify": func(cl *cluster) {
+				cl.agentFaults.SkipVerify = true
+				cl.origin.corruptShare = 0.2
 			},
 		},
 	}.run(t)
 }
 
 func TestPromise2WholeAnswers(t *testing.T) {
-	mangled := func(w *world) {
+	damageAnswers := func(cl *cluster) {
 		// Parts are doubled, swapped with the next one, or lost.
 		var mu sync.Mutex
 		held := map[string]contract.ResponsePart{}
-		w.sendAnswer = func(send func(contract.ResponsePart) error, part contract.ResponsePart) error {
+		cl.sendAnswer = func(send func(contract.ResponsePart) error, part contract.ResponsePart) error {
 			mu.Lock()
 			defer mu.Unlock()
-			if former, ok := held[part.Attempt()]; ok {
+			if previous, ok := held[part.Attempt()]; ok {
 				delete(held, part.Attempt())
 				if err := send(part); err != nil {
 					return err
 				}
-				return send(former)
+				return send(previous)
 			}
-			switch w.mangle.IntN(30) {
+			switch cl.faultRandom.IntN(30) {
 			case 0:
 				if err := send(part); err != nil {
 					return err
@@ -110,23 +110,23 @@
 	}
 	proof{
 		number: 2, name: "whole_answer_to_own_request",
-		scenario: func(w *world) {
-			mangled(w)
-			w.mangling = true
-			w.killAgentFor("agent-3", 100*time.Millisecond)
-			w.killAgentFor("agent-2", 100*time.Millisecond)
-			w.killAgentFor("agent-5", 100*time.Millisecond)
-			w.eventually("replicas back", func() bool { return w.ready("v1") == len(allAgents) })
-			w.chatting(60, 5*time.Second, w.checkWhole)
-			time.Sleep(w.millis(2000))
-			w.killAgentFor(w.pick(allAgents...), w.millis(500))
-			w.cutFor(w.pick(allEntries...), w.pick(allAgents...), w.millis(8000))
-			w.note()
-			w.engines[w.pick(allAgents...)].restart()
-			w.requests.Wait()
+		scenario: func(cl *cluster) {
+			damageAnswers(cl)
+			cl.damagesAnswers = true
+			cl.killAgentFor("agent-3", 100*time.Millisecond)
+			cl.killAgentFor("agent-2", 100*time.Millisecond)
+			cl.killAgentFor("agent-5", 100*time.Millisecond)
+			cl.eventually("replicas back", func() bool { return cl.ready("v1") == len(allAgents) })
+			cl.sendChats(60, 5*time.Second, cl.checkComplete)
+			time.Sleep(cl.randomMillis(2000))
+			cl.killAgentFor(cl.pick(allAgents...), cl.randomMillis(500))
+			cl.cutLinkFor(cl.pick(allEntries...), cl.pick(allAgents...), cl.randomMillis(8000))
+			cl.countFault()
+			cl.engines[cl.pick(allAgents...)].restart()
+			cl.callers.Wait()
 		},
-		seeded: map[string]func(w *world){
-			"skip_answer_check": func(w *world) { w.entryFaults.SkipAnswerCheck = true },
+		seededFaults: map[string]func(cl *cluster){
+			"skip_answer_check": func(cl *cluster) { cl.entryFaults.SkipAnswerCheck = true },
 		},
 	}.run(t)
 }
@@ -136,7 +136,7 @@
 func TestPromise3NotRunIsTrue(t *testing.T) {
 	proof{
 		number: 3, name: "not_run_is_true",
-		scenario: func(w *world) {
+		scenario: func(cl *cluster) {
 			var mu sync.Mutex
 			var notRun []string
 			check := func(body string, a answer) {
@@ -146,51 +146,51 @@
 					notRun = append(notRun, body)
 				}
 			}
-			w.chatting(60, 12*time.Second, check)
+			cl.sendChats(60, 12*time.Second, check)
 			for i := range 30 {
-				at, after := w.pick(allEntries...), w.millis(12000)
+				at, after := cl.pick(allEntries...), cl.randomMillis(12000)
 				key := ""
 				if i%2 == 0 {
 					key = fmt.Sprintf("key-%d", i)
 				}
-				w.background(func() {
+				cl.background(func() {
 					time.Sleep(after)
 					body := fmt.Sprintf("order-%d", i)
-					check(body, w.order(at, key, body))
+					check(body, cl.orderFromService(at, key, body))
 				})
 			}
 			for range 5 {
-				w.service.setMode(w.pick(modeFine, modeLoseAnswer))
-				w.randomFault()
+				cl.service.setMode(cl.pick(modeNormal, modeLoseAnswer))
+				cl.randomFault()
 			}
-			w.requests.Wait()
+			cl.callers.Wait()
 			for _, body := range notRun {
-				if n := w.ledger.count(body); n > 0 {
-					w.ledger.violation("%q was called not run and ran %d times", body, n)
+				if n := cl.record.runCount(body); n > 0 {
+					cl.record.addViolation("%q was called not run and ran %d times", body, n)
 				}
 			}
 		},
-		seeded: map[string]func(w *world){
-			"say_not_run": func(w *world) { w.entryFaults.ReportNotRun = true },
+		seededFaults: map[string]func(cl *cluster){
+			"say_not_run": func(cl *cluster) { cl.entryFaults.ReportNotRun = true },
 		},
 	}.run(t)
 }
 
 // randomFault makes one fault of any kind and waits it out.
-func (w *world) randomFault() {
-	switch w.random.IntN(5) {
+func (cl *cluster) randomFault() {
+	switch cl.random.IntN(5) {
 	case 0:
-		w.killAgentFor(w.pick(allAgents...), w.millis(3000))
+		cl.killAgentFor(cl.pick(allAgents...), cl.randomMillis(3000))
 	case 1:
-		w.cutFor(w.pick(allEntries...), w.pick(allAgents...), w.millis(6000))
+		cl.cutLinkFor(cl.pick(allEntries...), cl.pick(allAgents...), cl.randomMillis(6000))
 	case 2:
-		w.isolateFor(w.pick(allEntries...), w.millis(4000))
+		cl.isolateFor(cl.pick(allEntries...), cl.randomMillis(4000))
 	case 3:
-		w.note()
-		w.engines[w.pick(allAgents...)].restart()
-		time.Sleep(w.millis(1000))
+		cl.countFault()
+		cl.engines[cl.pick(allAgents...)].restart()
+		time.Sleep(cl.randomMillis(1000))
 	default:
-		w.killEntryFor(w.pick("entry-2", "entry-3", "entry-4"), w.millis(2000))
+		cl.killEntryFor(cl.pick("entry-2", "entry-3", "entry-4"), cl.randomMillis(2000))
 	}
 }
 
@@ -199,19 +199,19 @@
 func TestPromise4AtMostOnce(t *testing.T) {
 	proof{
 		number: 4, name: "not_repeatable_runs_at_most_once",
-		scenario: func(w *world) {
+		scenario: func(cl *cluster) {
 			const orders = 25
 			// Some entries are frozen between claim and send, past deadlines too.
-			w.beforeSend = w.sometimesFreeze()
+			cl.beforeSend = cl.randomSendDelay()
 			for i := range orders {
-				at := []string{w.pick(allEntries...), w.pick(allEntries...), w.pick(allEntries...)}
-				after := w.millis(10000)
-				w.background(func() {
+				at := []string{cl.pick(allEntries...), cl.pick(allEntries...), cl.pick(allEntries...)}
+				after := cl.randomMillis(10000)
+				cl.background(func() {
 					time.Sleep(after)
 					body, key := fmt.Sprintf("order-%d", i), fmt.Sprintf("key-%d", i)
 					for _, entry := range at {
 						// A caller that got no answer asks again elsewhere.
-						if a := w.order(entry, key, body); a.whole() {
+						if a := cl.orderFromService(entry, key, body); a.isComplete() {
 							return
 						}
 						time.Sleep(500 * time.Millisecond)
@@ -219,30 +219,30 @@
 				})
 			}
 			for range 5 {
-				w.service.setMode(w.pick(modeFine, modeFine, modeLoseAnswer))
-				w.randomFault()
+				cl.service.setMode(cl.pick(modeNormal, modeNormal, modeLoseAnswer))
+				cl.randomFault()
 			}
-			w.service.setMode(modeFine)
-			w.requests.Wait()
+			cl.service.setMode(modeNormal)
+			cl.callers.Wait()
 			for i := range orders {
-				if n := w.ledger.count(fmt.Sprintf("order-%d", i)); n > 1 {
-					w.ledger.violation("order-%d ran %d times", i, n)
+				if n := cl.record.runCount(fmt.Sprintf("order-%d", i)); n > 1 {
+					cl.record.addViolation("order-%d ran %d times", i, n)
 				}
 			}
 		},
-		seeded: map[string]func(w *world){
-			"skip_claim":     func(w *world) { w.entryFaults.SkipClaim = true },
-			"retry_anything": func(w *world) { w.entryFaults.RetryAlways = true },
+		seededFaults: map[string]func(cl *cluster){
+			"skip_claim":     func(cl *cluster) { cl.entryFaults.SkipClaim = true },
+			"retry_anything": func(cl *cluster) { cl.entryFaults.RetryAlways = true },
 		},
 	}.run(t)
 }
 
-// sometimesFreeze returns a hook that holds an attempt back now and then.
-func (w *world) sometimesFreeze() func(string) {
+// randomSendDelay returns a hook that holds an attempt back now and then.
+func (cl *cluster) randomSendDelay() func(string) {
 	var mu sync.Mutex
 	return func(string) {
 		mu.Lock()
-		n := w.mangle.IntN(8)
+		n := cl.faultRandom.IntN(8)
 		mu.Unlock()
 		switch n {
 		case 0:
@@ -262,33 +262,33 @@
 func TestPromise5LeavingGetsNothingNew(t *testing.T) {
 	proof{
 		number: 5, name: "leaving_gets_nothing_new",
-		scenario: func(w *world) {
+		scenario: func(cl *cluster) {
 			// The VM that leaves is cut off from one of its two entries, so that
 			// this one cannot hear of it, and the platform says nothing.
-			leaving := w.pick("agent-1", "agent-2")
-			w.background(func() { w.chat("entry-1", "slow") })
-			w.chatting(150, 16*time.Second, w.checkWhole)
-			time.Sleep(w.millis(1000))
-			if w.random.IntN(2) == 0 {
-				w.background(func() { w.cutFor("entry-4", leaving, 3*time.Second) })
+			leaving := cl.pick("agent-1", "agent-2")
+			cl.background(func() { cl.chat("entry-1", "slow") })
+			cl.sendChats(150, 16*time.Second, cl.checkComplete)
+			time.Sleep(cl.randomMillis(1000))
+			if cl.random.IntN(2) == 0 {
+				cl.background(func() { cl.cutLinkFor("entry-4", leaving, 3*time.Second) })
 			}
-			engine := w.engines[leaving]
-			engine.hold()
-			w.must(w.call("entry-1", link.KindDrain, contract.NewDrain(vm.ID(leaving), "test"), &contract.Acknowledgement{}))
-			w.note()
+			engine := cl.engines[leaving]
+			engine.blockAnswers()
+			cl.must(cl.call("entry-1", link.KindDrain, contract.NewDrain(vm.ID(leaving), "test"), &contract.Acknowledgement{}))
+			cl.countFault()
 			time.Sleep(noNewWorkAfter)
-			before := engine.started()
+			before := engine.requestsReceived()
 			time.Sleep(8 * time.Second)
-			if n := engine.started() - before; n > 0 {
-				w.ledger.violation("%s got %d new requests later than %s after it began to leave", leaving, n, noNewWorkAfter)
+			if n := engine.requestsReceived() - before; n > 0 {
+				cl.record.addViolation("%s got %d new requests later than %s after it began to leave", leaving, n, noNewWorkAfter)
 			}
-			engine.release()
-			w.requests.Wait()
+			engine.unblockAnswers()
+			cl.callers.Wait()
 		},
-		seeded: map[string]func(w *world){
-			"take_while_draining": func(w *world) {
-				w.agentFaults.AdmitWhileDraining = true
-				w.entryFaults.SendToLeavingAgents = true
+		seededFaults: map[string]func(cl *cluster){
+			"take_while_draining": func(cl *cluster) {
+				cl.agentFaults.AdmitWhileDraining = true
+				cl.entryFaults.SendToLeavingAgents = true
 			},
 		},
 	}.run(t)
@@ -299,8 +299,8 @@
 func TestPromise6PlannedStopCutsNothing(t *testing.T) {
 	proof{
 		number: 6, name: "planned_stop_cuts_off_nothing",
-		scenario: func(w *world) {
-			stopping := w.pick("entry-2", "entry-4")
+		scenario: func(cl *cluster) {
+			stopping := cl.pick("entry-2", "entry-4")
 			var others []string
 			for _, e := range allEntries {
 				if e != stopping {
@@ -308,35 +308,35 @@
 				}
 			}
 			check := func(body string, a answer) {
-				if !a.whole() || a.body != wholeAnswer(body) {
-					w.ledger.violation("a planned stop cut off %s: %+v", body, a)
+				if !a.isComplete() || a.body != completeAnswer(body) {
+					cl.record.addViolation("a planned stop cut off %s: %+v", body, a)
 				}
 			}
 			for i := range 120 {
-				after := w.millis(5000)
-				at := w.pick(others...)
+				after := cl.randomMillis(5000)
+				at := cl.pick(others...)
 				if after < 2200*time.Millisecond {
 					// The balancer sends there until it has seen /readyz turn.
-					at = w.pick(allEntries...)
+					at = cl.pick(allEntries...)
 				}
-				w.background(func() {
+				cl.background(func() {
 					time.Sleep(after)
-					body, a := w.chat(at, fmt.Sprintf("chat-%d", i))
+					body, a := cl.chat(at, fmt.Sprintf("chat-%d", i))
 					check(body, a)
 				})
 			}
 			time.Sleep(2 * time.Second)
-			w.note()
-			entryDone := w.terminate(stopping)
-			w.note()
-			agentDone := w.terminate(w.pick("agent-1", "agent-3"))
+			cl.countFault()
+			entryDone := cl.terminate(stopping)
+			cl.countFault()
+			agentDone := cl.terminate(cl.pick("agent-1", "agent-3"))
 			<-agentDone
 			<-entryDone
-			w.requests.Wait()
+			cl.callers.Wait()
 		},
-		seeded: map[string]func(w *world){
-			"entry_drains_at_once": func(w *world) { w.entryFaults.SkipDrainWait = true },
-			"agent_drains_at_once": func(w *world) { w.agentFaults.SkipDrainWait = true },
+		seededFaults: map[string]func(cl *cluster){
+			"entry_drains_at_once": func(cl *cluster) { cl.entryFaults.SkipDrainWait = true },
+			"agent_drains_at_once": func(cl *cluster) { cl.agentFaults.SkipDrainWait = true },
 		},
 	}.run(t)
 }
@@ -350,56 +350,56 @@
 func TestPromise7ConfigurationHolds(t *testing.T) {
 	proof{
 		number: 7, name: "accepted_configuration_in_force_and_never_reverts",
-		scenario: func(w *world) {
-			watch := w.watchRevisions()
+		scenario: func(cl *cluster) {
+			stopWatching := cl.watchRevisions()
 			accepted := map[uint64]string{}
 			var mu sync.Mutex
 			for round := range 6 {
-				s, err := w.status(w.pick("entry-1", "entry-2", "entry-3"))
+				s, err := cl.status(cl.pick("entry-1", "entry-2", "entry-3"))
 				if err != nil {
 					continue
 				}
 				// Two operators with equal numbers write one object, through
 				// different entries; each resends until it has an answer.
 				for _, operator := range []string{"ann", "bob"} {
-					at := []string{w.pick(allEntries...), w.pick(allEntries...), w.pick(allEntries...)}
-					w.background(func() {
+					at := []string{cl.pick(allEntries...), cl.pick(allEntries...), cl.pick(allEntries...)}
+					cl.background(func() {
 						value := fmt.Sprintf("%s-%d", operator, round)
-						result, ok := w.changeLabel(at, value, s.Revision())
+						result, ok := cl.changeLabel(at, value, s.Revision())
 						if !ok || result.Refusal() != nil {
 							return
 						}
 						mu.Lock()
 						defer mu.Unlock()
-						if other, twice := accepted[result.Revision()]; twice {
-							w.ledger.violation("revision %d was accepted as %s and %s", result.Revision(), other, value)
+						if previous, exists := accepted[result.Revision()]; exists {
+							cl.record.addViolation("revision %d was accepted as %s and %s", result.Revision(), previous, value)
 						}
-						if w.sameRound(accepted, round) {
-							w.ledger.violation("both changes of round %d against revision %d were accepted", round, s.Revision())
+						if cl.isRoundAccepted(accepted, round) {
+							cl.record.addViolation("both changes of round %d against revision %d were accepted", round, s.Revision())
 						}
 						accepted[result.Revision()] = value
 					})
 				}
-				w.configFault()
+				cl.controlLogFault()
 			}
-			w.requests.Wait()
-			w.network.RestoreAll()
+			cl.callers.Wait()
+			cl.network.RestoreAll()
 			for _, name := range allEntries {
-				if !w.up(name) {
-					w.startEntry(name)
+				if !cl.isRunning(name) {
+					cl.startEntry(name)
 				}
 			}
-			w.checkInForce(accepted)
-			w.checkWholeRestart()
-			watch()
+			cl.checkInForce(accepted)
+			cl.checkFullRestart()
+			stopWatching()
 		},
-		seeded: map[string]func(w *world){
-			"skip_base_check": func(w *world) { w.entryFaults.Config.SkipBaseCheck = true },
+		seededFaults: map[string]func(cl *cluster){
+			"skip_base_check": func(cl *cluster) { cl.entryFaults.Config.SkipBaseCheck = true },
 		},
 	}.run(t)
 }
 
-func (w *world) sameRound(accepted map[uint64]string, round int) bool {
+func (cl *cluster) isRoundAccepted(accepted map[uint64]string, round int) bool {
 	for _, value := range accepted {
 		if strings.HasSuffix(value, fmt.Sprintf("-%d", round)) {
 			return true
@@ -409,12 +409,12 @@
 }
 
 // changeLabel writes one object and resends through other entries.
-func (w *world) changeLabel(at []string, value string, base uint64) (contract.ChangeResult, bool) {
+func (cl *cluster) changeLabel(at []string, value string, base uint64) (contract.ChangeResult, bool) {
 	o, err := contract.EncodeObject(contract.KindLabels, "contested", contract.NewLabelSet(vm.Labels{"value": value}, nil))
-	w.must(err)
+	cl.must(err)
 	for range 3 {
 		for _, entry := range at {
-			result, err := w.submit(entry, "change-"+value, base, []contract.Object{o}, nil)
+			result, err := cl.submit(entry, "change-"+value, base, []contract.Object{o}, nil)
 			if err == nil {
 				return result, true
 			}
@@ -426,28 +426,28 @@
 	return contract.ChangeResult{}, false
 }
 
-// configFault is a fault that the control log has to bear.
-func (w *world) configFault() {
-	switch w.random.IntN(4) {
+// controlLogFault is a fault that the control log has to bear.
+func (cl *cluster) controlLogFault() {
+	switch cl.random.IntN(4) {
 	case 0:
-		w.isolateFor(w.pick("entry-1", "entry-2", "entry-3"), w.millis(5000))
+		cl.isolateFor(cl.pick("entry-1", "entry-2", "entry-3"), cl.randomMillis(5000))
 	case 1:
-		w.killEntryFor(w.pick("entry-1", "entry-2", "entry-3"), w.millis(2000))
+		cl.killEntryFor(cl.pick("entry-1", "entry-2", "entry-3"), cl.randomMillis(2000))
 	case 2:
-		w.cutFor("entry-1", w.pick("entry-2", "entry-3"), w.millis(4000))
+		cl.cutLinkFor("entry-1", cl.pick("entry-2", "entry-3"), cl.randomMillis(4000))
 	default:
-		w.killAgentFor(w.pick(allAgents...), w.millis(1000))
+		cl.killAgentFor(cl.pick(allAgents...), cl.randomMillis(1000))
 	}
 }
 
 // watchRevisions looks at every process again and again, and reports one that
 // goes back. The returned function ends it.
-func (w *world) watchRevisions() (stop func()) {
+func (cl *cluster) watchRevisions() (stop func()) {
 	done := make(chan struct{})
 	highest := map[string]uint64{}
-	look := func(name string, revision uint64) {
+	check := func(name string, revision uint64) {
 		if revision < highest[name] {
-			w.ledger.violation("%s went back from revision %d to %d", name, highest[name], revision)
+			cl.record.addViolation("%s went back from revision %d to %d", name, highest[name], revision)
 		}
 		highest[name] = max(highest[name], revision)
 	}
@@ -460,17 +460,17 @@
 				return
 			case <-time.After(200 * time.Millisecond):
 			}
-			w.mu.Lock()
-			for name, e := range w.entries {
+			cl.mu.Lock()
+			for name, e := range cl.entries {
 				// An entry that has just started serves nobody yet.
 				if revision, serves := e.ServedRevision(); serves {
-					look(name, revision)
+					check(name, revision)
 				}
 			}
-			for name, a := range w.agents {
-				look(name, a.Revision())
+			for name, a := range cl.agents {
+				check(name, a.Revision())
 			}
-			w.mu.Unlock()
+			cl.mu.Unlock()
 		}
 	}()
 	return func() {
@@ -481,7 +481,7 @@
 
 // checkInForce checks that the last accepted change reaches every process in
 // time, and that nothing else stands in its place.
-func (w *world) checkInForce(accepted map[uint64]string) {
+func (cl *cluster) checkInForce(accepted map[uint64]string) {
 	last := uint64(0)
 	for revision := range accepted {
 		last = max(last, revision)
@@ -489,41 +489,41 @@
 	if last == 0 {
 		return
 	}
-	w.eventually("a leader", func() bool {
-		return w.call("entry-1", link.KindQuery, contract.NewQuery("", "", true), &contract.QueryResult{}) == nil ||
-			w.call("entry-2", link.KindQuery, contract.NewQuery("", "", true), &contract.QueryResult{}) == nil ||
-			w.call("entry-3", link.KindQuery, contract.NewQuery("", "", true), &contract.QueryResult{}) == nil
+	cl.eventually("a leader", func() bool {
+		return cl.call("entry-1", link.KindQuery, contract.NewQuery("", "", true), &contract.QueryResult{}) == nil ||
+			cl.call("entry-2", link.KindQuery, contract.NewQuery("", "", true), &contract.QueryResult{}) == nil ||
+			cl.call("entry-3", link.KindQuery, contract.NewQuery("", "", true), &contract.QueryResult{}) == nil
 	})
 	time.Sleep(inForceWithin)
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for name, e := range w.entries {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	for name, e := range cl.entries {
 		if revision, serves := e.ServedRevision(); !serves || revision < last {
-			w.ledger.violation("%s serves %t with revision %d; %d was accepted", name, serves, revision, last)
+			cl.record.addViolation("%s serves %t with revision %d; %d was accepted", name, serves, revision, last)
 		}
 	}
-	for name, a := range w.agents {
+	for name, a := range cl.agents {
 		if a.Revision() < last {
-			w.ledger.violation("%s has revision %d; %d was accepted", name, a.Revision(), last)
+			cl.record.addViolation("%s has revision %d; %d was accepted", name, a.Revision(), last)
 		}
 	}
 }
 
-// checkWholeRestart ends all entries and starts them again: nothing accepted
+// checkFullRestart ends all entries and starts them again: nothing accepted
 // may be missing.
-func (w *world) checkWholeRestart() {
-	s, err := w.status("entry-1")
-	w.must(err)
-	w.note()
+func (cl *cluster) checkFullRestart() {
+	s, err := cl.status("entry-1")
+	cl.must(err)
+	cl.countFault()
 	for _, name := range allEntries {
-		w.kill(name)
+		cl.kill(name)
 	}
 	for _, name := range allEntries {
-		w.startEntry(name)
+		cl.startEntry(name)
 	}
-	w.eventually("the revision after a whole restart", func() bool {
+	cl.eventually("the revision after a whole restart", func() bool {
 		for _, at := range []string{"entry-1", "entry-2", "entry-3"} {
-			after, err := w.status(at)
+			after, err := cl.status(at)
 			if err != nil || after.Revision() < s.Revision() {
 				return false
 			}
--- a/prove/prove_test.go
+++ b/prove/prove_test.go
@@ -33,35 +33,35 @@
 // runsPerProof is how many random runs each proof makes in CI.
 const runsPerProof = "12"
 
-// seededRuns bounds the runs in which a seeded fault has to be noticed. The one that is
+// maxSeededRuns bounds the runs in which a seeded fault has to be noticed. The one that is
 // hardest to notice shows in 9 to 11 of 40 seeds, and not in the same ones each time,
 // since goroutines take turns as they like: 20 runs miss it once in some hundred times,
 // 80 once in a hundred million.
-const seededRuns = 80
+const maxSeededRuns = 80
 
 // proof is one promise with its scenario.
 type proof struct {
 	number int
 	name   string
 	// scenario plays one random run and reports to the ledger.
-	scenario func(w *world)
-	// seeded leaves a safeguard out, by name.
-	seeded map[string]func(w *world)
+	scenario func(cl *cluster)
+	// seededFaults leaves a safeguard out, by name.
+	seededFaults map[string]func(cl *cluster)
 }
 
-// play makes one run and returns what was violated.
-func (p proof) play(t *testing.T, seed uint64, seedFault func(w *world)) (violations []string, faults int) {
+// runOnce makes one run and returns what was violated.
+func (p proof) runOnce(t *testing.T, seed uint64, seedFault func(cl *cluster)) (violations []string, faults int) {
 	bubble.Run(t, func(t *testing.T) {
-		w := newWorld(t, seed)
-		defer w.stop()
+		cl := newCluster(t, seed)
+		defer cl.stop()
 		if seedFault != nil {
-			seedFault(w)
+			seedFault(cl)
 		}
-		w.start()
-		p.scenario(w)
-		w.ledger.mu.Lock()
-		defer w.ledger.mu.Unlock()
-		violations, faults = w.ledger.violations, w.faults
+		cl.start()
+		p.scenario(cl)
+		cl.record.mu.Lock()
+		defer cl.record.mu.Unlock()
+		violations, faults = cl.record.violations, cl.faultCount
 	})
 	return violations, faults
 }
@@ -71,16 +71,16 @@
 	runs, faults := 0, 0
 	rapid.Check(t, func(rt *rapid.T) {
 		seed := rapid.Uint64Range(0, 1<<32).Draw(rt, "seed")
-		violations, n := p.play(t, seed, nil)
+		violations, runFaults := p.runOnce(t, seed, nil)
 		if len(violations) > 0 {
 			rt.Fatalf("seed %d: %s", seed, strings.Join(violations, "; "))
 		}
 		runs++
-		faults += n
+		faults += runFaults
 	})
-	for name, seedFault := range p.seeded {
-		if !p.catches(t, seedFault) {
-			t.Fatalf("prove %d %s: %d runs did not notice the seeded fault %s", p.number, p.name, seededRuns, name)
+	for name, seedFault := range p.seededFaults {
+		if !p.detects(t, seedFault) {
+			t.Fatalf("prove %d %s: %d runs did not notice the seeded fault %s", p.number, p.name, maxSeededRuns, name)
 		}
 	}
 	if t.Failed() {
@@ -89,9 +89,9 @@
 	fmt.Printf("prove %d %s: held runs=%d faults=%d seeded_fault=caught\n", p.number, p.name, runs, faults)
 }
 
-func (p proof) catches(t *testing.T, seedFault func(w *world)) bool {
-	for seed := range uint64(seededRuns) {
-		if violations, _ := p.play(t, seed, seedFault); len(violations) > 0 {
+func (p proof) detects(t *testing.T, seedFault func(cl *cluster)) bool {
+	for seed := range uint64(maxSeededRuns) {
+		if violations, _ := p.runOnce(t, seed, seedFault); len(violations) > 0 {
 			t.Logf("seeded fault noticed by seed %d: %s", seed, violations[0])
 			return true
 		}
--- a/prove/smoke_test.go
+++ b/prove/smoke_test.go
@@ -6,17 +6,17 @@
 	"github.com/tidepost/tidepost/internal/bubble"
 )
 
-func TestWorldServes(t *testing.T) {
+func TestClusterServes(t *testing.T) {
 	bubble.Run(t, func(t *testing.T) {
-		w := newWorld(t, 1)
-		defer w.stop()
-		w.start()
-		body, a := w.chat("entry-4", "first")
-		if !a.whole() || a.body != wholeAnswer(body) {
+		cl := newCluster(t, 1)
+		defer cl.stop()
+		cl.start()
+		body, a := cl.chat("entry-4", "first")
+		if !a.isComplete() || a.body != completeAnswer(body) {
 			t.Errorf("answer %+v", a)
 		}
-		w.eventually("the plain service", func() bool { return w.order("entry-2", "", "try").whole() })
-		if a := w.order("entry-2", "key-1", "flour"); a.body != "done:flour" {
+		cl.eventually("the plain service", func() bool { return cl.orderFromService("entry-2", "", "try").isComplete() })
+		if a := cl.orderFromService("entry-2", "key-1", "flour"); a.body != "done:flour" {
 			t.Errorf("order %+v", a)
 		}
 	})
--- a/test/cases_test.go
+++ b/test/cases_test.go
@@ -60,11 +60,11 @@
 }
 
 func runCase(t *testing.T, folder string) {
-	line, err := os.ReadFile(filepath.Join(folder, "cmd"))
+	commandLine, err := os.ReadFile(filepath.Join(folder, "cmd"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	words := strings.Fields(string(line))
+	words := strings.Fields(string(commandLine))
 	command := exec.Command(filepath.Join(binaries, words[0]), words[1:]...)
 	command.Dir = folder
 	command.Env = []string{"HOME=" + t.TempDir()}
@@ -72,11 +72,11 @@
 	command.Stdout, command.Stderr = &out, &errOut
 	_ = command.Run()
 	fmt.Fprintf(&errOut, "exit code %d\n", command.ProcessState.ExitCode())
-	compare(t, filepath.Join(folder, "expout"), out.Bytes())
-	compare(t, filepath.Join(folder, "experr"), errOut.Bytes())
+	compareGolden(t, filepath.Join(folder, "expout"), out.Bytes())
+	compareGolden(t, filepath.Join(folder, "experr"), errOut.Bytes())
 }
 
-func compare(t *testing.T, path string, got []byte) {
+func compareGolden(t *testing.T, path string, got []byte) {
 	t.Helper()
 	if *update {
 		if err := os.WriteFile(path, got, 0o644); err != nil {
--- a/test/demo_test.go
+++ b/test/demo_test.go
@@ -12,8 +12,8 @@
 	"testing"
 )
 
-// demoPorts keeps the runs apart from each other and from a demo by hand.
-const demoPorts = 19000
+// demoBasePort keeps the runs apart from each other and from a demo by hand.
+const demoBasePort = 19000
 
 func TestDemoEndsReadyWithAnyAgentKilled(t *testing.T) {
 	for killed := 0; killed <= 3; killed++ {
@@ -21,7 +21,7 @@
 			t.Parallel()
 			command := exec.Command("../scripts/demo.sh")
 			command.Env = append(os.Environ(),
-				"BIN="+binaries, fmt.Sprintf("DEMO_PORT=%d", demoPorts+100*killed))
+				"BIN="+binaries, fmt.Sprintf("DEMO_PORT=%d", demoBasePort+100*killed))
 			expected := "ready=3/3"
 			if killed > 0 {
 				command.Env = append(command.Env, fmt.Sprintf("DEMO_KILL_AGENT=%d", killed))
--- a/test/docs_test.go
+++ b/test/docs_test.go
@@ -27,6 +27,6 @@
 		if err != nil {
 			t.Fatalf("%s: %v", page, err)
 		}
-		compare(t, filepath.Join("..", "docs", file), output)
+		compareGolden(t, filepath.Join("..", "docs", file), output)
 	}
 }
--- a/test/journal_test.go
+++ b/test/journal_test.go
@@ -10,9 +10,9 @@
 	"testing"
 )
 
-// cited finds the entries of journal/ that a page takes figures from. An entry
+// citedEntry finds the entries of journal/ that a page takes figures from. An entry
 // without a result may be named too, as one.
-var cited = regexp.MustCompile(`(unfinished )?entry ([0-9a-f]{8})\b`)
+var citedEntry = regexp.MustCompile(`(unfinished )?entry ([0-9a-f]{8})\b`)
 
 // Every figure comes from a run: the entry that a page names is there, and it has
 // a result unless the page says that it has none.
@@ -27,7 +27,7 @@
 			return err
 		}
 		text := strings.ReplaceAll(string(raw), "\n", " ")
-		for _, m := range cited.FindAllStringSubmatch(text, -1) {
+		for _, m := range citedEntry.FindAllStringSubmatch(text, -1) {
 			checkEntry(t, path, m[2], m[1] != "")
 		}
 		return nil
