--- a/bench/burst_test.go
+++ b/bench/burst_test.go
@@ -1,12 +1,11 @@
 //go:build bench
 
 // ================================================================
-// The burst: N VMs, the real Swarm and Coordinator, chunks verified as they
-// are written, over paced links in virtual time.
-//
-// What is not in it: the framing of links and the disks. A link is a queue
-// that passes a block at its rate; a chunk goes in blocks, so that several
-// fetches share a link as they do over TCP.
+// Burst: all VMs fetch a new version at once. The bench runs the real Swarm and
+// Coordinator over rate-limited links in virtual time. It leaves out the
+// framing of links and the disks; a corrupt chunk is modelled as a failed fetch.
+// A link is a queue that transmits blocks at its rate. A chunk is several blocks,
+// so that concurrent fetches share a link as they do over TCP.
 // ================================================================
 
 package bench
@@ -29,8 +28,8 @@
 )
 
 const (
-	// window is the time in which the origin's link carries originCopies and a
-	// VM's link vmCopies.
+	// window is the time in which the origin's link carries originCopies copies of the weights, and
+	// a VM's link vmCopies.
 	window           = 240 * time.Second
 	originCopies     = 4.0
 	vmCopies         = 2.0
@@ -39,17 +38,17 @@
 	exchangeInterval = 200 * time.Millisecond
 	haveDelay        = 50 * time.Millisecond
 	reportInterval   = time.Second
-	// frameOverhead is what a message costs besides its body, in bytes.
+	// frameOverhead is the size of a message besides its body, in bytes.
 	frameOverhead = 17 + 12
-	// maxDuration bounds a burst that does not end.
+	// maxDuration bounds a run in which not all VMs become ready.
 	maxDuration = 20 * window
 )
 
-// burst is one run.
+// burst is one run of the bench.
 type burst struct {
 	n          int
 	domains    int
-	halfDuplex bool // a link's copies are both ways together
+	halfDuplex bool // both directions of a VM's link share its rate
 	fault      string
 	draws      int
 	fetches    int
@@ -70,14 +69,15 @@
 	random            *rand.Rand
 }
 
-// pacedLink passes one block after another.
+// pacedLink is a link that transmits one block after another at a fixed rate.
 type pacedLink struct {
 	mu        sync.Mutex
-	blockTime time.Duration // for one block
+	blockTime time.Duration // transmission time of a block
 	freeAt    time.Time
 }
 
-// transmit returns when a block is through.
+// transmit queues a block that may start at earliest, and returns the time at which its
+// transmission ends.
 func (l *pacedLink) transmit(earliest time.Time) time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -88,7 +88,7 @@
 	return l.freeAt
 }
 
-// burstVM is one VM with its swarm.
+// burstVM is a simulated VM with a real Swarm.
 type burstVM struct {
 	burst    *burst
 	identity vm.Identity
@@ -100,16 +100,16 @@
 	swarm         *spread.Swarm
 	dead          bool
 	complete      bool
-	subscribers   map[vm.ID]bool // who listens to us
-	settledLeases []uint32
-	subscriptions map[vm.ID]bool // whom we listen to
+	subscribers   map[vm.ID]bool // VMs that get this VM's announcements
+	settledLeases []uint32       // chunks whose lease ended since the last report, fetched or not
+	subscriptions map[vm.ID]bool // VMs whose announcements this VM gets
 	reporting     bool
 	reportAgain   bool
 
 	uploading int
 }
 
-// burstCoordinator is a domain's coordinator.
+// burstCoordinator is a failure domain's real Coordinator. cut is set while the domain is partitioned.
 type burstCoordinator struct {
 	mu          sync.Mutex
 	coordinator *spread.Coordinator
@@ -117,6 +117,7 @@
 	cut         bool
 }
 
+// blockTime returns a block's transmission time on a link that carries so many copies in a window.
 func blockTime(copies float64) time.Duration {
 	return time.Duration(float64(window) / copies / chunks / blocksPerChunk)
 }
@@ -162,7 +163,7 @@
 	case <-b.done:
 	case <-time.After(maxDuration):
 	}
-	// Virtual time stops with this goroutine, so the others end first.
+	// Virtual time stops when this goroutine returns; the others need it to end.
 	time.Sleep(window)
 }
 
@@ -184,6 +185,7 @@
 	}
 }
 
+// countControl adds the size of a control message to the total.
 func (b *burst) countControl(v any) {
 	raw, err := msgpack.Marshal(v)
 	if err != nil {
@@ -194,7 +196,7 @@
 	b.controlBytes += int64(len(raw) + frameOverhead)
 }
 
-// vmFinished notes that a VM is ready or gone.
+// vmFinished counts a VM that is ready or was killed, and ends the run after the last one.
 func (b *burst) vmFinished(ready bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -217,7 +219,7 @@
 }
 
 // ----------------------------------------------------------------
-// A VM
+// VM
 
 func (v *burstVM) loop() {
 	for !v.burst.ended() {
@@ -235,7 +237,8 @@
 	}
 }
 
-// requestReport asks the coordinator; one at a time, again if something happened.
+// requestReport sends a report to the coordinator. Only one report is in flight; a request made
+// meanwhile leads to another report after it.
 func (v *burstVM) requestReport() {
 	v.mu.Lock()
 	if v.reporting {
@@ -273,6 +276,7 @@
 	}
 }
 
+// applyPlan sets the neighbours and leases of a plan, and subscribes to new neighbours.
 func (v *burstVM) applyPlan(plan contract.SpreadPlan) {
 	v.mu.Lock()
 	if v.swarm.Done() || v.dead {
@@ -312,7 +316,8 @@
 	v.startFetches()
 }
 
-// subscribe listens to a neighbour: all it holds now, and what comes.
+// subscribe subscribes to a neighbour's announcements and gets the set of chunks that it already
+// holds.
 func (v *burstVM) subscribe(id vm.ID) {
 	other := v.burst.findVM(id)
 	other.mu.Lock()
@@ -385,7 +390,8 @@
 	v.uploading--
 }
 
-// transfer passes a chunk block by block over both links.
+// transfer sends a chunk block by block over both links. It reports false if an end died, the domains
+// were partitioned or the peer stalled.
 func (v *burstVM) transfer(upLink *pacedLink, other *burstVM) bool {
 	for range blocksPerChunk {
 		if v.isDead() || other != nil && other.isDead() || v.burst.cutBetween(v, other) {
@@ -395,8 +401,8 @@
 			time.Sleep(spread.DefaultStallTimeout)
 			return false
 		}
-		// The second link is entered only when the first has passed the block:
-		// a place reserved ahead would leave a gap that nobody can use.
+		// The block is queued on the second link only after the first has transmitted it. A slot
+		// reserved ahead would leave a gap on the second link that no other fetch could use.
 		time.Sleep(time.Until(upLink.transmit(time.Now())))
 		time.Sleep(time.Until(v.down.transmit(time.Now().Add(-v.down.blockTime))))
 	}
@@ -483,7 +489,8 @@
 	}
 }
 
-// exchangeLoop has the coordinators tell each other what their domains hold.
+// exchangeLoop has the coordinators exchange which chunks their domains hold: every
+// exchangeInterval for 5 s, then once a second.
 func (b *burst) exchangeLoop() {
 	for !b.ended() {
 		for _, c := range b.coordinators {
@@ -578,9 +585,9 @@
 }
 
 // ----------------------------------------------------------------
-// Bounds, baselines and the table
+// Lower bound, baselines and output
 
-// fluidBound is the least time that any plan needs, in windows.
+// fluidBound returns a lower bound of the time that any distribution plan takes, in windows.
 func fluidBound(n int, halfDuplex bool) float64 {
 	if halfDuplex {
 		return 2 * float64(n) / (2*float64(n) + 4)
@@ -588,8 +595,8 @@
 	return max(1/originCopies, 1/vmCopies, float64(n)/(originCopies+float64(n)*vmCopies))
 }
 
-// binaryTree is the time of whole copies down a binary tree: each VM sends to
-// two others at once when it has all.
+// binaryTree returns the time, in windows, of a distribution of complete copies along a binary tree:
+// each VM sends to two others at once after it has received its own copy.
 func binaryTree(n int, halfDuplex bool) float64 {
 	perLevel := 2 / vmCopies
 	levels := 0
@@ -626,7 +633,7 @@
 
 var burstSizes = []struct{ n, domains int }{{12, 3}, {100, 3}, {440, 16}}
 
-// burstFaultSizes leaves the largest out, which takes minutes for each fault.
+// burstFaultSizes omits the largest size, which takes minutes for each fault.
 var burstFaultSizes = burstSizes[:2]
 
 func TestBurst(t *testing.T) {
@@ -652,8 +659,8 @@
 	}
 }
 
-// TestBurstDraws looks for a setting that buys time with origin bytes, or bytes
-// with time: how many chunks are drawn at one time, and fetched at one time.
+// Shows the trade-off between time and bytes from the origin for several limits of concurrent
+// fetches from the origin (draws) and of concurrent fetches of a VM.
 func TestBurstDraws(t *testing.T) {
 	for _, halfDuplex := range []bool{false, true} {
 		for _, draws := range []int{16, 32, 64} {
@@ -667,7 +674,7 @@
 	}
 }
 
-// TestBurstUploads looks for the number of uploads that a VM takes at once.
+// Compares limits of concurrent uploads of a VM.
 func TestBurstUploads(t *testing.T) {
 	for _, uploads := range []int{4, 8, 12, 24} {
 		b := newBurst(100, 3, false, "", spread.DefaultOriginFetches, 1)
--- a/bench/capacity_test.go
+++ b/bench/capacity_test.go
@@ -1,8 +1,8 @@
 //go:build bench
 
 // ================================================================
-// Slopes for docs/CAPACITY.md: what one more member, object, chunk or claim
-// costs each role, in bytes, processor time and live heap.
+// Measures for docs/CAPACITY.md how the bytes, processor time and live heap of
+// each role grow with the number of agents, replicas, objects, chunks and claims.
 // ================================================================
 
 package bench
@@ -94,6 +94,7 @@
 	fitLine("entry_choice_of_a_replica", "replica", "us", points)
 }
 
+// newConfiguration returns a configuration state with so many label objects.
 func newConfiguration(labels int) *configstate.State {
 	s := configstate.NewState()
 	var objects []contract.Object
--- a/bench/control_test.go
+++ b/bench/control_test.go
@@ -1,8 +1,9 @@
 //go:build bench
 
 // ================================================================
-// The control log: real runners with real disks, messages handed over in
-// memory. Rates of one run are only compared with each other.
+// Benches of the control log: real runners with real disks, whose messages are
+// delivered in memory. Rates depend on the machine, so only compare those of one
+// run.
 // ================================================================
 
 package bench
@@ -29,7 +30,7 @@
 	"github.com/tidepost/tidepost/pkg/vm"
 )
 
-// logCluster is a set of runners.
+// logCluster is a set of control log runners that deliver messages to each other in memory.
 type logCluster struct {
 	mu      sync.Mutex
 	runners map[controllog.MemberID]*controllog.Runner
@@ -113,8 +114,8 @@
 	return raw
 }
 
-// proposalRate proposes from several callers for a while and returns how many a second
-// were accepted, and how long one took on average.
+// proposalRate proposes commands from concurrent callers for a second. It returns the accepted
+// proposals per second and the mean latency of one.
 func proposalRate(r *controllog.Runner, callers int, newCommand func(i int) []byte) (float64, time.Duration) {
 	const duration = time.Second
 	var wait sync.WaitGroup
@@ -188,6 +189,7 @@
 	}
 }
 
+// writeChanges fills the folder at path with the control log of one voter after so many changes.
 func writeChanges(t *testing.T, path string, self controllog.Member, changes int, snapshotEvery uint64) {
 	ctx, cancel := context.WithCancel(context.Background())
 	folder, err := disk.NewFolder(path)
@@ -224,8 +226,8 @@
 	_ = folder.Close()
 }
 
-// TestControlInForce measures, over real links on loopback, how long a change
-// takes from its acceptance until every follower has it in force.
+// Measures the time from a change's acceptance until every follower has it in force, over real links
+// on loopback.
 func TestControlInForce(t *testing.T) {
 	for _, n := range []int{12, 100, 400} {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -264,6 +266,7 @@
 	}
 }
 
+// awaitRevision polls until every state has reached the revision.
 func awaitRevision(states []*configstate.State, revision uint64) {
 	for _, s := range states {
 		for s.Revision() < revision {
--- a/bench/doc.go
+++ b/bench/doc.go
@@ -1,4 +1,4 @@
-// Package bench holds the benches that do not belong to one package. They run
-// by `make bench-burst`, `make bench-route` and the like, never in CI, and
-// print ratios taken in one run.
+// Package bench holds benches that span several packages. They run with `make bench-burst`,
+// `make bench-route` and so on, not in CI. Most of their figures are ratios within one run, since
+// absolute figures depend on the machine.
 package bench
--- a/bench/loopback_test.go
+++ b/bench/loopback_test.go
@@ -10,7 +10,7 @@
 	"github.com/tidepost/tidepost/pkg/link"
 )
 
-// serveOnLoopback serves an endpoint on a free port of loopback.
+// serveOnLoopback serves an endpoint on a free loopback port until ctx ends, and returns its address.
 func serveOnLoopback(t *testing.T, ctx context.Context, e *link.Endpoint) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/bench/measure_test.go
+++ b/bench/measure_test.go
@@ -1,8 +1,8 @@
 //go:build bench
 
 // ================================================================
-// Measuring: processor time and live heap at several sizes, and a line fitted
-// through them, with its error.
+// Measures processor time and live heap, and fits a line through values taken at
+// several sizes.
 // ================================================================
 
 package bench
@@ -16,7 +16,7 @@
 	"time"
 )
 
-// processorTime is what this process has used so far, in all threads.
+// processorTime returns the processor time that all threads of this process have used so far.
 func processorTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
@@ -25,7 +25,7 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// perCall returns the processor time of one call, over at least a while.
+// perCall returns the mean processor time of a call of f, over at least minTime.
 func perCall(f func()) time.Duration {
 	const minTime = 100 * time.Millisecond
 	calls := 0
@@ -41,7 +41,7 @@
 	}
 }
 
-// liveHeap returns the bytes that are in use after a collection.
+// liveHeap returns the bytes of heap in use after a garbage collection.
 func liveHeap() int64 {
 	runtime.GC()
 	runtime.GC()
@@ -50,7 +50,7 @@
 	return int64(m.HeapAlloc)
 }
 
-// heapOf returns what build leaves alive.
+// heapOf returns the heap that the value returned by build keeps alive, in bytes.
 func heapOf(build func() any) int64 {
 	before := liveHeap()
 	kept := build()
@@ -59,11 +59,11 @@
 	return after - before
 }
 
-// point is a value at a size.
+// point is a value measured at a size.
 type point struct{ size, value float64 }
 
-// fitLine prints the values and the line through them: value = base + slope*size.
-// The error is the largest distance from the line, against the largest value.
+// fitLine prints the values and their least-squares line, value = base + slope*size. The error is the
+// largest deviation from the line, relative to the largest value.
 func fitLine(name, per, unit string, points []point) {
 	n := float64(len(points))
 	var sx, sy, sxx, sxy float64
--- a/bench/path_test.go
+++ b/bench/path_test.go
@@ -1,9 +1,9 @@
 //go:build bench
 
 // ================================================================
-// The path of a request through entry and agent, against the same engine
-// called directly: processor time, bytes allocated and added delay. All run in
-// one process over loopback, so only the ratios and differences mean much.
+// Compares requests through an entry and an agent with requests sent directly to
+// the same engine: processor time, allocated bytes and delay. Everything runs in
+// one process over loopback, so only ratios and differences are meaningful.
 // ================================================================
 
 package bench
@@ -137,7 +137,7 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	p.t.Fatal("the path does not come up")
+	p.t.Fatal("the entry did not answer a request within 20 s")
 }
 
 func (p *pathSetup) post(base string, tokens int, stream bool) (int, int64) {
@@ -156,7 +156,8 @@
 	return response.StatusCode, n
 }
 
-// costPerRequest measures requests one after another.
+// costPerRequest sends requests one after another and returns the means of one: processor time,
+// delay and allocated bytes.
 func (p *pathSetup) costPerRequest(base string, tokens int) (processor, delay time.Duration, allocated uint64) {
 	const requests = 400
 	var before, after runtime.MemStats
--- a/bench/route_test.go
+++ b/bench/route_test.go
@@ -1,14 +1,14 @@
 //go:build bench
 
 // ================================================================
-// Routing and admission under load: the real Router and Controller, in virtual
-// time, before twelve small engines.
+// Simulates routing and admission under load, in virtual time: the real Router
+// and admission Controller with twelve modelled engines.
 //
-// An engine works in steps: each step gives a token to every request that it
-// runs and reads a part of the prompts that wait; a prompt whose prefix is in
-// its cache is short. Entries see load once a second. A request is good when
-// its first token comes within 0.72 s and its tokens are 63 ms apart at the
-// 95th percentile.
+// An engine works in steps. A step generates a token for every request whose
+// prompt has been read, and reads up to prefillPerStep tokens of the other
+// prompts; a cached prefix need not be read. Engines report load once a second.
+// A request counts as good (goodput) if its first token comes within 0.72 s and
+// the 95th percentile of its gaps between tokens is at most 63 ms.
 // ================================================================
 
 package bench
@@ -32,23 +32,23 @@
 	replicaCount    = 12
 	entryCount      = 6
 	batchSlots      = 16
-	requestLimit    = 20 // requests that an agent takes: the batch and a few
+	requestLimit    = 20 // requests that an agent accepts: a full batch and a short queue
 	stepBase        = 10 * time.Millisecond
 	stepPerToken    = 500 * time.Microsecond
-	prefillPerStep  = 512 // prompt tokens read in one step at most
+	prefillPerStep  = 512 // most prompt tokens that a step reads
 	prefillPerToken = 50 * time.Microsecond
 	prefixTokens    = 2000
 	suffixTokens    = 200
 	meanTokens      = 80.0
 	prefixes        = 60
 	cachedPrefixes  = 8
-	fullRate        = 80.0 // requests a second that are called 100%
+	fullRate        = 80.0 // requests per second that count as a load of 100 %
 	runTime         = 60 * time.Second
 	firstTokenGoal  = 720 * time.Millisecond
 	tokenGapGoal    = 63 * time.Millisecond
 )
 
-// routeRun is one run.
+// routeRun is one simulation.
 type routeRun struct {
 	policy    string
 	load      float64
@@ -74,7 +74,7 @@
 	goodBySecond          map[int]int
 }
 
-// timedEvent is something that happens at a time.
+// timedEvent is a scheduled callback. sequence orders events of the same time.
 type timedEvent struct {
 	at       time.Time
 	sequence int
@@ -96,6 +96,7 @@
 	return e
 }
 
+// after schedules a callback at d from now.
 func (r *routeRun) after(d time.Duration, run func()) {
 	r.sequence++
 	heap.Push(&r.events, timedEvent{r.now.Add(d), r.sequence, run})
@@ -104,7 +105,7 @@
 // ----------------------------------------------------------------
 // Engine
 
-// engineModel is one engine.
+// engineModel is a modelled engine with a batch, a queue and a prefix cache.
 type engineModel struct {
 	run      *routeRun
 	id       vm.ID
@@ -116,7 +117,7 @@
 	busy     bool
 }
 
-// requestModel is one request.
+// requestModel is a modelled request. prompt and tokens are the tokens still to be read and generated.
 type requestModel struct {
 	org      string
 	prefix   int
@@ -141,7 +142,8 @@
 	m.startStep()
 }
 
-// lookUpPrefix looks a prefix up and moves it to the front.
+// lookUpPrefix reports whether a prefix is cached, and makes it the most recently used one, which may
+// evict another.
 func (m *engineModel) lookUpPrefix(prefix int) bool {
 	for i, p := range m.cache {
 		if p == prefix {
@@ -223,7 +225,7 @@
 // ----------------------------------------------------------------
 // Entry
 
-// entryModel is one entry with the real decision objects.
+// entryModel is a modelled entry with the real Router, admission Controller and retry budget.
 type entryModel struct {
 	run       *routeRun
 	dead      bool
@@ -243,7 +245,8 @@
 	return candidates
 }
 
-// faultTime is when the replica of the fault dies; entries learn it 6 s later.
+// faultTime returns when the fault is injected, since the start. Entries learn of a replica's failure
+// 6 s later.
 func (r *routeRun) faultTime() time.Duration { return runTime / 2 }
 
 func (e *entryModel) submit(c *requestModel) {
@@ -304,7 +307,7 @@
 }
 
 // ----------------------------------------------------------------
-// The run
+// Simulation
 
 var startTime = time.Unix(1_700_000_000, 0)
 
@@ -375,12 +378,12 @@
 	r.after(time.Second, r.reportLoad)
 }
 
-// arrivalRate is what callers ask for at the moment.
+// arrivalRate returns the current rate of new requests, per second.
 func (r *routeRun) arrivalRate() float64 {
 	rate := r.load * fullRate
 	at := r.now.Sub(startTime)
 	if r.fault == "retry_storm" {
-		// Overloaded twice over for ten seconds, then at 80%.
+		// The load is 250 % from second 10 to second 20, and 80 % otherwise.
 		rate = 0.8 * fullRate
 		if at > 10*time.Second && at < 20*time.Second {
 			rate = 2.5 * fullRate
@@ -408,8 +411,9 @@
 	r.sendToEntry(c)
 }
 
-// drawOrganisation draws one of ten; two are large. In the flood the first asks
-// for ten times its share.
+// drawOrganisation picks one of ten organisations at random, of which two are large. With the fault
+// organisation_floods, half of the requests of the run's second half are given to the first one, in
+// addition to its usual part of the others.
 func (r *routeRun) drawOrganisation() int {
 	if r.fault == "organisation_floods" && r.now.Sub(startTime) > runTime/2 && r.random.IntN(2) == 0 {
 		return 0
@@ -436,7 +440,7 @@
 func (r *routeRun) refuse(c *requestModel, err error) {
 	r.refused++
 	if r.fault == "retry_storm" && c.attempts < 40 && r.now.Sub(startTime) < runTime {
-		// Callers that ignore the time to come back and ask again at once.
+		// These callers ignore the retry-after time of the refusal and retry after 100 ms.
 		c.attempts++
 		r.after(100*time.Millisecond, func() { r.sendToEntry(c) })
 	}
@@ -469,6 +473,7 @@
 	return sorted[min(len(sorted)-1, int(p*float64(len(sorted))))]
 }
 
+// jainIndex returns Jain's fairness index of the shares, which is 1 if they are equal.
 func jainIndex(shares map[string]float64) float64 {
 	sum, squares := 0.0, 0.0
 	for _, v := range shares {
@@ -519,7 +524,7 @@
 	}
 }
 
-// printRecovery tells how soon goodput is back after an overload's end.
+// printRecovery prints how many seconds after the overload's end goodput has recovered.
 func (r *routeRun) printRecovery() {
 	const overloadEnd = 20
 	for second := overloadEnd; second < int(runTime.Seconds()); second++ {
--- a/prove/backends_test.go
+++ b/prove/backends_test.go
@@ -1,6 +1,6 @@
 // ================================================================
-// Engines, a plain service and an origin in memory. Each knows what really
-// happened: what was loaded, what ran and how often.
+// In-memory engines, a plain service and an origin. They record what was loaded
+// and which requests were executed, independently of what tidepost reports.
 // ================================================================
 
 package prove
@@ -25,48 +25,48 @@
 	"github.com/tidepost/tidepost/pkg/fake"
 )
 
-// tokenInterval is the time between two tokens.
+// tokenInterval is the time between two tokens of an engine's answer.
 const tokenInterval = 10 * time.Millisecond
 
-// record is what really happened, over all backend servers.
-type record struct {
+// runRecord counts the executions of requests on all backend servers, and collects violations.
+type runRecord struct {
 	mu         sync.Mutex
 	runs       map[string]int // by request body
 	violations []string
 }
 
-func newRunRecord() *record { return &record{runs: map[string]int{}} }
+func newRunRecord() *runRecord { return &runRecord{runs: map[string]int{}} }
 
-func (l *record) addRun(body string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.runs[body]++
+func (r *runRecord) addRun(body string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.runs[body]++
 }
 
-func (l *record) runCount(body string) int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.runs[body]
+func (r *runRecord) runCount(body string) int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.runs[body]
 }
 
-func (l *record) addViolation(format string, arguments ...any) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.violations = append(l.violations, fmt.Sprintf(format, arguments...))
+func (r *runRecord) addViolation(format string, arguments ...any) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.violations = append(r.violations, fmt.Sprintf(format, arguments...))
 }
 
 // ----------------------------------------------------------------
 // Engine
 
-// modelEngine is an engine in memory.
+// modelEngine is an in-memory engine.
 type modelEngine struct {
-	record *record
+	record *runRecord
 
 	mu             sync.Mutex
 	instance       int
 	fence          uint64
 	loaded         map[string]string // digest to model
-	content        map[string]string // digest to what the weights really are
+	content        map[string]string // digest of the order to digest of the weights that were read
 	requestCount   int
 	orderCount     int
 	ordersInFlight int
@@ -75,8 +75,8 @@
 	blocked        bool
 }
 
-func newModelEngine(l *record) *modelEngine {
-	return &modelEngine{record: l, loaded: map[string]string{}, content: map[string]string{}, loadTime: 5 * tokenInterval}
+func newModelEngine(record *runRecord) *modelEngine {
+	return &modelEngine{record: record, loaded: map[string]string{}, content: map[string]string{}, loadTime: 5 * tokenInterval}
 }
 
 func (m *modelEngine) setLoadTime(d time.Duration) {
@@ -85,14 +85,14 @@
 	m.loadTime = d
 }
 
-// ordersReceived counts the orders given so far, and overlapping those that came while
-// another was under way.
+// ordersReceived returns the number of orders so far.
 func (m *modelEngine) ordersReceived() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.orderCount
 }
 
+// overlappingOrders returns how many orders arrived while another one was being executed.
 func (m *modelEngine) overlappingOrders() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -103,7 +103,7 @@
 	return &engine.Engine{SendOrder: m.sendOrder, ReadState: m.readState, SendRequest: m.sendRequest}
 }
 
-// blockAnswers makes every answer wait for release, so that a VM that drains stays.
+// blockAnswers stalls every answer until unblockAnswers, so that a VM that drains does not end.
 func (m *modelEngine) blockAnswers() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -116,7 +116,7 @@
 	m.blocked = false
 }
 
-// requestsReceived counts the requests that reached the engine.
+// requestsReceived returns the number of requests that reached the engine.
 func (m *modelEngine) requestsReceived() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -129,7 +129,7 @@
 	return m.blocked
 }
 
-// restart loses what was loaded.
+// restart simulates a restart of the engine, which unloads all models.
 func (m *modelEngine) restart() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -137,8 +137,8 @@
 	m.loaded = map[string]string{}
 }
 
-// sendOrder loads without looking, as a trusting engine does; what it has loaded is
-// found out at once and remembered.
+// sendOrder executes an order without verifying the weights, as a real engine does. The digest of
+// the weights is recorded, so that sendRequest can compare it with the digest of the order.
 func (m *modelEngine) sendOrder(ctx context.Context, o engine.Order) (engine.State, error) {
 	type result struct {
 		state engine.State
@@ -153,7 +153,7 @@
 	case a := <-done:
 		return a.state, a.err
 	case <-ctx.Done():
-		// The engine goes on with an order when the agent that gave it is gone.
+		// The engine continues to execute the order although the agent's call has ended.
 		return engine.State{}, failure.New(failure.BackendFailed, "%v", ctx.Err()).WithRan(failure.RanUnknown)
 	}
 }
@@ -202,7 +202,7 @@
 	return s
 }
 
-// sendRequest answers with tokens that name the request and what the weights are.
+// sendRequest streams tokens that contain the request's body, so that an answer identifies its request.
 func (m *modelEngine) sendRequest(ctx context.Context, r contract.Request) (*http.Response, error) {
 	m.mu.Lock()
 	digest := r.Digest().String()
@@ -216,7 +216,7 @@
 		return newResponse(http.StatusNotFound, "text/plain", digest, strings.NewReader("not loaded")), nil
 	}
 	if content != digest {
-		m.record.addViolation("an answer from weights %.12s under the digest %.12s", content, digest)
+		m.record.addViolation("an answer was computed with weights %.12s but labelled with digest %.12s", content, digest)
 	}
 	reader, writer := io.Pipe()
 	go func() {
@@ -244,10 +244,10 @@
 	return newResponse(http.StatusOK, "text/event-stream", digest, reader), nil
 }
 
-// answerTokens is the length of every answer.
+// answerTokens is the number of tokens of every answer.
 const answerTokens = 12
 
-// completeAnswer is what a caller must get for a body.
+// completeAnswer returns the answer that a caller must get for a body.
 func completeAnswer(body string) string {
 	var b strings.Builder
 	for i := range answerTokens {
@@ -271,15 +271,15 @@
 // ----------------------------------------------------------------
 // Plain service
 
-// plainService is a service in memory whose calls may not be repeated.
+// plainService is an in-memory service whose calls are not repeatable.
 type plainService struct {
-	record *record
+	record *runRecord
 
 	mu   sync.Mutex
 	mode string
 }
 
-// The ways in which a call can end.
+// The modes of a plainService: it answers, or it executes the call and loses the answer.
 const (
 	modeNormal     = ""
 	modeLoseAnswer = "lose_answer"
@@ -308,7 +308,7 @@
 // ----------------------------------------------------------------
 // Origin
 
-// origin holds the versions of one model.
+// origin holds the versions of one model and corrupts a share of the chunks that it serves.
 type origin struct {
 	mu           sync.Mutex
 	versions     map[string][]byte
--- a/prove/world_test.go
+++ b/prove/cluster_test.go
@@ -1,6 +1,6 @@
 // ================================================================
-// A small world: entries and agents of three failure domains, as whole
-// processes but for the main function, over the network in memory.
+// An in-process cluster for the proofs: complete entries and agents (all but
+// their main function) in three failure domains, over an in-memory network.
 //
 //	domain a: entry-1 (voter), entry-4, agent-1, agent-2
 //	domain b: entry-2 (voter), agent-3, agent-4
@@ -39,10 +39,10 @@
 	"github.com/tidepost/tidepost/pkg/vm"
 )
 
-// linkLatency is what every write takes to arrive.
+// linkLatency is the delivery delay of every write on the in-memory network.
 const linkLatency = time.Millisecond
 
-// location says where a process stands.
+// location is the failure domain and the link address of a process, and whether it is a voter.
 type location struct {
 	domain  string
 	address string
@@ -70,27 +70,27 @@
 	done    chan struct{}
 }
 
-// cluster is the whole.
+// cluster holds the processes, the network between them, the backend servers and the run's results.
 type cluster struct {
 	t       *testing.T
 	random  *rand.Rand
 	network *memnet.Network
 	folder  string
-	record  *record
+	record  *runRecord
 	origin  *origin
 	service *plainService
 	engines map[string]*modelEngine
 
 	entryFaults entry.Faults
 	agentFaults agent.Faults
-	// agentSettings are the lines of an agent's settings about its engine.
+	// agentSettings is the part of an agent's settings file that describes its engine.
 	agentSettings string
 	beforeSend    func(attempt string)
 	sendAnswer    func(send func(contract.ResponsePart) error, part contract.ResponsePart) error
-	// faultRandom is for hooks that run beside the scenario, each under a lock of
-	// its own, so that random stays with the scenario.
+	// faultRandom is used by hooks that run concurrently with the scenario, each under its own
+	// lock. Only the scenario uses random, so that its sequence depends on the seed alone.
 	faultRandom *rand.Rand
-	// damagesAnswers says that the scenario damages answers on purpose.
+	// damagesAnswers is set if the scenario damages answers on purpose.
 	damagesAnswers bool
 
 	mu             sync.Mutex
@@ -122,7 +122,7 @@
 	})
 	cl.removeListener = invariant.Listen(func(name, detail string) {
 		if cl.damagesAnswers && strings.HasPrefix(name, "answer_") {
-			// The very check that the scenario calls for.
+			// The scenario damages answers, so this invariant is expected to report them.
 			return
 		}
 		cl.record.addViolation("invariant %s: %s", name, detail)
@@ -130,7 +130,8 @@
 	return cl
 }
 
-// start brings everything up with version v1 in force.
+// start starts all processes, forms the voters, and returns once every replica is ready with
+// version v1.
 func (cl *cluster) start() {
 	for _, name := range []string{"entry-1", "entry-2", "entry-3", "entry-4"} {
 		cl.startEntry(name)
@@ -158,10 +159,10 @@
 	}
 }
 
-// eventuallyTimeout is how long the world waits for something to come about, in
-// virtual time.
+// eventuallyTimeout bounds every wait of eventually, in virtual time.
 const eventuallyTimeout = 2 * time.Minute
 
+// eventually polls holds until it is true, and fails the test after eventuallyTimeout.
 func (cl *cluster) eventually(what string, holds func() bool) {
 	cl.t.Helper()
 	for end := time.Now().Add(eventuallyTimeout); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
@@ -169,7 +170,7 @@
 			return
 		}
 	}
-	cl.t.Fatalf("%s: not within %s", what, eventuallyTimeout)
+	cl.t.Fatalf("%s: did not happen within %s", what, eventuallyTimeout)
 }
 
 // ----------------------------------------------------------------
@@ -262,7 +263,8 @@
 	}()
 }
 
-// kill ends a process without a word and waits until it is gone.
+// kill ends a process without a graceful shutdown, breaking its connections first, and waits
+// for it to end.
 func (cl *cluster) kill(name string) {
 	cl.mu.Lock()
 	p := cl.processes[name]
@@ -278,7 +280,7 @@
 	<-p.done
 }
 
-// terminate asks a process to leave in order, and returns its end.
+// terminate starts a process's graceful shutdown; the returned channel is closed when it has ended.
 func (cl *cluster) terminate(name string) <-chan struct{} {
 	cl.mu.Lock()
 	p := cl.processes[name]
@@ -293,9 +295,9 @@
 	return cl.processes[name] != nil
 }
 
-// stop ends everything, and every goroutine with it.
+// stop ends all processes. It then sleeps for a minute of virtual time, so that the remaining
+// goroutines reach their timeouts and end within the bubble.
 func (cl *cluster) stop() {
-
 	cl.network.RestoreAll()
 	cl.callers.Wait()
 	cl.mu.Lock()
@@ -326,7 +328,8 @@
 	return cl.operator.Call(ctx, p.address, kind, request, answer)
 }
 
-// apply puts a version of the model, an organisation and the service in force.
+// apply submits a change that configures the origin, an organisation, the service, and the group
+// with the given model version.
 func (cl *cluster) apply(at, id string, base uint64, version string) (contract.ChangeResult, error) {
 	var objects []contract.Object
 	add := func(kind contract.ObjectKind, name string, body any) {
@@ -355,7 +358,8 @@
 	return s, err
 }
 
-// ready counts the replicas that entries see ready with a version.
+// ready returns how many replicas the voters report as ready with a version and not leaving. An
+// agent counts once for each voter that lists it.
 func (cl *cluster) ready(version string) int {
 	manifest, err := cl.origin.manifest(context.Background(), "", contract.NewModelName("menu", version))
 	cl.must(err)
@@ -380,7 +384,8 @@
 // ----------------------------------------------------------------
 // Callers
 
-// answer is what a caller got.
+// answer is a caller's view of a response. ran is the header that states whether the request was
+// executed; aborted is set if the handler aborted the connection.
 type answer struct {
 	status  int
 	body    string
@@ -388,17 +393,17 @@
 	aborted bool
 }
 
-// isComplete tells whether the caller has reason to take the answer for whole.
+// isComplete reports whether the caller must take the answer as complete.
 func (a answer) isComplete() bool {
 	return a.status == http.StatusOK && !a.aborted && !strings.Contains(a.body, "event: error")
 }
 
-// saysNotRun tells whether the caller was told that nothing ran.
+// saysNotRun reports whether the caller was told that the request was not executed.
 func (a answer) saysNotRun() bool {
 	return a.status != http.StatusOK && a.ran == failure.NotRun.String()
 }
 
-// post sends a request to an entry, as the balancer would.
+// post sends a request to an entry, as the load balancer in front of the entries would.
 func (cl *cluster) post(at, path, body string, headers map[string]string) answer {
 	cl.mu.Lock()
 	e := cl.entries[at]
@@ -421,13 +426,13 @@
 	return answer{recorder.Code, recorder.Body.String(), recorder.Header().Get(entry.HeaderRan), aborted}
 }
 
-// chat asks the model; the body names the request.
+// chat sends a chat request and returns its body, which is unique to the name, with the answer.
 func (cl *cluster) chat(at, name string) (string, answer) {
 	body := fmt.Sprintf(`{"model":"menu","stream":true,"name":%q}`, name)
 	return body, cl.post(at, "/v1/chat/completions", body, nil)
 }
 
-// orderFromService sends an order to the plain service under a key.
+// orderFromService sends an order to the plain service, with an idempotency key unless it is empty.
 func (cl *cluster) orderFromService(at, key, body string) answer {
 	headers := map[string]string{}
 	if key != "" {
@@ -436,7 +441,7 @@
 	return cl.post(at, "/services/ordering/orders", body, headers)
 }
 
-// background runs a caller beside the scenario.
+// background runs a caller concurrently with the scenario; stop waits for it.
 func (cl *cluster) background(f func()) {
 	cl.callers.Add(1)
 	go func() {
--- a/prove/doc.go
+++ b/prove/doc.go
@@ -1,8 +1,8 @@
-// Package prove holds one proof for each promise that tidepost makes. A proof
-// runs whole entries and agents in one process, over a network, engines and
-// services in memory and in virtual time, under random faults; and it shows
-// that it would notice: with one safeguard left out, it fails.
+// Package prove tests the promises that tidepost makes, with one randomized test (a "proof") for
+// each. A proof runs complete entries and agents in one process and in virtual time, with an
+// in-memory network, engines and services, and injects random faults. To show that its check is
+// effective, it also disables one safeguard at a time and requires the check to fail.
 //
-// `make prove` runs them with fixed seeds, `make soak MINUTES=10` with random
-// ones. docs/PROOFS.md says promise by promise what is proved and what is not.
+// `make prove` runs the proofs with fixed seeds, `make soak MINUTES=10` with random ones.
+// docs/PROOFS.md states for each promise what is tested and what is not.
 package prove
--- a/prove/faults_test.go
+++ b/prove/faults_test.go
@@ -1,18 +1,18 @@
 // ================================================================
-// The faults that scenarios draw from.
+// The faults that the scenarios inject.
 // ================================================================
 
 package prove
 
 import "time"
 
-// countFault counts a fault.
+// countFault counts an injected fault for the line that the proof prints.
 func (cl *cluster) countFault() { cl.faultCount++ }
 
-// killAgentFor kills an agent, and starts it again after a while.
+// killAgentFor kills an agent and starts it again after d.
 func (cl *cluster) killAgentFor(name string, d time.Duration) { cl.killFor(name, d, cl.startAgent) }
 
-// killEntryFor kills an entry, and starts it again after a while.
+// killEntryFor kills an entry and starts it again after d.
 func (cl *cluster) killEntryFor(name string, d time.Duration) { cl.killFor(name, d, cl.startEntry) }
 
 func (cl *cluster) killFor(name string, d time.Duration, start func(name string)) {
@@ -25,7 +25,7 @@
 	start(name)
 }
 
-// cutLinkFor cuts the link between two hosts without a word.
+// cutLinkFor holds back all traffic between two hosts for d, without closing their connections.
 func (cl *cluster) cutLinkFor(a, b string, d time.Duration) {
 	cl.countFault()
 	cl.network.SetCut(a, b, true)
@@ -33,7 +33,7 @@
 	cl.network.SetCut(a, b, false)
 }
 
-// isolateFor cuts a host off from all entries and agents.
+// isolateFor holds back all traffic between a host and all entries and agents for d.
 func (cl *cluster) isolateFor(name string, d time.Duration) {
 	cl.countFault()
 	cl.isolate(name, true)
@@ -54,7 +54,7 @@
 	}
 }
 
-// randomMillis returns a random time up to most.
+// randomMillis returns a random duration of 1 to limit milliseconds.
 func (cl *cluster) randomMillis(limit int) time.Duration {
 	return time.Duration(1+cl.random.IntN(limit)) * time.Millisecond
 }
--- a/prove/promises_test.go
+++ b/prove/promises_test.go
@@ -1,6 +1,6 @@
 // ================================================================
-// The seven promises, each as a scenario of random events and the check that
-// belongs to it.
+// The seven promises: for each a scenario of random faults, its check, and the
+// seeded faults that the check must detect.
 // ================================================================
 
 package prove
@@ -21,8 +21,8 @@
 var allEntries = []string{"entry-1", "entry-2", "entry-3", "entry-4"}
 var allAgents = []string{"agent-1", "agent-2", "agent-3", "agent-4", "agent-5"}
 
-// sendChats sends n chats from random entries over a time, and calls check with
-// each answer once it has come.
+// sendChats sends n chats through random entries at random times within over, and calls check with
+// each answer. It does not wait for them.
 func (cl *cluster) sendChats(n int, over time.Duration, check func(body string, a answer)) {
 	for i := range n {
 		at, after := cl.pick(allEntries...), cl.randomMillis(int(over/time.Millisecond))
@@ -34,7 +34,8 @@
 	}
 }
 
-// checkComplete reports an answer that looks whole and is not the caller's.
+// checkComplete records a violation if an answer looks complete but is not the one that belongs to
+// the request.
 func (cl *cluster) checkComplete(body string, a answer) {
 	if a.isComplete() && a.body != completeAnswer(body) {
 		cl.record.addViolation("answer to %s: %q", body, a.body)
@@ -55,7 +56,7 @@
 			cl.must(err)
 			_, err = cl.apply("entry-1", "roll", s.Revision(), "v2")
 			cl.must(err)
-			// The version changes at the origin in mid-copy, and back.
+			// The weights of v2 change at the origin during the copy, and are then restored.
 			time.Sleep(cl.randomMillis(200))
 			cl.countFault()
 			cl.origin.put("v2", 99)
@@ -79,7 +80,7 @@
 
 func TestPromise2WholeAnswers(t *testing.T) {
 	damageAnswers := func(cl *cluster) {
-		// Parts are doubled, swapped with the next one, or lost.
+		// Answer parts are duplicated, swapped with the next one, or dropped.
 		var mu sync.Mutex
 		held := map[string]contract.ResponsePart{}
 		cl.sendAnswer = func(send func(contract.ResponsePart) error, part contract.ResponsePart) error {
@@ -116,7 +117,7 @@
 			cl.killAgentFor("agent-3", 100*time.Millisecond)
 			cl.killAgentFor("agent-2", 100*time.Millisecond)
 			cl.killAgentFor("agent-5", 100*time.Millisecond)
-			cl.eventually("replicas back", func() bool { return cl.ready("v1") == len(allAgents) })
+			cl.eventually("replicas ready after their restart", func() bool { return cl.ready("v1") == len(allAgents) })
 			cl.sendChats(60, 5*time.Second, cl.checkComplete)
 			time.Sleep(cl.randomMillis(2000))
 			cl.killAgentFor(cl.pick(allAgents...), cl.randomMillis(500))
@@ -166,7 +167,7 @@
 			cl.callers.Wait()
 			for _, body := range notRun {
 				if n := cl.record.runCount(body); n > 0 {
-					cl.record.addViolation("%q was called not run and ran %d times", body, n)
+					cl.record.addViolation("%q was reported as not run but was executed %d times", body, n)
 				}
 			}
 		},
@@ -176,7 +177,7 @@
 	}.run(t)
 }
 
-// randomFault makes one fault of any kind and waits it out.
+// randomFault injects one fault of a random kind and returns after it has ended.
 func (cl *cluster) randomFault() {
 	switch cl.random.IntN(5) {
 	case 0:
@@ -201,7 +202,7 @@
 		number: 4, name: "not_repeatable_runs_at_most_once",
 		scenario: func(cl *cluster) {
 			const orders = 25
-			// Some entries are frozen between claim and send, past deadlines too.
+			// Some attempts are delayed between claim and send, some of them beyond their deadline.
 			cl.beforeSend = cl.randomSendDelay()
 			for i := range orders {
 				at := []string{cl.pick(allEntries...), cl.pick(allEntries...), cl.pick(allEntries...)}
@@ -210,7 +211,7 @@
 					time.Sleep(after)
 					body, key := fmt.Sprintf("order-%d", i), fmt.Sprintf("key-%d", i)
 					for _, entry := range at {
-						// A caller that got no answer asks again elsewhere.
+						// A caller without an answer retries through another entry, with the same key.
 						if a := cl.orderFromService(entry, key, body); a.isComplete() {
 							return
 						}
@@ -226,7 +227,7 @@
 			cl.callers.Wait()
 			for i := range orders {
 				if n := cl.record.runCount(fmt.Sprintf("order-%d", i)); n > 1 {
-					cl.record.addViolation("order-%d ran %d times", i, n)
+					cl.record.addViolation("order-%d was executed %d times", i, n)
 				}
 			}
 		},
@@ -237,7 +238,8 @@
 	}.run(t)
 }
 
-// randomSendDelay returns a hook that holds an attempt back now and then.
+// randomSendDelay returns a hook that delays one attempt in eight by 5 s and one in eight by 25 s,
+// which is longer than the callers' deadline of 20 s.
 func (cl *cluster) randomSendDelay() func(string) {
 	var mu sync.Mutex
 	return func(string) {
@@ -255,16 +257,16 @@
 
 // ----------------------------------------------------------------
 
-// noNewWorkAfter is how long after it began to leave a backend server may
-// still get new work.
+// noNewWorkAfter is how long a backend server may still get new requests after it has begun to
+// leave.
 const noNewWorkAfter = 3 * time.Second
 
 func TestPromise5LeavingGetsNothingNew(t *testing.T) {
 	proof{
 		number: 5, name: "leaving_gets_nothing_new",
 		scenario: func(cl *cluster) {
-			// The VM that leaves is cut off from one of its two entries, so that
-			// this one cannot hear of it, and the platform says nothing.
+			// In half of the runs the leaving VM's link to one of its two entries is cut, so that this
+			// entry does not get its heartbeats, and the platform does not announce the withdrawal.
 			leaving := cl.pick("agent-1", "agent-2")
 			cl.background(func() { cl.chat("entry-1", "slow") })
 			cl.sendChats(150, 16*time.Second, cl.checkComplete)
@@ -280,7 +282,7 @@
 			before := engine.requestsReceived()
 			time.Sleep(8 * time.Second)
 			if n := engine.requestsReceived() - before; n > 0 {
-				cl.record.addViolation("%s got %d new requests later than %s after it began to leave", leaving, n, noNewWorkAfter)
+				cl.record.addViolation("%s got %d new requests more than %s after it had begun to leave", leaving, n, noNewWorkAfter)
 			}
 			engine.unblockAnswers()
 			cl.callers.Wait()
@@ -309,14 +311,14 @@
 			}
 			check := func(body string, a answer) {
 				if !a.isComplete() || a.body != completeAnswer(body) {
-					cl.record.addViolation("a planned stop cut off %s: %+v", body, a)
+					cl.record.addViolation("a planned stop interrupted %s: %+v", body, a)
 				}
 			}
 			for i := range 120 {
 				after := cl.randomMillis(5000)
 				at := cl.pick(others...)
 				if after < 2200*time.Millisecond {
-					// The balancer sends there until it has seen /readyz turn.
+					// The load balancer uses this entry until /readyz reports it as not ready.
 					at = cl.pick(allEntries...)
 				}
 				cl.background(func() {
@@ -343,8 +345,8 @@
 
 // ----------------------------------------------------------------
 
-// inForceWithin is how soon an accepted change must be in force everywhere
-// once links are whole.
+// inForceWithin bounds the time until an accepted change is in force on every process, once all
+// links work.
 const inForceWithin = 6 * time.Second
 
 func TestPromise7ConfigurationHolds(t *testing.T) {
@@ -359,8 +361,8 @@
 				if err != nil {
 					continue
 				}
-				// Two operators with equal numbers write one object, through
-				// different entries; each resends until it has an answer.
+				// Two operators change the same object against the same base revision, through
+				// different entries; each resends until it gets an answer.
 				for _, operator := range []string{"ann", "bob"} {
 					at := []string{cl.pick(allEntries...), cl.pick(allEntries...), cl.pick(allEntries...)}
 					cl.background(func() {
@@ -399,6 +401,7 @@
 	}.run(t)
 }
 
+// isRoundAccepted reports whether a change of the round is among the accepted ones.
 func (cl *cluster) isRoundAccepted(accepted map[uint64]string, round int) bool {
 	for _, value := range accepted {
 		if strings.HasSuffix(value, fmt.Sprintf("-%d", round)) {
@@ -408,7 +411,8 @@
 	return false
 }
 
-// changeLabel writes one object and resends through other entries.
+// changeLabel submits a change of one object, and resends it through the other entries unless it
+// was refused for good. It reports whether it got a result.
 func (cl *cluster) changeLabel(at []string, value string, base uint64) (contract.ChangeResult, bool) {
 	o, err := contract.EncodeObject(contract.KindLabels, "contested", contract.NewLabelSet(vm.Labels{"value": value}, nil))
 	cl.must(err)
@@ -426,7 +430,7 @@
 	return contract.ChangeResult{}, false
 }
 
-// controlLogFault is a fault that the control log has to bear.
+// controlLogFault injects a random fault that the control log must tolerate.
 func (cl *cluster) controlLogFault() {
 	switch cl.random.IntN(4) {
 	case 0:
@@ -440,14 +444,14 @@
 	}
 }
 
-// watchRevisions looks at every process again and again, and reports one that
-// goes back. The returned function ends it.
+// watchRevisions polls the revision of every process and records a violation if one decreases. The
+// returned function ends the polling.
 func (cl *cluster) watchRevisions() (stop func()) {
 	done := make(chan struct{})
 	highest := map[string]uint64{}
 	check := func(name string, revision uint64) {
 		if revision < highest[name] {
-			cl.record.addViolation("%s went back from revision %d to %d", name, highest[name], revision)
+			cl.record.addViolation("the revision of %s decreased from %d to %d", name, highest[name], revision)
 		}
 		highest[name] = max(highest[name], revision)
 	}
@@ -462,7 +466,7 @@
 			}
 			cl.mu.Lock()
 			for name, e := range cl.entries {
-				// An entry that has just started serves nobody yet.
+				// An entry that has just started may not have a configuration yet.
 				if revision, serves := e.ServedRevision(); serves {
 					check(name, revision)
 				}
@@ -479,8 +483,8 @@
 	}
 }
 
-// checkInForce checks that the last accepted change reaches every process in
-// time, and that nothing else stands in its place.
+// checkInForce records a violation for every process that does not have the last accepted revision
+// within inForceWithin.
 func (cl *cluster) checkInForce(accepted map[uint64]string) {
 	last := uint64(0)
 	for revision := range accepted {
@@ -509,8 +513,7 @@
 	}
 }
 
-// checkFullRestart ends all entries and starts them again: nothing accepted
-// may be missing.
+// checkFullRestart kills all entries and starts them again: no accepted revision may be lost.
 func (cl *cluster) checkFullRestart() {
 	s, err := cl.status("entry-1")
 	cl.must(err)
@@ -521,7 +524,7 @@
 	for _, name := range allEntries {
 		cl.startEntry(name)
 	}
-	cl.eventually("the revision after a whole restart", func() bool {
+	cl.eventually("the revision after a restart of all entries", func() bool {
 		for _, at := range []string{"entry-1", "entry-2", "entry-3"} {
 			after, err := cl.status(at)
 			if err != nil || after.Revision() < s.Revision() {
--- a/prove/prove_test.go
+++ b/prove/prove_test.go
@@ -1,6 +1,6 @@
 // ================================================================
-// The frame of a proof: random runs that hold, and one seeded fault that must
-// be noticed.
+// Runs a proof: random runs in which the promise must hold, then runs with one
+// safeguard disabled, in which the check must fail at least once.
 // ================================================================
 
 package prove
@@ -18,7 +18,7 @@
 	"github.com/tidepost/tidepost/internal/fixedseed"
 )
 
-// TestMain fixes rapid's seed, unless a soak names one.
+// TestMain fixes rapid's seed unless a flag sets one, and sets the number of runs to runsPerProof.
 func TestMain(m *testing.M) {
 	if err := fixedseed.Set(); err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -30,26 +30,26 @@
 	os.Exit(m.Run())
 }
 
-// runsPerProof is how many random runs each proof makes in CI.
+// runsPerProof is the number of random runs of each proof in CI.
 const runsPerProof = "12"
 
-// maxSeededRuns bounds the runs in which a seeded fault has to be noticed. The one that is
-// hardest to notice shows in 9 to 11 of 40 seeds, and not in the same ones each time,
-// since goroutines take turns as they like: 20 runs miss it once in some hundred times,
-// 80 once in a hundred million.
+// maxSeededRuns bounds the runs within which a seeded fault must be detected. The fault that is
+// hardest to detect shows in 9 to 11 of 40 seeds, and not always in the same ones, since the order
+// of goroutines varies. 20 runs would miss it about once in several hundred times, 80 runs about
+// once in a hundred million.
 const maxSeededRuns = 80
 
-// proof is one promise with its scenario.
+// proof is one promise, the scenario that tests it, and the faults that the scenario must detect.
 type proof struct {
 	number int
 	name   string
-	// scenario plays one random run and reports to the ledger.
+	// scenario makes one random run and adds violations to the cluster's record.
 	scenario func(cl *cluster)
-	// seededFaults leaves a safeguard out, by name.
+	// seededFaults disable one safeguard each, by name.
 	seededFaults map[string]func(cl *cluster)
 }
 
-// runOnce makes one run and returns what was violated.
+// runOnce makes one run, with a seeded fault unless it is nil, and returns the violations.
 func (p proof) runOnce(t *testing.T, seed uint64, seedFault func(cl *cluster)) (violations []string, faults int) {
 	bubble.Run(t, func(t *testing.T) {
 		cl := newCluster(t, seed)
@@ -66,7 +66,8 @@
 	return violations, faults
 }
 
-// run proves the promise and prints its line.
+// run makes the random runs and those with seeded faults, and prints a line that begins with
+// "prove", which the Makefile filters for.
 func (p proof) run(t *testing.T) {
 	runs, faults := 0, 0
 	rapid.Check(t, func(rt *rapid.T) {
@@ -80,7 +81,7 @@
 	})
 	for name, seedFault := range p.seededFaults {
 		if !p.detects(t, seedFault) {
-			t.Fatalf("prove %d %s: %d runs did not notice the seeded fault %s", p.number, p.name, maxSeededRuns, name)
+			t.Fatalf("prove %d %s: %d runs did not detect the seeded fault %s", p.number, p.name, maxSeededRuns, name)
 		}
 	}
 	if t.Failed() {
@@ -89,10 +90,11 @@
 	fmt.Printf("prove %d %s: held runs=%d faults=%d seeded_fault=caught\n", p.number, p.name, runs, faults)
 }
 
+// detects reports whether any of maxSeededRuns runs with the fault has a violation.
 func (p proof) detects(t *testing.T, seedFault func(cl *cluster)) bool {
 	for seed := range uint64(maxSeededRuns) {
 		if violations, _ := p.runOnce(t, seed, seedFault); len(violations) > 0 {
-			t.Logf("seeded fault noticed by seed %d: %s", seed, violations[0])
+			t.Logf("seeded fault detected with seed %d: %s", seed, violations[0])
 			return true
 		}
 	}
--- a/prove/callers_test.go
+++ b/prove/refusals_test.go
@@ -1,6 +1,6 @@
 // ================================================================
-// What callers get for a request that cannot be served: a typed error that
-// says whether anything ran, as a golden file.
+// Compares the errors of requests that cannot be served with a golden file:
+// their kind, and whether they state that the request was executed.
 // ================================================================
 
 package prove
@@ -19,11 +19,11 @@
 	"github.com/tidepost/tidepost/pkg/entry"
 )
 
-var update = flag.Bool("update", false, "write the expected answers anew")
+var update = flag.Bool("update", false, "rewrite the golden file")
 
 const refusalsFile = "testdata/refusals.golden"
 
-// refusedCalls are calls that must be refused.
+// refusedCalls are requests that an entry must refuse.
 var refusedCalls = []struct {
 	name, path, body string
 	headers          map[string]string
@@ -55,13 +55,13 @@
 		cl.orderFromService("entry-1", "key-1", "flour")
 		fmt.Fprintf(&lines, "key used for another body: %s\n", cl.refusal("/services/ordering/orders", "sugar", map[string]string{entry.HeaderIdempotencyKey: "key-1"}))
 		if n := cl.record.runCount("flour") - before; n != 1 || cl.record.runCount("sugar") != 0 {
-			t.Errorf("flour ran %d times, sugar %d", n, cl.record.runCount("sugar"))
+			t.Errorf("flour was executed %d times, sugar %d times; want 1 and 0", n, cl.record.runCount("sugar"))
 		}
 		checkGolden(t, refusalsFile, lines.String())
 	})
 }
 
-// refusal returns what stands in a refusal, in one line.
+// refusal sends a request to entry-1 and returns the error that it answers with, on one line.
 func (cl *cluster) refusal(path, body string, headers map[string]string) string {
 	r := httptest.NewRequest("POST", path, strings.NewReader(body))
 	r.Header.Set(entry.HeaderOrganisation, "larder")
@@ -103,8 +103,8 @@
 	}
 }
 
-// TestCallerCannotMakeAnOrderRepeatable shows that a header does not let an
-// order run twice that the configuration does not let.
+// Guards against a caller's header that overrides the configuration: a call of a service that is
+// not repeatable must not be executed a second time after its answer was lost.
 func TestCallerCannotMakeAnOrderRepeatable(t *testing.T) {
 	bubble.Run(t, func(t *testing.T) {
 		cl := newCluster(t, 1)
@@ -113,12 +113,12 @@
 		cl.eventually("the plain service in two failure domains", func() bool {
 			return cl.orderFromService("entry-1", "", "try").isComplete() && cl.orderFromService("entry-3", "", "try").isComplete()
 		})
-		// Entries hear of each other's services once a second.
+		// Entries exchange the state of their services once a second.
 		time.Sleep(5 * time.Second)
 		cl.service.setMode(modeLoseAnswer)
 		a := cl.post("entry-1", "/services/ordering/orders", "flour", map[string]string{entry.HeaderRepeatable: "true"})
 		if n := cl.record.runCount("flour"); n != 1 || a.saysNotRun() {
-			t.Errorf("ran %d times, answer %+v", n, a)
+			t.Errorf("executed %d times, answer %+v; want 1 and no answer that says not run", n, a)
 		}
 	})
 }
--- a/prove/smoke_test.go
+++ b/prove/smoke_test.go
@@ -6,6 +6,7 @@
 	"github.com/tidepost/tidepost/internal/bubble"
 )
 
+// Checks the test cluster itself, without faults, so that a failure of a proof is not its fault.
 func TestClusterServes(t *testing.T) {
 	bubble.Run(t, func(t *testing.T) {
 		cl := newCluster(t, 1)
--- a/prove/quiet_test.go
+++ b/prove/unfenced_engine_test.go
@@ -1,6 +1,7 @@
 // ================================================================
-// An engine that does not check fences: after the agent's restart no order is
-// given until the longest one must be over.
+// An engine that does not check fences cannot reject a stale order. After a
+// restart its agent therefore waits for the order limit, so that an order of
+// its previous process cannot overlap with the next one.
 // ================================================================
 
 package prove
@@ -15,18 +16,20 @@
 
 const orderLimit = 20 * time.Second
 
+// Guards against an agent that restarts in the middle of an order and gives the next one while the
+// engine still executes the first.
 func TestAgentWaitsOutOrderLimitOfUnfencedEngine(t *testing.T) {
 	waited, overlaps := firstOrderAfterRestart(t, false)
 	if waited < orderLimit || overlaps > 0 {
-		t.Errorf("an order %s after the restart, %d overlapped; the one before may take %s", waited, overlaps, orderLimit)
+		t.Errorf("next order %s after the restart, %d overlapping orders; want a wait of at least %s and no overlap", waited, overlaps, orderLimit)
 	}
 	if _, overlaps := firstOrderAfterRestart(t, true); overlaps == 0 {
-		t.Error("without the quiet time no orders overlapped: the test would not notice")
+		t.Error("no orders overlapped with the wait disabled: the test would not detect a missing wait")
 	}
 }
 
-// firstOrderAfterRestart kills an agent in the middle of an order and returns how
-// long after its restart the next one came, and how many overlapped.
+// firstOrderAfterRestart kills an agent in the middle of an order. It returns the time from the
+// agent's restart to the next order, and the number of overlapping orders.
 func firstOrderAfterRestart(t *testing.T, skipWait bool) (waited time.Duration, overlaps int) {
 	bubble.Run(t, func(t *testing.T) {
 		cl := newCluster(t, 1)
@@ -40,7 +43,7 @@
 		cl.must(err)
 		_, err = cl.apply("entry-1", "roll", s.Revision(), "v2")
 		cl.must(err)
-		cl.eventually("an order under way", func() bool { return engine.ordersReceived() > 1 })
+		cl.eventually("an order in progress", func() bool { return engine.ordersReceived() > 1 })
 		cl.kill("agent-1")
 		restarted, before := time.Now(), engine.ordersReceived()
 		cl.startAgent("agent-1")
--- a/test/cases_test.go
+++ b/test/cases_test.go
@@ -1,14 +1,14 @@
 // ================================================================
-// Golden cases: each folder under cases holds a command, its input, and what
-// it must print. `go test ./test -update` writes the outputs anew.
+// Golden cases: each folder in cases holds a command, its input file if it has
+// one, and the expected output. `go test ./test -update` rewrites the outputs.
 //
-//	cases/check_unknown_key/cmd      tidepost check --as entry input
-//	cases/check_unknown_key/input    the file that cmd names
-//	cases/check_unknown_key/expout   what goes to standard output
-//	cases/check_unknown_key/experr   what goes to standard error, and the code
+//	cases/entry_unknown_key/cmd      the command: tidepost check --as entry input
+//	cases/entry_unknown_key/input    the file that the command reads
+//	cases/entry_unknown_key/expout   the expected standard output
+//	cases/entry_unknown_key/experr   the expected standard error and exit code
 // ================================================================
 
-// Package test holds the tests of whole programs.
+// Package test holds the tests that run the built programs.
 package test
 
 import (
@@ -22,9 +22,9 @@
 	"testing"
 )
 
-var update = flag.Bool("update", false, "write the expected outputs anew")
+var update = flag.Bool("update", false, "rewrite the expected outputs and the reference pages")
 
-// binaries is the folder that TestMain builds the programs into.
+// binaries is the folder into which TestMain builds the programs.
 var binaries string
 
 func TestMain(m *testing.M) {
--- a/test/demo_test.go
+++ b/test/demo_test.go
@@ -1,5 +1,5 @@
 // ================================================================
-// The demo as a test: whole, and with each agent killed in mid-spread.
+// Runs the demo script: undisturbed, and with each agent killed during distribution.
 // ================================================================
 
 package test
@@ -12,7 +12,8 @@
 	"testing"
 )
 
-// demoBasePort keeps the runs apart from each other and from a demo by hand.
+// demoBasePort is the first port of the test's runs, which are 100 ports apart. They run in parallel
+// and must not collide with each other or with a demo started by hand.
 const demoBasePort = 19000
 
 func TestDemoEndsReadyWithAnyAgentKilled(t *testing.T) {
--- a/test/docs_test.go
+++ b/test/docs_test.go
@@ -1,6 +1,6 @@
 // ================================================================
-// The reference pages are what the programs print: a page that differs fails,
-// and `go test ./test -update` writes it anew.
+// Checks that the reference pages in docs equal the output of `tidepost docs`.
+// `go test ./test -update` rewrites them.
 // ================================================================
 
 package test
--- a/test/journal_test.go
+++ b/test/journal_test.go
@@ -10,12 +10,12 @@
 	"testing"
 )
 
-// citedEntry finds the entries of journal/ that a page takes figures from. An entry
-// without a result may be named too, as one.
+// citedEntry matches a page's reference to a journal entry, the record of a run in the folder journal.
+// A reference to an entry without a result begins with "unfinished".
 var citedEntry = regexp.MustCompile(`(unfinished )?entry ([0-9a-f]{8})\b`)
 
-// Every figure comes from a run: the entry that a page names is there, and it has
-// a result unless the page says that it has none.
+// Guards against figures without a run: each entry that a page cites must exist, and it must have a
+// result unless the page calls it unfinished.
 func TestCitedEntriesHaveResults(t *testing.T) {
 	root := filepath.Join("..", "docs")
 	err := filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
@@ -28,7 +28,7 @@
 		}
 		text := strings.ReplaceAll(string(raw), "\n", " ")
 		for _, m := range citedEntry.FindAllStringSubmatch(text, -1) {
-			checkEntry(t, path, m[2], m[1] != "")
+			checkJournalEntry(t, path, m[2], m[1] != "")
 		}
 		return nil
 	})
@@ -37,7 +37,7 @@
 	}
 }
 
-func checkEntry(t *testing.T, page, id string, unfinished bool) {
+func checkJournalEntry(t *testing.T, page, id string, unfinished bool) {
 	t.Helper()
 	found, err := filepath.Glob(filepath.Join("..", "journal", "*-"+id+".json"))
 	if err != nil || len(found) != 1 {
