--- a/soak/ends_size_test.go
+++ b/soak/ends_size_test.go
@@ -28,40 +28,40 @@
 )
 
 const (
-	// endsSeconds is how long a run takes; TIDEPOST_SECONDS changes it.
-	endsSeconds = 24
-	// inTouch is within what time all machines hear of an end.
-	inTouch = 3 * time.Second
-	// mostLater is how often the request may reach servers later than that after the third.
-	mostLater = 3
-	// leastServed of the other repeatable work is to be served.
-	leastServed = 0.97
+	// crashRunSeconds is how long a run takes; TIDEPOST_SECONDS changes it.
+	crashRunSeconds = 24
+	// crashReportTime is within what time all machines hear of an end.
+	crashReportTime = 3 * time.Second
+	// maxLateCrashes is how often the request may reach servers later than that after the third.
+	maxLateCrashes = 3
+	// minServedShare of the other repeatable work is to be served.
+	minServedShare = 0.97
 
-	endingPerSecond  = 4
-	safePerSecond    = 125
-	oncePerSecond    = 25
-	popularPerSecond = 50
+	crashingPerSecond = 4
+	safePerSecond     = 125
+	oncePerSecond     = 25
+	popularPerSecond  = 50
 )
 
 // openLoad sends requests at even distances whatever becomes of the ones before.
 type openLoad struct {
-	world *world
-	under sync.WaitGroup
+	cluster    *cluster
+	background sync.WaitGroup
 
-	mu    sync.Mutex
-	sent  map[string]int
-	whole map[string]int
+	mu       sync.Mutex
+	sent     map[string]int
+	complete map[string]int
 }
 
 // send sends requests of a name at a rate until the context ends.
 func (l *openLoad) send(ctx context.Context, name string, perSecond float64, a standin.Request, random *rand.Rand) {
-	l.under.Go(func() {
+	l.background.Go(func() {
 		ticker := time.NewTicker(time.Duration(float64(time.Second) / perSecond))
 		defer ticker.Stop()
 		for n := 0; ctx.Err() == nil; n++ {
-			one, first := a, random.IntN(l.world.size.gateways)
+			one, first := a, random.IntN(l.cluster.config.gateways)
 			one.ID = fmt.Sprintf("%s-%d", name, n)
-			l.under.Go(func() { l.ask(name, one, first) })
+			l.background.Go(func() { l.ask(name, one, first) })
 			<-ticker.C
 		}
 	})
@@ -69,7 +69,7 @@
 
 func (l *openLoad) ask(name string, a standin.Request, first int) {
 	c := standin.Caller{Gateway: func(try int) string {
-		return l.world.at(gatewayVMs, (first+try)%l.world.size.gateways, callersPort)
+		return l.cluster.address(gatewayVMs, (first+try)%l.cluster.config.gateways, callersPort)
 	}}
 	do := c.Do
 	if name == "ending" {
@@ -80,50 +80,50 @@
 	defer l.mu.Unlock()
 	l.sent[name]++
 	if answer.Complete && answer.Mismatch == "" {
-		l.whole[name]++
+		l.complete[name]++
 	}
 }
 
 func TestEndsAtSize(t *testing.T) {
-	w := startWorld(t, size{
-		control: 3, gateways: 6, ending: 12, plainTakes: 20 * time.Millisecond, within: rollWithin,
+	cl := startCluster(t, clusterConfig{
+		control: 3, gateways: 6, crashing: 12, plainServiceTime: 20 * time.Millisecond, rolloutDeadline: longRolloutDeadline,
 		sameInstance: os.Getenv("TIDEPOST_SAME") == "1",
 	}, logFolder(t))
-	time.Sleep(worldIsUp)
-	ctx, cancel := context.WithTimeout(t.Context(), time.Duration(number(t, "TIDEPOST_SECONDS", endsSeconds)*float64(time.Second)))
+	time.Sleep(startupWait)
+	ctx, cancel := context.WithTimeout(t.Context(), time.Duration(envNumber(t, "TIDEPOST_SECONDS", crashRunSeconds)*float64(time.Second)))
 	defer cancel()
-	l := &openLoad{world: w, sent: map[string]int{}, whole: map[string]int{}}
+	l := &openLoad{cluster: cl, sent: map[string]int{}, complete: map[string]int{}}
 	random := rand.New(rand.NewPCG(seed(t), 1))
 	draws := func() *rand.Rand { return rand.New(rand.NewPCG(random.Uint64(), 1)) }
 	const within = 6 * time.Second
 	l.send(ctx, "safe", safePerSecond, standin.Request{Kind: standin.Safe, Timeout: within}, draws())
 	l.send(ctx, "once", oncePerSecond, standin.Request{Kind: standin.Unsafe, Timeout: within}, draws())
 	l.send(ctx, "popular", popularPerSecond, standin.Request{Kind: standin.Safe, Timeout: within, Body: popularBody}, draws())
-	s := &series{world: w, random: draws(), done: map[string]int{}}
+	s := &faultInjector{cluster: cl, random: draws(), counts: map[string]int{}}
 	kind := standin.Safe
 	if os.Getenv("TIDEPOST_KIND") == string(standin.Unsafe) {
 		kind = standin.Unsafe
 	}
 	if os.Getenv("TIDEPOST_ENDING") != "0" {
-		l.send(ctx, "ending", endingPerSecond, standin.Request{Kind: kind, Timeout: within, Body: endingBody}, draws())
+		l.send(ctx, "ending", crashingPerSecond, standin.Request{Kind: kind, Timeout: within, Body: crashingBody}, draws())
 	}
 	if os.Getenv("TIDEPOST_RACKS") == "1" {
-		l.under.Go(func() { failRacks(ctx, w, draws()) })
+		l.background.Go(func() { failDomains(ctx, cl, draws()) })
 	}
 	if os.Getenv("TIDEPOST_RESTARTS") == "1" {
-		l.under.Go(func() { restart(ctx, w, "gateway", w.size.gateways, syscall.SIGTERM, draws()) })
-		l.under.Go(func() { restart(ctx, w, "control", w.size.control, syscall.SIGKILL, draws()) })
-		l.under.Go(func() { pausePrograms(ctx, w, draws()) })
-		s.hangUp(ctx)
-		s.change(ctx)
+		l.background.Go(func() { restart(ctx, cl, "gateway", cl.config.gateways, syscall.SIGTERM, draws()) })
+		l.background.Go(func() { restart(ctx, cl, "control", cl.config.control, syscall.SIGKILL, draws()) })
+		l.background.Go(func() { pausePrograms(ctx, cl, draws()) })
+		s.reloadPrograms(ctx)
+		s.changeConfiguration(ctx)
 	}
-	l.under.Wait()
-	s.under.Wait()
-	l.judge(t, kind)
+	l.background.Wait()
+	s.running.Wait()
+	l.report(t, kind)
 }
 
-// failRacks ends all servers of one failure domain after the other.
-func failRacks(ctx context.Context, w *world, random *rand.Rand) {
+// failDomains ends all servers of one failure domain after the other.
+func failDomains(ctx context.Context, cl *cluster, random *rand.Rand) {
 	const pause = 5 * time.Second
 	for rest := range 4 {
 		select {
@@ -131,12 +131,12 @@
 			return
 		case <-time.After(pause):
 		}
-		w.failRack((random.IntN(zones) + rest) % zones)
+		cl.failDomain((random.IntN(failureDomains) + rest) % failureDomains)
 	}
 }
 
 // restart ends programs of a kind by a signal, one after the other, and starts them again.
-func restart(ctx context.Context, w *world, kind string, count int, by syscall.Signal, random *rand.Rand) {
+func restart(ctx context.Context, cl *cluster, kind string, count int, by syscall.Signal, random *rand.Rand) {
 	const pause = 2 * time.Second
 	for ctx.Err() == nil {
 		select {
@@ -145,18 +145,18 @@
 		case <-time.After(pause):
 		}
 		name := nameOf(kind, random.IntN(count))
-		w.programs.stop(name, by)
-		w.programs.again(name)
+		cl.programs.stop(name, by)
+		cl.programs.restart(name)
 	}
 }
 
 // pausePrograms has any program stand still for a while, one after the other. One that is
 // being restarted may be gone.
-func pausePrograms(ctx context.Context, w *world, random *rand.Rand) {
+func pausePrograms(ctx context.Context, cl *cluster, random *rand.Rand) {
 	const pause, mostStill = 500 * time.Millisecond, 800 * time.Millisecond
 	for ctx.Err() == nil {
-		names := w.programs.names()
-		process := w.programs.named(names[random.IntN(len(names))]).cmd.Process
+		names := cl.programs.names()
+		process := cl.programs.lookup(names[random.IntN(len(names))]).cmd.Process
 		_ = process.Signal(syscall.SIGSTOP)
 		time.Sleep(time.Duration(random.Float64() * float64(mostStill)))
 		_ = process.Signal(syscall.SIGCONT)
@@ -164,10 +164,10 @@
 	}
 }
 
-// judge prints what was served and checks how often the request reached servers.
-func (l *openLoad) judge(t *testing.T, kind standin.Kind) {
+// report prints what was served and checks how often the request reached servers.
+func (l *openLoad) report(t *testing.T, kind standin.Kind) {
 	var ends []time.Time
-	for _, s := range l.world.ending {
+	for _, s := range l.cluster.crashing {
 		for _, b := range s.CrashedBy() {
 			ends = append(ends, b.At)
 		}
@@ -175,19 +175,19 @@
 	slices.SortFunc(ends, time.Time.Compare)
 	later := 0
 	for i, at := range ends {
-		if i >= 3 && at.Sub(ends[2]) > inTouch {
+		if i >= 3 && at.Sub(ends[2]) > crashReportTime {
 			later++
 		}
 	}
 	fmt.Printf("ends: seed %d, kind %s, machine load %s; came %d, servers ended %d, of them late %d; safe %d of %d, once %d of %d, popular %d of %d\n",
 		seed(t), kind, machineLoad(), l.sent["ending"], len(ends), later,
-		l.whole["safe"], l.sent["safe"], l.whole["once"], l.sent["once"], l.whole["popular"], l.sent["popular"])
-	if later > mostLater {
-		t.Errorf("it reached servers %d times later than %s after the third end; %d may", later, inTouch, mostLater)
+		l.complete["safe"], l.sent["safe"], l.complete["once"], l.sent["once"], l.complete["popular"], l.sent["popular"])
+	if later > maxLateCrashes {
+		t.Errorf("it reached servers %d times later than %s after the third end; %d may", later, crashReportTime, maxLateCrashes)
 	}
 	for _, name := range []string{"safe", "popular"} {
-		if float64(l.whole[name]) < leastServed*float64(l.sent[name]) {
-			t.Errorf("%s: %d of %d served whole", name, l.whole[name], l.sent[name])
+		if float64(l.complete[name]) < minServedShare*float64(l.sent[name]) {
+			t.Errorf("%s: %d of %d served whole", name, l.complete[name], l.sent[name])
 		}
 	}
 }
--- a/soak/limits_test.go
+++ b/soak/limits_test.go
@@ -17,47 +17,47 @@
 	"github.com/tidepost/tidepost/platform/standin"
 )
 
-// needy is a world whose servers name limits, with work for more than these allow.
-var needy = size{control: 3, gateways: 4, engines: 4, plain: 3, plainTakes: plainTakes, within: longWithin}
+// limitClusterConfig is a world whose servers name limits, with work for more than these allow.
+var limitClusterConfig = clusterConfig{control: 3, gateways: 4, engines: 4, plain: 3, plainServiceTime: plainServiceTime, rolloutDeadline: longDeadline}
 
 // Some servers name a limit, another one, something that is none, and then nothing. All
 // gateways together keep what is named; nobody shuts a server out, and what it gets when it
 // names nothing any more is as before.
 func TestServerLimitIsKept(t *testing.T) {
-	w := startWorld(t, needy, logFolder(t))
+	cl := startCluster(t, limitClusterConfig, logFolder(t))
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	l := &keptLoad{world: w, streams: 6, plain: 4, pause: 20 * time.Millisecond}
+	l := &keepAliveLoad{cluster: cl, streams: 6, plain: 4, pause: 20 * time.Millisecond}
 	over := make(chan struct{})
 	go func() {
 		defer close(over)
 		l.run(ctx, seed(t))
 	}()
-	l.awaitAnswers(8 * w.size.gateways * (l.streams + l.plain))
-	some := []inNeed{w.engineInNeed(0), w.engineInNeed(1), w.plainInNeed(0)}
+	l.awaitAnswers(8 * cl.config.gateways * (l.streams + l.plain))
+	some := []limitedServer{cl.limitedEngine(0), cl.limitedEngine(1), cl.limitedPlain(0)}
 	for _, words := range [][]string{{"1.5", "1", "3"}, {"1", "0", "1"}, {"many", "-1", "1e400"}, {"", "", ""}} {
 		for i, s := range some {
-			s.need.Announce(words[i])
+			s.limit.Announce(words[i])
 		}
-		time.Sleep(limitWindow + toldFor)
+		time.Sleep(limitWindow + limitGrace)
 	}
 	for _, s := range some {
-		s.awaitMore(t)
+		s.awaitLimitLifted(t)
 	}
 	cancel()
 	<-over
 	for _, s := range some {
-		lines, _ := w.breaks(s)
+		lines, _ := cl.limitViolations(s)
 		for _, line := range lines {
 			t.Error(line)
 		}
-		said := s.need.Announcements()
-		if n := between(s.need, said[0].From.Add(useFrom), said[2].From); n == 0 {
+		said := s.limit.Announcements()
+		if n := arrivalsBetween(s.limit, said[0].From.Add(limitUseDelay), said[2].From); n == 0 {
 			t.Errorf("%s got nothing while it named limits", s.name)
 		}
 	}
-	v := w.judge(l.ended, nil)
-	for _, k := range v.wrong {
+	v := cl.evaluate(l.finished, nil)
+	for _, k := range v.wrongAnswers {
 		t.Errorf("%s: %s", k.ID, k.Reason)
 	}
 	if v.ends[standin.Succeeded] == 0 {
@@ -65,16 +65,16 @@
 	}
 }
 
-// awaitMore waits until a server that names none any more gets more in a window than the
+// awaitLimitLifted waits until a server that names none any more gets more in a window than the
 // limits that it named allow.
-func (s inNeed) awaitMore(t *testing.T) {
+func (s limitedServer) awaitLimitLifted(t *testing.T) {
 	const patience = time.Minute
 	last := 0.0
-	for _, p := range periodsOf(s.need) {
+	for _, p := range limitPeriods(s.limit) {
 		last = max(last, p.perSecond)
 	}
 	start := time.Now()
-	for float64(between(s.need, time.Now().Add(-limitWindow), time.Now())) <= limitFactor*limitWindow.Seconds()*last+limitSlack {
+	for float64(arrivalsBetween(s.limit, time.Now().Add(-limitWindow), time.Now())) <= limitFactor*limitWindow.Seconds()*last+limitSlack {
 		if time.Since(start) > patience {
 			t.Fatalf("%s is kept to %g a second though it names none any more", s.name, last)
 		}
@@ -82,8 +82,10 @@
 	}
 }
 
-func (w *world) engineInNeed(i int) inNeed {
-	return inNeed{w.engines[i].Instance, &w.engines[i].Limit}
+func (cl *cluster) limitedEngine(i int) limitedServer {
+	return limitedServer{cl.engines[i].Instance, &cl.engines[i].Limit}
 }
 
-func (w *world) plainInNeed(i int) inNeed { return inNeed{w.plain[i].Instance, &w.plain[i].Limit} }
+func (cl *cluster) limitedPlain(i int) limitedServer {
+	return limitedServer{cl.plain[i].Instance, &cl.plain[i].Limit}
+}
--- a/soak/limits_verdict_test.go
+++ b/soak/limits_verdict_test.go
@@ -22,36 +22,36 @@
 	limitWindow = 4 * time.Second
 	limitFactor = 1.5
 	limitSlack  = 5
-	// toldFor is how long a gateway has known of the limit when its requests count.
-	toldFor = 500 * time.Millisecond
-	// mostPerSecond is above any number that a limit is named with.
-	mostPerSecond = 1e6
-	// useFrom its naming on a limit is to be used: by then all gateways have heard of it.
-	useFrom = time.Second
+	// limitGrace is how long a gateway has known of the limit when its requests count.
+	limitGrace = 500 * time.Millisecond
+	// maxLimitPerSecond is above any number that a limit is named with.
+	maxLimitPerSecond = 1e6
+	// limitUseDelay its naming on a limit is to be used: by then all gateways have heard of it.
+	limitUseDelay = time.Second
 )
 
-// inNeed is a backend server that may name a limit.
-type inNeed struct {
-	name string
-	need *standin.LimitAnnouncer
+// limitedServer is a backend server that may name a limit.
+type limitedServer struct {
+	name  string
+	limit *standin.LimitAnnouncer
 }
 
-// period is a time in which a backend server named one limit.
-type period struct {
+// limitPeriod is a time in which a backend server named one limit.
+type limitPeriod struct {
 	from, to  time.Time
 	since     time.Time // from when on it has named one without a break
 	perSecond float64
 }
 
-// periodsOf returns when limits were named that can be read.
-func periodsOf(n *standin.LimitAnnouncer) (all []period) {
+// limitPeriods returns when limits were named that can be read.
+func limitPeriods(n *standin.LimitAnnouncer) (all []limitPeriod) {
 	sayings := n.Announcements()
 	for i, s := range sayings {
 		to := time.Now()
 		if i+1 < len(sayings) {
 			to = sayings[i+1].From
 		}
-		perSecond, ok := limitOf(s.Text)
+		perSecond, ok := parseLimit(s.Text)
 		if !ok {
 			continue
 		}
@@ -59,25 +59,25 @@
 		if n := len(all); n > 0 && all[n-1].to.Equal(s.From) {
 			since = all[n-1].since
 		}
-		all = append(all, period{s.From, to, since, perSecond})
+		all = append(all, limitPeriod{s.From, to, since, perSecond})
 	}
 	return all
 }
 
-func limitOf(text string) (perSecond float64, ok bool) {
+func parseLimit(text string) (perSecond float64, ok bool) {
 	perSecond, err := strconv.ParseFloat(strings.TrimSpace(text), 64)
-	ok = err == nil && !math.IsNaN(perSecond) && perSecond >= 0 && perSecond <= mostPerSecond
+	ok = err == nil && !math.IsNaN(perSecond) && perSecond >= 0 && perSecond <= maxLimitPerSecond
 	return perSecond, ok
 }
 
 // limitAt returns the limit named at a moment.
-func limitAt(all []period, at time.Time) (p period, ok bool) {
+func limitAt(all []limitPeriod, at time.Time) (p limitPeriod, ok bool) {
 	for _, p := range all {
 		if !at.Before(p.from) && at.Before(p.to) {
 			return p, true
 		}
 	}
-	return period{}, false
+	return limitPeriod{}, false
 }
 
 // gatewayOf returns the name of the gateway that a kept caller's request went to.
@@ -86,25 +86,25 @@
 	return "gateway-" + number
 }
 
-// counted returns the arrivals that the rule counts: from gateways that had been told for
+// countedArrivals returns the arrivals that the rule counts: from gateways that had been told for
 // toldFor, in the process that they are now, that the limit is named.
-func (w *world) counted(s inNeed, all []period) (counted []standin.RequestTime) {
+func (cl *cluster) countedArrivals(s limitedServer, all []limitPeriod) (counted []standin.RequestTime) {
 	told := map[string][]time.Time{}
-	for _, a := range s.need.LimitedResponses() {
+	for _, a := range s.limit.LimitedResponses() {
 		told[gatewayOf(a.ID)] = append(told[gatewayOf(a.ID)], a.At)
 	}
-	for _, a := range s.need.Arrivals() {
+	for _, a := range s.limit.Arrivals() {
 		gateway := gatewayOf(a.ID)
 		p, named := limitAt(all, a.At)
 		if !named {
 			continue
 		}
-		since := latest(w.programs.startsOf(gateway), a.At)
+		since := latestBefore(cl.programs.startTimesOf(gateway), a.At)
 		if p.since.After(since) {
 			since = p.since
 		}
 		for _, at := range told[gateway] {
-			if !at.Before(since) && a.At.Sub(at) >= toldFor {
+			if !at.Before(since) && a.At.Sub(at) >= limitGrace {
 				counted = append(counted, a)
 				break
 			}
@@ -113,8 +113,8 @@
 	return counted
 }
 
-// latest returns the last of some moments before one.
-func latest(moments []time.Time, before time.Time) (last time.Time) {
+// latestBefore returns the last of some moments before one.
+func latestBefore(moments []time.Time, before time.Time) (last time.Time) {
 	for _, m := range moments {
 		if m.Before(before) {
 			last = m
@@ -123,11 +123,11 @@
 	return last
 }
 
-// breaks returns a line for each window of a backend server in which it got too much, the
+// limitViolations returns a line for each window of a backend server in which it got too much, the
 // worst one of each period.
-func (w *world) breaks(s inNeed) (lines []string, most int) {
-	all := periodsOf(s.need)
-	counted := w.counted(s, all)
+func (cl *cluster) limitViolations(s limitedServer) (lines []string, most int) {
+	all := limitPeriods(s.limit)
+	counted := cl.countedArrivals(s, all)
 	worst := map[time.Time]string{}
 	over := map[time.Time]float64{}
 	first := 0
@@ -137,7 +137,7 @@
 		}
 		got := i - first + 1
 		most = max(most, got)
-		allowed := math.Floor(limitFactor*limitWindow.Seconds()*highest(all, counted[first].At, a.At) + limitSlack)
+		allowed := math.Floor(limitFactor*limitWindow.Seconds()*highestLimit(all, counted[first].At, a.At) + limitSlack)
 		if surplus := float64(got) - allowed; surplus > 0 {
 			p, _ := limitAt(all, a.At)
 			if surplus > over[p.from] {
@@ -154,8 +154,8 @@
 	return lines, most
 }
 
-// highest returns the highest limit that was named at some time between two moments.
-func highest(all []period, from, to time.Time) (perSecond float64) {
+// highestLimit returns the highest limit that was named at some time between two moments.
+func highestLimit(all []limitPeriod, from, to time.Time) (perSecond float64) {
 	for _, p := range all {
 		if !p.from.After(to) && p.to.After(from) {
 			perSecond = max(perSecond, p.perSecond)
@@ -164,8 +164,8 @@
 	return perSecond
 }
 
-// between returns how many requests came to a backend server between two moments.
-func between(n *standin.LimitAnnouncer, from, to time.Time) (count int) {
+// arrivalsBetween returns how many requests came to a backend server between two moments.
+func arrivalsBetween(n *standin.LimitAnnouncer, from, to time.Time) (count int) {
 	for _, a := range n.Arrivals() {
 		if !a.At.Before(from) && a.At.Before(to) {
 			count++
--- a/soak/main_test.go
+++ b/soak/main_test.go
@@ -8,9 +8,9 @@
 	"testing"
 )
 
-// binaries is the folder that TestMain builds the programs into. One that is named holds
+// binaryFolder is the folder that TestMain builds the programs into. One that is named holds
 // programs of another state of the code, which the same runs are to meet.
-var binaries = os.Getenv("TIDEPOST_SOAK_BINARIES")
+var binaryFolder = os.Getenv("TIDEPOST_SOAK_BINARIES")
 
 func TestMain(m *testing.M) {
 	flag.Parse()
@@ -18,7 +18,7 @@
 }
 
 func buildAndRun(m *testing.M) int {
-	if binaries != "" {
+	if binaryFolder != "" {
 		return m.Run()
 	}
 	folder, err := os.MkdirTemp("", "tidepost-soak")
@@ -32,6 +32,6 @@
 		fmt.Fprintf(os.Stderr, "build: %v\n%s", err, output)
 		return 1
 	}
-	binaries = folder
+	binaryFolder = folder
 	return m.Run()
 }
--- a/soak/roles_test.go
+++ b/soak/roles_test.go
@@ -11,33 +11,35 @@
 	"github.com/tidepost/tidepost/pkg/faultproxy"
 )
 
-// role is a kind of connection.
-type role struct {
+// connectionKind is a kind of connection.
+type connectionKind struct {
 	name    string
-	proxies func(w *world) []*faultproxy.Proxy
+	proxies func(cl *cluster) []*faultproxy.Proxy
 	dialer  string // what its label begins with
 }
 
-func (r role) has(label string) bool { return label != "" && strings.HasPrefix(label, r.dialer) }
+func (r connectionKind) matches(label string) bool {
+	return label != "" && strings.HasPrefix(label, r.dialer)
+}
 
-var roles = []role{
-	{"gateway to backend server", func(w *world) []*faultproxy.Proxy {
-		return append(append([]*faultproxy.Proxy(nil), w.servers[engineVMs]...), w.servers[plainVMs]...)
+var connectionKinds = []connectionKind{
+	{"gateway to backend server", func(cl *cluster) []*faultproxy.Proxy {
+		return append(append([]*faultproxy.Proxy(nil), cl.servers[engineVMs]...), cl.servers[plainVMs]...)
 	}, "gateway"},
 	{"gateway to stager", stagerLinks, "gateway"},
 	{"gateway to control node", controlLinks, "gateway"},
 	{"control node to control node", controlLinks, "control"},
 	{"stager to control node", controlLinks, "stager"},
 	{"stager to stager", stagerLinks, "stager"},
-	{"stager to engine", func(w *world) []*faultproxy.Proxy { return w.servers[engineVMs] }, "stager"},
+	{"stager to engine", func(cl *cluster) []*faultproxy.Proxy { return cl.servers[engineVMs] }, "stager"},
 }
 
-func controlLinks(w *world) []*faultproxy.Proxy { return w.links[controlVMs] }
-func stagerLinks(w *world) []*faultproxy.Proxy  { return w.links[engineVMs] }
+func controlLinks(cl *cluster) []*faultproxy.Proxy { return cl.links[controlVMs] }
+func stagerLinks(cl *cluster) []*faultproxy.Proxy  { return cl.links[engineVMs] }
 
-// silenced is one dialer whose connections to one address went silent.
-type silenced struct {
-	role  string
+// silencedDialer is one dialer whose connections to one address went silent.
+type silencedDialer struct {
+	kind  string
 	proxy *faultproxy.Proxy
 	label string
 	count int
@@ -45,13 +47,13 @@
 }
 
 // silence makes the open connections of some roles silent.
-func (w *world) silence(some []role, m faultproxy.Manner) []silenced {
-	var all []silenced
+func (cl *cluster) silence(some []connectionKind, m faultproxy.Manner) []silencedDialer {
+	var all []silencedDialer
 	for _, r := range some {
-		for _, p := range r.proxies(w) {
+		for _, p := range r.proxies(cl) {
 			at := time.Now()
-			for label, count := range p.Silence(r.has, m) {
-				all = append(all, silenced{r.name, p, label, count, at})
+			for label, count := range p.Silence(r.matches, m) {
+				all = append(all, silencedDialer{r.name, p, label, count, at})
 			}
 		}
 	}
--- a/soak/series_test.go
+++ b/soak/series_test.go
@@ -20,31 +20,31 @@
 // Mean pauses between two things of a series, and the longest time a program stays down.
 const (
 	rollPause    = 8 * time.Second
-	hangUpPause  = 400 * time.Millisecond
+	reloadPause  = 400 * time.Millisecond
 	changePause  = time.Second
 	versionPause = 8 * time.Second
 	controlPause = 8 * time.Second
 	stagerPause  = 4 * time.Second
-	longestDown  = time.Second
+	maxDowntime  = time.Second
 )
 
-// series are what is done to the programs of a world.
-type series struct {
-	world  *world
-	random *rand.Rand
-	under  sync.WaitGroup
-
-	mu    sync.Mutex
-	stops []span
-	done  map[string]int // by what
-	// pace is how many times as long engines take while gateways are stopped together.
-	pace float64
+// faultInjector are what is done to the programs of a world.
+type faultInjector struct {
+	cluster *cluster
+	random  *rand.Rand
+	running sync.WaitGroup
+
+	mu     sync.Mutex
+	stops  []stopSpan
+	counts map[string]int // by what
+	// slowdown is how many times as long engines take while gateways are stopped together.
+	slowdown float64
 	// stopping are the programs that are being stopped or started again.
 	stopping map[string]bool
 }
 
-// take tells whether a program may be stopped now; it is then to be given back.
-func (s *series) take(name string) bool {
+// acquire tells whether a program may be stopped now; it is then to be given back.
+func (s *faultInjector) acquire(name string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.stopping[name] {
@@ -57,33 +57,33 @@
 	return true
 }
 
-func (s *series) giveBack(name string) {
+func (s *faultInjector) release(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.stopping, name)
 }
 
-// everySeries are the series by name.
-var everySeries = []struct {
+// faultSeries are the series by name.
+var faultSeries = []struct {
 	name  string
-	start func(s *series, ctx context.Context)
+	start func(s *faultInjector, ctx context.Context)
 	// onlyNamed are left out where none is named: recorded seeds draw without them.
 	onlyNamed bool
 }{
-	{"roll", (*series).rollGateways, false},
-	{"hup", (*series).hangUp, false},
-	{"change", (*series).change, false},
-	{"version", (*series).nameVersions, false},
-	{"kill", (*series).kill, false},
-	{"together", (*series).stopTogether, true},
-	{"others", (*series).stopOthers, true},
+	{"roll", (*faultInjector).rollGateways, false},
+	{"hup", (*faultInjector).reloadPrograms, false},
+	{"change", (*faultInjector).changeConfiguration, false},
+	{"version", (*faultInjector).nameVersions, false},
+	{"kill", (*faultInjector).killPrograms, false},
+	{"together", (*faultInjector).stopSimultaneously, true},
+	{"others", (*faultInjector).stopControlNodesAndStagers, true},
 }
 
-// loop does something again and again until the context ends, with pauses drawn up to
+// repeat does something again and again until the context ends, with pauses drawn up to
 // twice a mean.
-func (s *series) loop(ctx context.Context, name string, mean time.Duration, do func(r *rand.Rand)) {
+func (s *faultInjector) repeat(ctx context.Context, name string, mean time.Duration, do func(r *rand.Rand)) {
 	r := rand.New(rand.NewPCG(s.random.Uint64(), s.random.Uint64()))
-	s.under.Go(func() {
+	s.running.Go(func() {
 		for {
 			select {
 			case <-ctx.Done():
@@ -92,88 +92,88 @@
 			}
 			do(r)
 			s.mu.Lock()
-			s.done[name]++
+			s.counts[name]++
 			s.mu.Unlock()
 		}
 	})
 }
 
 // rollGateways stops each gateway in order and starts it again, several at one time.
-func (s *series) rollGateways(ctx context.Context) {
-	for i := range s.world.size.gateways {
-		s.loop(ctx, "roll", rollPause, func(r *rand.Rand) {
+func (s *faultInjector) rollGateways(ctx context.Context) {
+	for i := range s.cluster.config.gateways {
+		s.repeat(ctx, "roll", rollPause, func(r *rand.Rand) {
 			name := nameOf("gateway", i)
-			if !s.take(name) {
+			if !s.acquire(name) {
 				return
 			}
-			defer s.giveBack(name)
-			one := span{gateway: s.world.at(gatewayVMs, i, callersPort), from: time.Now()}
-			s.world.programs.stop(name, syscall.SIGTERM)
+			defer s.release(name)
+			one := stopSpan{gateway: s.cluster.address(gatewayVMs, i, callersPort), from: time.Now()}
+			s.cluster.programs.stop(name, syscall.SIGTERM)
 			one.to = time.Now()
 			s.mu.Lock()
 			s.stops = append(s.stops, one)
 			s.mu.Unlock()
-			s.startLater(r, name)
+			s.restartLater(r, name)
 		})
 	}
 }
 
-// stopOne ends a program by a signal and starts it again, unless another series has it.
-func (s *series) stopOne(r *rand.Rand, name string, by syscall.Signal) {
-	if !s.take(name) {
+// stopAndRestart ends a program by a signal and starts it again, unless another series has it.
+func (s *faultInjector) stopAndRestart(r *rand.Rand, name string, by syscall.Signal) {
+	if !s.acquire(name) {
 		return
 	}
-	defer s.giveBack(name)
-	s.world.programs.stop(name, by)
-	s.startLater(r, name)
+	defer s.release(name)
+	s.cluster.programs.stop(name, by)
+	s.restartLater(r, name)
 }
 
-// startLater starts a program that was ended, after a while.
-func (s *series) startLater(r *rand.Rand, name string) {
-	time.Sleep(time.Duration(r.Float64() * float64(longestDown)))
-	s.world.programs.again(name)
+// restartLater starts a program that was ended, after a while.
+func (s *faultInjector) restartLater(r *rand.Rand, name string) {
+	time.Sleep(time.Duration(r.Float64() * float64(maxDowntime)))
+	s.cluster.programs.restart(name)
 }
 
-// hangUp tells any program to read its settings again. One that is being stopped may be
+// reloadPrograms tells any program to read its settings again. One that is being stopped may be
 // gone.
-func (s *series) hangUp(ctx context.Context) {
-	s.loop(ctx, "hup", hangUpPause, func(r *rand.Rand) {
-		names := s.world.programs.names()
-		_ = s.world.programs.named(names[r.IntN(len(names))]).cmd.Process.Signal(syscall.SIGHUP)
+func (s *faultInjector) reloadPrograms(ctx context.Context) {
+	s.repeat(ctx, "hup", reloadPause, func(r *rand.Rand) {
+		names := s.cluster.programs.names()
+		_ = s.cluster.programs.lookup(names[r.IntN(len(names))]).cmd.Process.Signal(syscall.SIGHUP)
 	})
 }
 
-// change puts configurations with more and fewer routes.
-func (s *series) change(ctx context.Context) {
+// changeConfiguration puts configurations with more and fewer routes.
+func (s *faultInjector) changeConfiguration(ctx context.Context) {
 	next := uint64(1)
-	s.loop(ctx, "change", changePause, func(r *rand.Rand) {
+	s.repeat(ctx, "change", changePause, func(r *rand.Rand) {
 		next++
-		c := standin.ConfigurationChange{Version: next, ExtraRoutes: r.IntN(mostMore)}
-		if err := s.world.operator.Reconfigure(context.WithoutCancel(ctx), figures, c); err != nil {
-			s.world.t.Error(err)
+		c := standin.ConfigurationChange{Version: next, ExtraRoutes: r.IntN(maxExtraRoutes)}
+		if err := s.cluster.operator.Reconfigure(context.WithoutCancel(ctx), engineFigures, c); err != nil {
+			s.cluster.t.Error(err)
 		}
 	})
 }
 
 // nameVersions names one version of the weights after the other.
-func (s *series) nameVersions(ctx context.Context) {
+func (s *faultInjector) nameVersions(ctx context.Context) {
 	version := uint64(standin.FirstVersion)
-	s.loop(ctx, "version", versionPause, func(*rand.Rand) {
+	s.repeat(ctx, "version", versionPause, func(*rand.Rand) {
 		version++
-		s.world.name(context.WithoutCancel(ctx), version)
+		s.cluster.nameVersion(context.WithoutCancel(ctx), version)
 	})
 }
 
-// kill kills control nodes and stagers.
-func (s *series) kill(ctx context.Context) {
+// killPrograms kills control nodes and stagers.
+func (s *faultInjector) killPrograms(ctx context.Context) {
 	victims := []struct {
 		kind  string
 		count int
 		pause time.Duration
-	}{{"control", s.world.size.control, controlPause}, {"stager", s.world.size.engines, stagerPause}}
+	}{{"control", s.cluster.config.control, controlPause}, {"stager", s.cluster.config.engines, stagerPause}}
 	for _, v := range victims {
-		s.loop(ctx, "kill "+v.kind, v.pause, func(r *rand.Rand) {
-			s.stopOne(r, nameOf(v.kind, r.IntN(v.count)), syscall.SIGKILL)
+		s.repeat(ctx, "kill "+v.kind, v.pause, func(r *rand.Rand) {
+			s.stopAndRestart(r, nameOf(v.kind, r.IntN(v.count)), syscall.SIGKILL)
 		})
 	}
 }
--- a/soak/silence_test.go
+++ b/soak/silence_test.go
@@ -15,13 +15,13 @@
 	"github.com/tidepost/tidepost/platform/standin"
 )
 
-// standardSeed is that of every run that names none.
-const standardSeed = 20261202
+// defaultSeed is that of every run that names none.
+const defaultSeed = 20261202
 
 func seed(t *testing.T) uint64 {
 	text := os.Getenv("TIDEPOST_SEED")
 	if text == "" {
-		return standardSeed
+		return defaultSeed
 	}
 	n, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
@@ -31,59 +31,59 @@
 }
 
 const (
-	// requests are sent in each part of the run, and underWay are those that a plain
+	// requestsPerPhase are sent in each part of the run, and underWay are those that a plain
 	// server runs when connections go silent. It takes long enough for that.
-	requests   = 30
-	underWay   = 8
-	plainTakes = 250 * time.Millisecond
+	requestsPerPhase = 30
+	inFlightRequests = 8
+	plainServiceTime = 250 * time.Millisecond
 )
 
 // All connections go silent, twice, in the middle of messages the second time.
 // Meanwhile new weights spread. Every caller is served in the end, every engine
 // serves the new version, and no promise is broken.
 func TestServiceGoesOnAfterSilence(t *testing.T) {
-	w := startWorld(t, size{control: 3, gateways: 2, engines: 3, plain: 2, plainTakes: plainTakes, within: 2 * time.Second}, logFolder(t))
-	l := newLoad(w, seed(t), 0)
+	cl := startCluster(t, clusterConfig{control: 3, gateways: 2, engines: 3, plain: 2, plainServiceTime: plainServiceTime, rolloutDeadline: 2 * time.Second}, logFolder(t))
+	l := newLoad(cl, seed(t), 0)
 	ctx := t.Context()
-	l.send(ctx, requests)
+	l.send(ctx, requestsPerPhase)
 	const next = standin.FirstVersion + 1
-	w.name(ctx, next)
-	l.send(ctx, requests/2)
+	cl.nameVersion(ctx, next)
+	l.send(ctx, requestsPerPhase/2)
 	// Some run at a server when the silence falls: the answer to what may not run
 	// again is lost.
-	l.askOnce(ctx, underWay)
-	silent := w.silence(roles, faultproxy.Manner{})
-	l.send(ctx, requests)
-	l.askOnce(ctx, underWay)
-	silent = append(silent, w.silence(roles, faultproxy.Manner{Midway: true})...)
-	l.send(ctx, requests)
-	l.under.Wait()
-	w.awaitServed(next)
+	l.sendUnsafe(ctx, inFlightRequests)
+	silent := cl.silence(connectionKinds, faultproxy.Manner{})
+	l.send(ctx, requestsPerPhase)
+	l.sendUnsafe(ctx, inFlightRequests)
+	silent = append(silent, cl.silence(connectionKinds, faultproxy.Manner{Midway: true})...)
+	l.send(ctx, requestsPerPhase)
+	l.inFlight.Wait()
+	cl.awaitVersionServed(next)
 	if len(silent) == 0 {
 		t.Fatal("no connection went silent")
 	}
-	checkPromises(t, w, l.all())
+	checkGuarantees(t, cl, l.finished())
 	// Callers that come afterwards are served too.
-	after := newLoad(w, seed(t)+1, 0)
-	after.asked = math.MaxInt32
-	after.send(ctx, requests)
-	after.under.Wait()
-	checkPromises(t, w, after.all())
+	after := newLoad(cl, seed(t)+1, 0)
+	after.drawn = math.MaxInt32
+	after.send(ctx, requestsPerPhase)
+	after.inFlight.Wait()
+	checkGuarantees(t, cl, after.finished())
 }
 
-// awaitServed waits until every engine serves a version; the test's own limit bounds
+// awaitVersionServed waits until every engine serves a version; the test's own limit bounds
 // it.
-func (w *world) awaitServed(version uint64) {
-	for _, e := range w.engines {
+func (cl *cluster) awaitVersionServed(version uint64) {
+	for _, e := range cl.engines {
 		for e.ServedVersion() != version {
 			time.Sleep(10 * time.Millisecond)
 		}
 	}
 }
 
-// checkPromises checks what every caller was promised. Each is served, but for the
+// checkGuarantees checks what every caller was promised. Each is served, but for the
 // requests that may have run and must not run again.
-func checkPromises(t *testing.T, w *world, answers []standin.Result) {
+func checkGuarantees(t *testing.T, cl *cluster, answers []standin.Result) {
 	t.Helper()
 	if len(answers) == 0 {
 		t.Fatal("nothing was asked")
@@ -97,7 +97,7 @@
 		}
 		runs := 0
 		for _, try := range a.Attempts {
-			n := w.ledger.Runs(try.ID)
+			n := cl.ledger.Runs(try.ID)
 			runs += n
 			if try.RefusalStatus != 0 && n > 0 {
 				t.Errorf("%s was refused with %d and ran %d times", try.ID, try.RefusalStatus, n)
--- a/soak/stop_of_all_test.go
+++ b/soak/stop_of_all_test.go
@@ -28,12 +28,12 @@
 	"github.com/tidepost/tidepost/platform/standin"
 )
 
-// siteNotice is how long the users' gateways take callers after the signal.
-const siteNotice = 3 * time.Second
+// userDrainNotice is how long the users' gateways take callers after the signal.
+const userDrainNotice = 3 * time.Second
 
-// TestStopOfAllCutsNothing stops all gateways at one moment, tells all programs to reload,
+// TestStopOfAllGatewaysCutsNothing stops all gateways at one moment, tells all programs to reload,
 // puts a configuration, names a version and sends the signal once more, all within the stop.
-func TestStopOfAllCutsNothing(t *testing.T) {
+func TestStopOfAllGatewaysCutsNothing(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		streams int // at each gateway
@@ -44,65 +44,65 @@
 		{"engines that become slower", 6, bounds{100, 120}, 4.5},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w := startWorld(t, size{control: 3, gateways: 2, engines: 3, plain: 2, plainTakes: plainTakes, within: longWithin, notice: siteNotice}, logFolder(t))
+			cl := startCluster(t, clusterConfig{control: 3, gateways: 2, engines: 3, plain: 2, plainServiceTime: plainServiceTime, rolloutDeadline: longDeadline, drainNotice: userDrainNotice}, logFolder(t))
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
-			l := &keptLoad{world: w, streams: c.streams, plain: 2, pause: 20 * time.Millisecond, tokens: c.tokens}
+			l := &keepAliveLoad{cluster: cl, streams: c.streams, plain: 2, pause: 20 * time.Millisecond, tokens: c.tokens}
 			over := make(chan struct{})
 			go func() {
 				defer close(over)
 				l.run(ctx, seed(t))
 			}()
 			l.awaitAnswers(4 * (l.streams + l.plain))
-			stops := w.stopAllGateways(t, c.pace)
+			stops := cl.stopAllGateways(t, c.pace)
 			cancel()
 			<-over
-			checkStop(t, w.judge(l.ended, stops))
+			checkStop(t, cl.evaluate(l.finished, stops))
 		})
 	}
 }
 
 // awaitAnswers waits until so many requests were answered.
-func (l *keptLoad) awaitAnswers(count int) {
+func (l *keepAliveLoad) awaitAnswers(count int) {
 	for answered := 0; answered < count; time.Sleep(time.Millisecond) {
 		l.mu.Lock()
-		answered = len(l.ended)
+		answered = len(l.finished)
 		l.mu.Unlock()
 	}
 }
 
 // stopAllGateways stops all gateways while the engines are slow and the programs are told
 // several things more, and starts them again.
-func (w *world) stopAllGateways(t *testing.T, pace float64) (stops []span) {
-	w.slowEngines(pace)
-	defer w.slowEngines(1)
+func (cl *cluster) stopAllGateways(t *testing.T, pace float64) (stops []stopSpan) {
+	cl.slowEngines(pace)
+	defer cl.slowEngines(1)
 	var gone []<-chan struct{}
-	for i := range w.size.gateways {
-		stops = append(stops, span{gateway: w.at(gatewayVMs, i, callersPort), from: time.Now()})
-		gone = append(gone, w.programs.ask(nameOf("gateway", i), syscall.SIGTERM))
+	for i := range cl.config.gateways {
+		stops = append(stops, stopSpan{gateway: cl.address(gatewayVMs, i, callersPort), from: time.Now()})
+		gone = append(gone, cl.programs.requestStop(nameOf("gateway", i), syscall.SIGTERM))
 	}
-	for _, name := range w.programs.names() {
-		w.programs.signal(name, syscall.SIGHUP)
+	for _, name := range cl.programs.names() {
+		cl.programs.signal(name, syscall.SIGHUP)
 	}
-	w.must(w.operator.Reconfigure(t.Context(), figures, standin.ConfigurationChange{Version: 2, ExtraRoutes: mostMoreInCI}))
-	w.name(t.Context(), standin.FirstVersion+1)
-	for i := range w.size.gateways {
-		w.programs.signal(nameOf("gateway", i), syscall.SIGTERM)
+	cl.must(cl.operator.Reconfigure(t.Context(), engineFigures, standin.ConfigurationChange{Version: 2, ExtraRoutes: extraRoutesInCI}))
+	cl.nameVersion(t.Context(), standin.FirstVersion+1)
+	for i := range cl.config.gateways {
+		cl.programs.signal(nameOf("gateway", i), syscall.SIGTERM)
 	}
 	for i := range stops {
 		<-gone[i]
 		stops[i].to = time.Now()
-		w.programs.again(nameOf("gateway", i))
+		cl.programs.restart(nameOf("gateway", i))
 	}
 	for i := range stops {
-		w.awaitServing(i)
+		cl.awaitServing(i)
 	}
 	return stops
 }
 
 // slowEngines has all engines take so many times as long as their figures say.
-func (w *world) slowEngines(pace float64) {
-	for _, e := range w.engines {
+func (cl *cluster) slowEngines(pace float64) {
+	for _, e := range cl.engines {
 		e.SetSlowdown(pace)
 	}
 }
@@ -112,14 +112,14 @@
 func checkStop(t *testing.T, v verdict) {
 	t.Helper()
 	for _, c := range v.cuts {
-		if c.cutByPlan || c.leftAlone {
-			t.Errorf("%s", c.line())
+		if c.cutByStop || c.lostAnswer {
+			t.Errorf("%s", c.reportLine())
 		}
-		if c.stop != nil && c.ran > 0 && !slices.ContainsFunc(c.told, namesTheCut) {
-			t.Errorf("nobody says who cut it: %s", c.line())
+		if c.stop != nil && c.ran > 0 && !slices.ContainsFunc(c.logLines, namesCutCause) {
+			t.Errorf("nobody says who cut it: %s", c.reportLine())
 		}
 	}
-	for _, k := range v.wrong {
+	for _, k := range v.wrongAnswers {
 		t.Errorf("%s: %s", k.ID, k.Reason)
 	}
 }
--- a/soak/stop_test.go
+++ b/soak/stop_test.go
@@ -18,17 +18,17 @@
 	"github.com/tidepost/tidepost/platform/standin"
 )
 
-// longWithin is a deadline that no request of these runs comes near.
-const longWithin = time.Minute
+// longDeadline is a deadline that no request of these runs comes near.
+const longDeadline = time.Minute
 
-// small is a world for runs in CI.
-var small = size{control: 3, gateways: 2, engines: 3, plain: 2, plainTakes: plainTakes, within: longWithin}
+// smallClusterConfig is a world for runs in CI.
+var smallClusterConfig = clusterConfig{control: 3, gateways: 2, engines: 3, plain: 2, plainServiceTime: plainServiceTime, rolloutDeadline: longDeadline}
 
-// keptCallers runs callers that keep their connections to all gateways until the
+// startKeepAliveCallers runs callers that keep their connections to all gateways until the
 // function that it returns is called, which waits for the last answers.
-func (w *world) keptCallers(t *testing.T) (end func() []standin.KeepAliveRequest) {
+func (cl *cluster) startKeepAliveCallers(t *testing.T) (end func() []standin.KeepAliveRequest) {
 	ctx, cancel := context.WithCancel(t.Context())
-	l := &keptLoad{world: w, streams: 3, plain: 3, pause: 20 * time.Millisecond, within: longWithin}
+	l := &keepAliveLoad{cluster: cl, streams: 3, plain: 3, pause: 20 * time.Millisecond, deadline: longDeadline}
 	over := make(chan struct{})
 	go func() {
 		defer close(over)
@@ -37,65 +37,65 @@
 	return func() []standin.KeepAliveRequest {
 		cancel()
 		<-over
-		return l.ended
+		return l.finished
 	}
 }
 
 // awaitServing waits until a gateway takes callers again.
-func (w *world) awaitServing(i int) {
-	w.t.Helper()
-	w.must(standin.AwaitReady(w.t.Context(), w.at(gatewayVMs, i, readyPort)))
+func (cl *cluster) awaitServing(i int) {
+	cl.t.Helper()
+	cl.must(standin.AwaitReady(cl.t.Context(), cl.address(gatewayVMs, i, readyPort)))
 }
 
 // Each gateway is stopped in order and started again while a configuration goes out and
 // all programs are told to reload, one of them just after its start.
 func TestStopsAndReloadsLeaveNothingUnanswered(t *testing.T) {
-	w := startWorld(t, small, logFolder(t))
-	end := w.keptCallers(t)
+	cl := startCluster(t, smallClusterConfig, logFolder(t))
+	end := cl.startKeepAliveCallers(t)
 	hangUp := func() {
-		for _, name := range w.programs.names() {
-			w.programs.signal(name, syscall.SIGHUP)
+		for _, name := range cl.programs.names() {
+			cl.programs.signal(name, syscall.SIGHUP)
 		}
 	}
-	for i := range w.size.gateways {
+	for i := range cl.config.gateways {
 		name := nameOf("gateway", i)
 		hangUp()
-		w.must(w.operator.Reconfigure(t.Context(), figures, standin.ConfigurationChange{Version: uint64(i + 2), ExtraRoutes: mostMoreInCI}))
-		w.programs.stop(name, syscall.SIGTERM)
-		w.programs.again(name)
-		w.awaitServing(i)
+		cl.must(cl.operator.Reconfigure(t.Context(), engineFigures, standin.ConfigurationChange{Version: uint64(i + 2), ExtraRoutes: extraRoutesInCI}))
+		cl.programs.stop(name, syscall.SIGTERM)
+		cl.programs.restart(name)
+		cl.awaitServing(i)
 	}
 	hangUp()
-	checkAnswered(t, w, end())
+	checkAnswered(t, cl, end())
 }
 
-// mostMoreInCI is how many routes a configuration has in CI beyond the usual ones.
-const mostMoreInCI = 200
+// extraRoutesInCI is how many routes a configuration has in CI beyond the usual ones.
+const extraRoutesInCI = 200
 
 // checkAnswered checks that whatever ran at a server was answered, and truly.
-func checkAnswered(t *testing.T, w *world, ended []standin.KeepAliveRequest) {
+func checkAnswered(t *testing.T, cl *cluster, ended []standin.KeepAliveRequest) {
 	t.Helper()
-	v := w.judge(ended, nil)
+	v := cl.evaluate(ended, nil)
 	if v.ends[standin.Succeeded] == 0 {
 		t.Fatal("nothing was answered")
 	}
 	for _, c := range v.cuts {
 		if c.ran > 0 {
-			t.Errorf("%s", c.line())
+			t.Errorf("%s", c.reportLine())
 		}
 	}
-	for _, k := range v.wrong {
+	for _, k := range v.wrongAnswers {
 		t.Errorf("%s: %s", k.ID, k.Reason)
 	}
 }
 
-// askPaused sends one request over a connection of its own, has the gateway stand still
+// requestDuringPause sends one request over a connection of its own, has the gateway stand still
 // once the request has run for a while, and returns what became of it.
-func (w *world) askPaused(t *testing.T, a standin.Request, ran, pause time.Duration) standin.KeepAliveRequest {
+func (cl *cluster) requestDuringPause(t *testing.T, a standin.Request, ran, pause time.Duration) standin.KeepAliveRequest {
 	ended := make(chan standin.KeepAliveRequest, 1)
 	ctx, cancel := context.WithCancel(t.Context())
 	c := &standin.KeepAliveCaller{
-		Name: "paused", Gateway: w.at(gatewayVMs, 0, callersPort), Rand: rand.New(rand.NewPCG(seed(t), 0)),
+		Name: "paused", Gateway: cl.address(gatewayVMs, 0, callersPort), Rand: rand.New(rand.NewPCG(seed(t), 0)),
 		NextRequest: func(*rand.Rand) standin.Request { return a },
 		OnEnd: func(k standin.KeepAliveRequest) {
 			ended <- k
@@ -103,25 +103,25 @@
 		},
 	}
 	go c.Run(ctx)
-	for w.ledger.Runs(pausedRequest) == 0 {
+	for cl.ledger.Runs(pausedRequestID) == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	time.Sleep(ran)
 	gateway := nameOf("gateway", 0)
-	w.programs.signal(gateway, syscall.SIGSTOP)
+	cl.programs.signal(gateway, syscall.SIGSTOP)
 	time.Sleep(pause)
-	w.programs.signal(gateway, syscall.SIGCONT)
+	cl.programs.signal(gateway, syscall.SIGCONT)
 	return <-ended
 }
 
-// pausedRequest is the id of askPaused's request.
-const pausedRequest = "paused-0"
+// pausedRequestID is the id of askPaused's request.
+const pausedRequestID = "paused-0"
 
 // A gateway stands still until long after the deadline of a request that runs, and goes
 // on. Its caller still waits, and is answered.
 func TestAnswerAfterAPauseIsWritten(t *testing.T) {
-	w := startWorld(t, small, logFolder(t))
-	k := w.askPaused(t, standin.Request{Kind: standin.Unsafe, Timeout: plainWithin}, 0, 2*plainWithin)
+	cl := startCluster(t, smallClusterConfig, logFolder(t))
+	k := cl.requestDuringPause(t, standin.Request{Kind: standin.Unsafe, Timeout: plainDeadline}, 0, 2*plainDeadline)
 	if k.Outcome != standin.Succeeded && k.Outcome != standin.Refused {
 		t.Errorf("%s: %s, %s", k.ID, k.Outcome, k.Reason)
 	}
@@ -136,13 +136,13 @@
 		before     = 500 * time.Millisecond // its first events pass
 		longStream = 300
 	)
-	w := startWorld(t, small, logFolder(t))
-	a := standin.Request{Kind: standin.Stream, Timeout: longWithin, Stride: figures.Stride, Prompt: leastPrompt, Tokens: longStream}
-	k := w.askPaused(t, a, before, pause)
+	cl := startCluster(t, smallClusterConfig, logFolder(t))
+	a := standin.Request{Kind: standin.Stream, Timeout: longDeadline, Stride: engineFigures.Stride, Prompt: minPrompt, Tokens: longStream}
+	k := cl.requestDuringPause(t, a, before, pause)
 	if k.Outcome != standin.Succeeded || k.Reason != "" {
 		t.Errorf("%s: %s, %s", k.ID, k.Outcome, k.Reason)
 	}
-	if n := w.ledger.Runs(pausedRequest); n != 1 {
+	if n := cl.ledger.Runs(pausedRequestID); n != 1 {
 		t.Errorf("it ran %d times", n)
 	}
 }
--- a/soak/together_test.go
+++ b/soak/together_test.go
@@ -16,44 +16,44 @@
 )
 
 const (
-	togetherPause = 3 * time.Second
-	othersPause   = 6 * time.Second
-	// signalsWithin is how far apart the signals of one stop are.
-	signalsWithin = 1500 * time.Millisecond
+	simultaneousStopPause = 3 * time.Second
+	otherStopPause        = 6 * time.Second
+	// signalSpread is how far apart the signals of one stop are.
+	signalSpread = 1500 * time.Millisecond
 	// A second signal comes within these after the first.
-	againSoonest, againLatest = 500 * time.Millisecond, 3500 * time.Millisecond
-	// soonAfterStart is how soon after a start the next stop may come.
-	soonAfterStart = 1200 * time.Millisecond
+	minSecondSignalDelay, maxSecondSignalDelay = 500 * time.Millisecond, 3500 * time.Millisecond
+	// maxStopAfterStart is how soon after a start the next stop may come.
+	maxStopAfterStart = 1200 * time.Millisecond
 )
 
-// stopTogether stops the gateways of one VM, of a failure domain or all of them within
+// stopSimultaneously stops the gateways of one VM, of a failure domain or all of them within
 // signalsWithin, starts them again, and stops some of them once more just after.
-func (s *series) stopTogether(ctx context.Context) {
-	s.loop(ctx, "together", togetherPause, func(r *rand.Rand) {
-		s.world.slowEngines(s.pace)
-		defer s.world.slowEngines(1)
-		for _, back := range s.stopSome(r) {
+func (s *faultInjector) stopSimultaneously(ctx context.Context) {
+	s.repeat(ctx, "together", simultaneousStopPause, func(r *rand.Rand) {
+		s.cluster.slowEngines(s.slowdown)
+		defer s.cluster.slowEngines(1)
+		for _, back := range s.stopGateways(r) {
 			<-back
 		}
 	})
 }
 
-// scopes tell whether a gateway is stopped together with the first one that was drawn.
-var scopes = []func(gateway, first int) bool{
+// stopScopes tell whether a gateway is stopped together with the first one that was drawn.
+var stopScopes = []func(gateway, first int) bool{
 	func(gateway, first int) bool { return gateway == first },
-	func(gateway, first int) bool { return zone(gateway) == zone(first) },
+	func(gateway, first int) bool { return failureDomain(gateway) == failureDomain(first) },
 	func(int, int) bool { return true },
 }
 
-// stopSome stops some gateways, and returns what closes when each is back.
-func (s *series) stopSome(r *rand.Rand) (back []<-chan struct{}) {
-	stopsWith, first := scopes[r.IntN(len(scopes))], r.IntN(s.world.size.gateways)
-	for i := range s.world.size.gateways {
-		if !stopsWith(i, first) || !s.take(nameOf("gateway", i)) {
+// stopGateways stops some gateways, and returns what closes when each is back.
+func (s *faultInjector) stopGateways(r *rand.Rand) (back []<-chan struct{}) {
+	stopsWith, first := stopScopes[r.IntN(len(stopScopes))], r.IntN(s.cluster.config.gateways)
+	for i := range s.cluster.config.gateways {
+		if !stopsWith(i, first) || !s.acquire(nameOf("gateway", i)) {
 			continue
 		}
-		one := &stopAndStart{series: s, gateway: i, random: rand.New(rand.NewPCG(r.Uint64(), r.Uint64())), back: make(chan struct{})}
-		back = append(back, one.back)
+		one := &stopAndStart{faults: s, gateway: i, random: rand.New(rand.NewPCG(r.Uint64(), r.Uint64())), restarted: make(chan struct{})}
+		back = append(back, one.restarted)
 		go one.run()
 	}
 	return back
@@ -62,42 +62,42 @@
 // stopAndStart stops one gateway, perhaps with a second signal, and starts it again, perhaps
 // to be stopped once more at once.
 type stopAndStart struct {
-	series  *series
-	gateway int
-	random  *rand.Rand
-	back    chan struct{}
+	faults    *faultInjector
+	gateway   int
+	random    *rand.Rand
+	restarted chan struct{}
 }
 
 func (o *stopAndStart) run() {
 	name := nameOf("gateway", o.gateway)
-	defer close(o.back)
-	defer o.series.giveBack(name)
-	o.sleep(0, signalsWithin)
+	defer close(o.restarted)
+	defer o.faults.release(name)
+	o.sleep(0, signalSpread)
 	o.stop(name)
-	o.sleep(0, longestDown)
-	o.series.world.programs.again(name)
+	o.sleep(0, maxDowntime)
+	o.faults.cluster.programs.restart(name)
 	if o.random.IntN(2) == 0 {
-		o.sleep(0, soonAfterStart)
+		o.sleep(0, maxStopAfterStart)
 		o.stop(name)
-		o.series.world.programs.again(name)
+		o.faults.cluster.programs.restart(name)
 	}
 }
 
 // stop stops the gateway, and sends half of the time a second signal meanwhile.
 func (o *stopAndStart) stop(name string) {
-	w := o.series.world
-	one := span{gateway: w.at(gatewayVMs, o.gateway, callersPort), from: time.Now()}
-	gone := w.programs.ask(name, syscall.SIGTERM)
+	cl := o.faults.cluster
+	one := stopSpan{gateway: cl.address(gatewayVMs, o.gateway, callersPort), from: time.Now()}
+	gone := cl.programs.requestStop(name, syscall.SIGTERM)
 	if o.random.IntN(2) == 0 {
-		o.sleep(againSoonest, againLatest)
+		o.sleep(minSecondSignalDelay, maxSecondSignalDelay)
 		// It may be gone by then.
-		_ = w.programs.named(name).cmd.Process.Signal(syscall.SIGTERM)
+		_ = cl.programs.lookup(name).cmd.Process.Signal(syscall.SIGTERM)
 	}
 	<-gone
 	one.to = time.Now()
-	o.series.mu.Lock()
-	defer o.series.mu.Unlock()
-	o.series.stops = append(o.series.stops, one)
+	o.faults.mu.Lock()
+	defer o.faults.mu.Unlock()
+	o.faults.stops = append(o.faults.stops, one)
 }
 
 // sleep sleeps for a time between two.
@@ -105,14 +105,14 @@
 	time.Sleep(least + time.Duration(o.random.Float64()*float64(most-least)))
 }
 
-// stopOthers stops control nodes and stagers in order, and starts them again.
-func (s *series) stopOthers(ctx context.Context) {
+// stopControlNodesAndStagers stops control nodes and stagers in order, and starts them again.
+func (s *faultInjector) stopControlNodesAndStagers(ctx context.Context) {
 	for _, kind := range []struct {
 		name  string
 		count int
-	}{{"control", s.world.size.control}, {"stager", s.world.size.engines}} {
-		s.loop(ctx, "stop "+kind.name, othersPause, func(r *rand.Rand) {
-			s.stopOne(r, nameOf(kind.name, r.IntN(kind.count)), syscall.SIGTERM)
+	}{{"control", s.cluster.config.control}, {"stager", s.cluster.config.engines}} {
+		s.repeat(ctx, "stop "+kind.name, otherStopPause, func(r *rand.Rand) {
+			s.stopAndRestart(r, nameOf(kind.name, r.IntN(kind.count)), syscall.SIGTERM)
 		})
 	}
 }
