--- a/soak/aim_test.go
+++ b/soak/aim_test.go
@@ -1,16 +1,15 @@
 //go:build bench
 
 // ================================================================
-// What silence costs callers: the share of the requests sent in the 4 s after all
-// connections of a kind went silent that is answered in time, against that of 4 s
-// before. The callers' aim is 0.85 of it when all kinds go silent at once.
+// Measures the cost of silent connections to callers: the share of requests answered in
+// time among those sent in the 4 s after connections went silent, relative to the 4 s
+// before. The callers' target is 0.85 when all kinds of connections go silent at once.
 //
-// The 4 s before are the last of which all requests were over by then. Of the very
-// last ones the silence meets some under way, which lowers what is compared with.
+// The 4 s before are the last ones whose requests had all finished when the silence began:
+// requests still in flight at that moment would lower the baseline.
 //
-// It is measured by a clock on processes that share one machine, and so it is run
-// by hand: make silence SEED=1. Runs beside other work tell less; the table says
-// how much there was.
+// The test depends on wall-clock time on one shared machine, so it is run by hand:
+// make silence SEED=1. Other load makes a run less meaningful; the output prints it.
 // ================================================================
 
 package soak
@@ -30,45 +29,48 @@
 )
 
 const (
-	// minOnTimeRatio is the least share of what was answered in time before.
+	// minOnTimeRatio is the users' target: the smallest allowed share of requests answered
+	// in time after the silence, relative to the share before it.
 	minOnTimeRatio = 0.85
-	// measureWindow is what is compared before and after, and secondAfter when connections
-	// go silent again where they do so twice.
+	// measureWindow is the length of the two periods that are compared.
+	// secondSilenceDelay is the time between the first and the second silence in the
+	// scenario that has two.
 	measureWindow      = 4 * time.Second
 	secondSilenceDelay = 1500 * time.Millisecond
-	// baselinePeriod comes before each silence: the window, and the time in which gateways
-	// forget what they held against backend servers and stagers in the one before.
+	// baselinePeriod precedes each silence. It covers the baseline window and the time after
+	// which gateways no longer avoid backend servers and stagers because of the previous
+	// silence.
 	baselinePeriod = 12 * time.Second
-	// completionWait is until the last request of a window is over.
+	// completionWait is the time until the last request of a window has finished.
 	completionWait = 7 * time.Second
-	// callerTimeout is how long callers wait.
+	// callerTimeout is how long callers wait for an answer.
 	callerTimeout = 6 * time.Second
-	// longRolloutDeadline is the time within which new weights are to be in force.
+	// longRolloutDeadline is the time within which a new version of the weights must be in use.
 	longRolloutDeadline = 10 * time.Second
-	// startupWait is how long the programs get to find each other.
+	// startupWait is the time that the programs get to find each other.
 	startupWait = 5 * time.Second
 )
 
-// allKinds is what the scenarios begin with that the aim is set for.
+// allKinds is the prefix of the names of the scenarios that the target applies to.
 const allKinds = "all kinds"
 
-// rolloutLead is how long before the silence new weights are named, in the
-// scenarios in which they spread: some chunks are on their way then.
+// rolloutLead is the time between naming a new version of the weights and the silence, in
+// scenarios with a rollout. Chunks are in transit by then.
 const rolloutLead = 700 * time.Millisecond
 
-// scenario is which connections go silent, and when.
+// scenario says which connections go silent, and when.
 type scenario struct {
 	name     string
 	kinds    []connectionKind
 	offsets  []time.Duration
-	rollsOut bool // new weights do, meanwhile
+	rollsOut bool // a new version of the weights is rolled out meanwhile
 }
 
 func scenarios() []scenario {
 	once := []time.Duration{0}
 	var all []scenario
-	for _, r := range connectionKinds {
-		all = append(all, scenario{name: r.name, kinds: []connectionKind{r}, offsets: once})
+	for _, k := range connectionKinds {
+		all = append(all, scenario{name: k.name, kinds: []connectionKind{k}, offsets: once})
 	}
 	return append(all,
 		scenario{name: "gateway to backend server and to stager", kinds: connectionKindsNamed("gateway to backend server", "gateway to stager"), offsets: once},
@@ -79,48 +81,48 @@
 		scenario{name: allKinds + ", weights spread", kinds: connectionKinds, offsets: once, rollsOut: true})
 }
 
-// connectionKindsNamed returns the kinds with some names.
+// connectionKindsNamed returns the connection kinds with the given names.
 func connectionKindsNamed(names ...string) []connectionKind {
-	return slices.DeleteFunc(slices.Clone(connectionKinds), func(r connectionKind) bool { return !slices.Contains(names, r.name) })
+	return slices.DeleteFunc(slices.Clone(connectionKinds), func(k connectionKind) bool { return !slices.Contains(names, k.name) })
 }
 
-// silenceModes are how connections may go silent.
+// silenceModes are the ways in which connections may go silent.
 var silenceModes = []struct {
-	name   string
-	manner faultproxy.Manner
+	name string
+	mode faultproxy.Manner
 }{
 	{"lost", faultproxy.Manner{}},
 	{"acknowledged", faultproxy.Manner{Acknowledged: true}},
 	{"lost midway", faultproxy.Manner{Midway: true}},
 }
 
-// TestSilenceCostsLittle fails where less than the aim is left when all kinds of
-// connections go silent at once, or twice in a row.
+// TestSilenceCostsLittle guards against losing more than the target allows when all kinds
+// of connections go silent, once or twice in a row.
 func TestSilenceCostsLittle(t *testing.T) {
 	for _, m := range silenceModes {
-		if only := os.Getenv("TIDEPOST_SILENCE"); only != "" && only != m.name {
+		if selected := os.Getenv("TIDEPOST_SILENCE"); selected != "" && selected != m.name {
 			continue
 		}
-		t.Run(m.name, func(t *testing.T) { measureSilence(t, m.manner) })
+		t.Run(m.name, func(t *testing.T) { measureSilence(t, m.mode) })
 	}
 }
 
 func measureSilence(t *testing.T, m faultproxy.Manner) {
-	busy := machineLoad()
+	loadBefore := machineLoad()
 	cl := startCluster(t, clusterConfig{control: 3, gateways: 3, engines: 6, plain: 3, plainServiceTime: 20 * time.Millisecond, rolloutDeadline: longRolloutDeadline}, logFolder(t))
 	l := newLoad(cl, seed(t), callerTimeout)
 	time.Sleep(startupWait)
 	ctx, cancel := context.WithCancel(t.Context())
-	sending := make(chan struct{})
+	senderDone := make(chan struct{})
 	go func() {
-		defer close(sending)
+		defer close(senderDone)
 		l.send(ctx, math.MaxInt)
 	}()
 	var rows []row
-	only := os.Getenv("TIDEPOST_SILENT")
+	selected := os.Getenv("TIDEPOST_SILENT")
 	version := uint64(standin.FirstVersion)
 	for _, s := range scenarios() {
-		if !strings.HasPrefix(s.name, only) {
+		if !strings.HasPrefix(s.name, selected) {
 			continue
 		}
 		if s.rollsOut {
@@ -129,11 +131,11 @@
 		rows = append(rows, s.run(cl, l, m, version))
 	}
 	cancel()
-	<-sending
+	<-senderDone
 	l.inFlight.Wait()
 	answers := l.finished()
 	print := func(format string, arguments ...any) { fmt.Printf("silence: "+format+"\n", arguments...) }
-	print("%s, seed %d, %.0f requests/s (%.0f%% of what the engines carry), machine load %s before and %s after", t.Name(), seed(t), 1/l.interval().Seconds(), 100*loadShare, busy, machineLoad())
+	print("%s, seed %d, %.0f requests/s (%.0f%% of the engines' capacity), machine load %s before and %s after", t.Name(), seed(t), 1/l.interval().Seconds(), 100*loadShare, loadBefore, machineLoad())
 	print("%s", tableHeader())
 	for i := range rows {
 		r := &rows[i]
@@ -149,16 +151,17 @@
 		verdict := "held"
 		if r.retained() < minOnTimeRatio {
 			verdict = "broken"
-			t.Errorf("%s: %.2f of what was answered in time before; the aim is %.2f", r.name, r.retained(), minOnTimeRatio)
+			t.Errorf("%s: the share answered in time is %.2f of that before the silence; the target is %.2f", r.name, r.retained(), minOnTimeRatio)
 		}
 		print("%s: %s, %.2f against %.2f", r.name, verdict, r.retained(), minOnTimeRatio)
 	}
 	for _, b := range cl.staleStarts() {
-		t.Errorf("%s began on version %d %s after a later one was acknowledged", b.ID, b.Version, b.delay)
+		t.Errorf("%s started on version %d %s after a later version was acknowledged", b.ID, b.Version, b.delay)
 	}
 }
 
-// staleStart is a request that began on a version after the time for the next was over.
+// staleStart is a request that started on an old version after the rollout deadline of the
+// next version.
 type staleStart struct {
 	standin.RunStart
 	delay time.Duration
@@ -175,8 +178,8 @@
 	return all
 }
 
-// run has the connections go silent after a calm time and waits until the
-// requests of the window after are over.
+// run makes the connections go silent after the baseline period, and waits until the
+// requests of the following window have finished.
 func (s scenario) run(cl *cluster, l *load, m faultproxy.Manner, version uint64) row {
 	time.Sleep(baselinePeriod)
 	if s.rollsOut {
@@ -184,8 +187,8 @@
 		time.Sleep(rolloutLead)
 	}
 	r := row{name: s.name, from: time.Now()}
-	for _, after := range s.offsets {
-		time.Sleep(time.Until(r.from.Add(after)))
+	for _, offset := range s.offsets {
+		time.Sleep(time.Until(r.from.Add(offset)))
 		r.silenced = append(r.silenced, cl.silence(s.kinds, m)...)
 	}
 	r.to = time.Now().Add(measureWindow)
@@ -205,40 +208,41 @@
 // ----------------------------------------------------------------
 // The table
 
-// onTimeCount counts requests and those answered in time.
+// onTimeCount counts requests and those of them that were answered in time.
 type onTimeCount struct{ onTime, total int }
 
-func (s onTimeCount) ratio() float64 { return float64(s.onTime) / float64(max(s.total, 1)) }
+func (c onTimeCount) ratio() float64 { return float64(c.onTime) / float64(max(c.total, 1)) }
 
-func (s onTimeCount) String() string {
-	return fmt.Sprintf("%.2f (%d/%d)", s.ratio(), s.onTime, s.total)
+func (c onTimeCount) String() string {
+	return fmt.Sprintf("%.2f (%d/%d)", c.ratio(), c.onTime, c.total)
 }
 
-// row is what one scenario gave.
+// row is the result of one scenario.
 type row struct {
 	name     string
 	from, to time.Time
 	silenced []silencedDialer
 
-	// before are the requests of the last window of which all were over when the
-	// connections went silent, just before those of the last window at all, which
-	// the silence met under way, and after those of the window after.
+	// before counts the requests of the last window whose requests had all finished when
+	// the connections went silent. justBefore counts those of the window right before the
+	// silence, some of which were still in flight. after counts those of the window that
+	// starts with the silence.
 	before, justBefore, after   onTimeCount
 	inFlight                    onTimeCount
 	streamsBefore, streamsAfter onTimeCount
 	plainBefore, plainAfter     onTimeCount
-	failures                    failureCounts // of those after
-	timeline                    []onTimeCount // by when they were sent, in steps
+	failures                    failureCounts // of the requests in after
+	timeline                    []onTimeCount // by time of sending, in steps of timelineStep
 }
 
-// The course is told in steps from a time before the silence on.
+// The timeline starts timelineLead before the silence.
 const (
 	timelineStep  = 500 * time.Millisecond
 	timelineLead  = 2 * timelineStep
 	timelineSteps = 20
 )
 
-// addToTimeline counts a request in the course.
+// addToTimeline counts a request in its step of the timeline.
 func (r *row) addToTimeline(a standin.Result) {
 	if r.timeline == nil {
 		r.timeline = make([]onTimeCount, timelineSteps)
@@ -249,7 +253,7 @@
 	}
 }
 
-// timelineLine is the course as one line.
+// timelineLine formats the timeline as one line.
 func (r *row) timelineLine() string {
 	var steps []string
 	for _, s := range r.timeline {
@@ -258,25 +262,25 @@
 	return fmt.Sprintf(detailFormat, fmt.Sprintf("every %.1f s, from -%.1f s", timelineStep.Seconds(), timelineLead.Seconds()), strings.Join(steps, " "))
 }
 
-// maxAnswerTime is longer than the longest answer takes at a busy engine.
+// maxAnswerTime is longer than the longest answer of a busy engine takes.
 const maxAnswerTime = 2 * time.Second
 
-// count counts the requests by when they were sent.
+// count assigns the requests to the periods in which they were sent.
 func (r *row) count(answers []standin.Result) {
-	within := func(a standin.Result, from, to time.Time) bool { return !a.Sent.Before(from) && a.Sent.Before(to) }
-	over := r.from.Add(-maxAnswerTime)
+	sentBetween := func(a standin.Result, from, to time.Time) bool { return !a.Sent.Before(from) && a.Sent.Before(to) }
+	settled := r.from.Add(-maxAnswerTime)
 	for _, a := range answers {
-		if within(a, over.Add(-measureWindow), over) {
+		if sentBetween(a, settled.Add(-measureWindow), settled) {
 			r.before.add(a)
 			countOfKind(a, &r.streamsBefore, &r.plainBefore).add(a)
 		}
-		if within(a, r.from.Add(-measureWindow), r.from) {
+		if sentBetween(a, r.from.Add(-measureWindow), r.from) {
 			r.justBefore.add(a)
 		}
-		if within(a, over, r.from) && a.Sent.Add(a.Duration).After(r.from) {
+		if sentBetween(a, settled, r.from) && a.Sent.Add(a.Duration).After(r.from) {
 			r.inFlight.add(a)
 		}
-		if within(a, r.from, r.to) {
+		if sentBetween(a, r.from, r.to) {
 			r.after.add(a)
 			countOfKind(a, &r.streamsAfter, &r.plainAfter).add(a)
 			r.failures.add(a)
@@ -292,42 +296,42 @@
 	return plain
 }
 
-func (s *onTimeCount) add(a standin.Result) {
-	s.total++
+func (c *onTimeCount) add(a standin.Result) {
+	c.total++
 	if a.InTime() {
-		s.onTime++
+		c.onTime++
 	}
 }
 
-// failureCounts counts the requests that were not answered in time, by why.
+// failureCounts counts the requests that were not answered in time, by reason.
 type failureCounts struct{ refused, late, paused, lost int }
 
-func (l *failureCounts) add(a standin.Result) {
+func (f *failureCounts) add(a standin.Result) {
 	switch {
 	case a.InTime():
 	case !a.Complete:
-		l.lost++
+		f.lost++
 	case slices.ContainsFunc(a.Attempts, func(t standin.Attempt) bool { return t.RefusalStatus != 0 }):
-		l.refused++
+		f.refused++
 	case a.FirstEvent > standin.ResponseObjective:
-		l.late++
+		f.late++
 	default:
-		l.paused++
+		f.paused++
 	}
 }
 
-func (l failureCounts) String() string {
-	return fmt.Sprintf("%d, %d, %d, %d", l.refused, l.late, l.paused, l.lost)
+func (f failureCounts) String() string {
+	return fmt.Sprintf("%d, %d, %d, %d", f.refused, f.late, f.paused, f.lost)
 }
 
-// retained is the share answered in time after over that before.
+// retained is the share answered in time after the silence, relative to that before it.
 func (r *row) retained() float64 { return r.after.relativeTo(r.before) }
 
-func (s onTimeCount) relativeTo(other onTimeCount) float64 {
-	return s.ratio() / max(other.ratio(), math.SmallestNonzeroFloat64)
+func (c onTimeCount) relativeTo(other onTimeCount) float64 {
+	return c.ratio() / max(other.ratio(), math.SmallestNonzeroFloat64)
 }
 
-// silencedKinds are the kinds of connections that went silent.
+// silencedKinds returns the kinds of connections that went silent.
 func (r *row) silencedKinds() []string {
 	var kinds []string
 	for _, s := range r.silenced {
@@ -343,58 +347,58 @@
 	detailFormat = "    %-26s | %s"
 )
 
-// tableHeader names the columns. The second ratio is against the requests of the window
-// just before, of which the silence met some under way.
+// tableHeader returns the header of the table. The ratio in the column "just before" is
+// relative to the window right before the silence, some of whose requests were in flight.
 func tableHeader() string {
-	return fmt.Sprintf(rowFormat, "connections", "before", "after", "ratio", "just before", "streams", "plain", "under way",
-		"refused,late,paused,lost", "silent | replaced after s: median, longest, not within the time")
+	return fmt.Sprintf(rowFormat, "connections", "before", "after", "ratio", "just before", "streams", "plain", "in flight",
+		"refused,late,paused,lost", "silent | reconnected after s: median, longest, not in time")
 }
 
-// lines are the line of the row and, where several kinds went silent, one for the
-// replacement of each.
+// lines returns the row of the table, its timeline and, if several kinds of connections
+// went silent, a line on the reconnects of each kind.
 func (r *row) lines() []string {
-	twoShares := func(a, b onTimeCount) string { return fmt.Sprintf("%.2f to %.2f", a.ratio(), b.ratio()) }
+	twoRatios := func(a, b onTimeCount) string { return fmt.Sprintf("%.2f to %.2f", a.ratio(), b.ratio()) }
 	lines := []string{fmt.Sprintf(rowFormat, r.name, r.before, r.after, fmt.Sprintf("%.2f", r.retained()),
 		fmt.Sprintf("%.2f: %.2f", r.justBefore.ratio(), r.after.relativeTo(r.justBefore)),
-		twoShares(r.streamsBefore, r.streamsAfter), twoShares(r.plainBefore, r.plainAfter), r.inFlight, r.failures, r.reconnects(r.silenced))}
+		twoRatios(r.streamsBefore, r.streamsAfter), twoRatios(r.plainBefore, r.plainAfter), r.inFlight, r.failures, r.reconnects(r.silenced))}
 	lines = append(lines, r.timelineLine())
 	kinds := r.silencedKinds()
 	if len(kinds) < 2 {
 		return lines
 	}
 	for _, kind := range kinds {
-		of := slices.DeleteFunc(slices.Clone(r.silenced), func(s silencedDialer) bool { return s.kind != kind })
-		lines = append(lines, fmt.Sprintf(detailFormat, kind, r.reconnects(of)))
+		ofKind := slices.DeleteFunc(slices.Clone(r.silenced), func(s silencedDialer) bool { return s.kind != kind })
+		lines = append(lines, fmt.Sprintf(detailFormat, kind, r.reconnects(ofKind)))
 	}
 	return lines
 }
 
-// reconnects tells how many connections went silent and how long it took until
-// their dialers came with new ones. Not all do: who follows a control node goes to
-// another one.
-func (r *row) reconnects(all []silencedDialer) string {
-	count, waiting := 0, 0
-	var took []time.Duration
-	for _, s := range all {
+// reconnects formats how many connections went silent and how long their dialers took to
+// open new ones. Not every dialer reconnects: a follower of a control node may switch to
+// another node.
+func (r *row) reconnects(dialers []silencedDialer) string {
+	count, missing := 0, 0
+	var times []time.Duration
+	for _, s := range dialers {
 		count += s.count
 		if d, ok := s.reconnectTime(r.to.Add(completionWait)); ok {
-			took = append(took, d)
+			times = append(times, d)
 		} else {
-			waiting++
+			missing++
 		}
 	}
-	if len(took) == 0 {
-		return fmt.Sprintf("%6d | -, -, %d", count, waiting)
+	if len(times) == 0 {
+		return fmt.Sprintf("%6d | -, -, %d", count, missing)
 	}
-	slices.Sort(took)
-	return fmt.Sprintf("%6d | %.2f, %.2f, %d of %d", count, took[len(took)/2].Seconds(), took[len(took)-1].Seconds(), waiting, len(all))
+	slices.Sort(times)
+	return fmt.Sprintf("%6d | %.2f, %.2f, %d of %d", count, times[len(times)/2].Seconds(), times[len(times)-1].Seconds(), missing, len(dialers))
 }
 
-// reconnectTime returns how long it took until the dialer came with a new connection;
-// false where it had not by some time.
-func (s silencedDialer) reconnectTime(by time.Time) (time.Duration, bool) {
+// reconnectTime returns how long the dialer took to open a new connection, and false if it
+// had opened none by the deadline.
+func (s silencedDialer) reconnectTime(deadline time.Time) (time.Duration, bool) {
 	for _, o := range s.proxy.Openings() {
-		if o.Label == s.label && o.At.After(s.at) && o.At.Before(by) {
+		if o.Label == s.label && o.At.After(s.at) && o.At.Before(deadline) {
 			return o.At.Sub(s.at), true
 		}
 	}
--- a/soak/world_test.go
+++ b/soak/cluster_test.go
@@ -1,17 +1,17 @@
 // ================================================================
-// A small world on loopback: each VM has an address of its own, and a proxy
-// stands wherever one program dials another.
+// Starts a small cluster on loopback. Each VM has its own address, and there is a proxy
+// wherever one program dials another.
 //
 //	127.n.1.i  control node i       links 7700 (proxy) to 7701
 //	127.n.2.i  gateway i            callers 8005, readiness 8002, links 7700 (proxy) to 7701
 //	127.n.3.i  engine and stager i  links 7700 (proxy) to 7701, engine 9000 (proxy) to 9001
 //	127.n.4.i  plain server i       9000 (proxy) to 9001; the origin 9100 on the first
-//	127.n.5.i  ending server i      9001, without a proxy: its port closes when it ends
-//	127.n.6.i  ending engine i      9001 as above, and its stager with links 7700 (proxy) to 7701
+//	127.n.5.i  crashing server i    9001, without a proxy: its port closes when it crashes
+//	127.n.6.i  crashing engine i    9001 as above, and its stager with links 7700 (proxy) to 7701
 //
-// Links go to one port on every VM, so a stager is found at its engine's host: the
-// proxies have that port, and the programs listen beside it and tell the proxy's
-// address as their own.
+// Links use the same port on every VM, so that a stager is found on its engine's host. The
+// proxies listen on that port; the programs listen on another one and advertise the
+// proxy's address.
 // ================================================================
 
 package soak
@@ -44,7 +44,7 @@
 	originPort       = 9100
 )
 
-// The third number of addresses.
+// The third octet of addresses, by kind of VM.
 const (
 	controlVMs = iota + 1
 	gatewayVMs
@@ -54,27 +54,27 @@
 	crashingEngineVMs
 )
 
-// clusterConfig says how many of each there are, how long a plain server takes, and within
-// what time a named version is to be in force.
+// clusterConfig is the number of programs and servers of each kind, the time that a plain server
+// takes, and the time within which a named version must be in use.
 type clusterConfig struct {
 	control, gateways, engines, plain int
 	plainServiceTime, rolloutDeadline time.Duration
-	// retryReserve is how many repeats all gateways together may cause besides their share of the
+	// retryReserve is how many retries all gateways together may make beyond a share of the
 	// requests.
 	retryReserve int
-	// drainNotice is how long a gateway that is to end still takes callers.
+	// drainNotice is how long a gateway accepts requests after the signal to stop.
 	drainNotice time.Duration
-	// crashing is how many plain servers end when they run endingBody, and sameInstance has
-	// them start again under the instance that they had.
+	// crashing is how many plain servers crash when they run crashingBody. With sameInstance
+	// they restart under their previous instance.
 	crashing     int
 	sameInstance bool
-	// crashingEngines is how many engines end when they run it.
+	// crashingEngines is how many engines crash when they run crashingBody.
 	crashingEngines int
-	// toleratedLosses is how many control nodes may be lost at one moment.
+	// toleratedLosses is how many control nodes may be lost at the same time.
 	toleratedLosses int
 }
 
-// engineFigures are those of the engines.
+// engineFigures are the performance parameters of the engines.
 var engineFigures = standin.EngineParams{
 	Slots: 12, QueueLimit: 6, Step: 9270 * time.Microsecond, PerSequence: 23 * time.Microsecond, Stride: 5,
 	ReadPerSecond: 20700, Prompt: 800, Answer: 80,
@@ -82,22 +82,21 @@
 
 const (
 	heartbeatInterval = 1200 * time.Millisecond
-	// drainLimit is how long a planned stop may take in all, and quickNotice how long a
-	// gateway still takes callers in runs that are no test of it.
+	// drainLimit is how long a planned stop may take in all. shortDrainNotice is the
+	// drainNotice of tests that do not depend on it.
 	drainLimit       = 8 * time.Second
 	shortDrainNotice = 100 * time.Millisecond
-	// defaultRetryReserve is what the settings have where they say nothing.
+	// defaultRetryReserve is the default of the setting retries.reserve.
 	defaultRetryReserve = 20
-	// chunkServiceTime has the origin send a copy within a second.
+	// chunkServiceTime lets the origin send a copy of the weights within a second.
 	chunkServiceTime = 25 * time.Millisecond
 )
 
-// cluster is the whole.
+// cluster is a running cluster with its programs, proxies and simulated servers.
 type cluster struct {
-	t      *testing.T
-	config clusterConfig
-	subnet int // the second number of addresses
-	// programs are the processes.
+	t        *testing.T
+	config   clusterConfig
+	subnet   int // the second octet of addresses
 	programs *programs
 	ledger   *standin.RunLog
 	origin   *standin.Origin
@@ -106,13 +105,14 @@
 	plain    []*standin.Server
 	crashing []*standin.CrashingServer // plain ones first, then engines
 	operator standin.Operator
-	// namedAt are the versions named so far, with when that was acknowledged.
+	// namedAt holds the times at which the naming of each version was acknowledged.
 	namedAt map[uint64]time.Time
-	// links and servers are the proxies, by the third number of the address.
+	// links and servers are the proxies, by the third octet of the address.
 	links, servers map[int][]*faultproxy.Proxy
 }
 
-// startCluster starts everything and puts the configuration. Logs go to a folder.
+// startCluster starts a cluster, puts its configuration and waits until it is ready. Logs go to
+// a folder.
 func startCluster(t *testing.T, s clusterConfig, folder string) *cluster {
 	if s.drainNotice == 0 {
 		s.drainNotice = shortDrainNotice
@@ -126,7 +126,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	// The programs end before the proxies do: cleanups run last first.
+	// Cleanups run in reverse order, so the programs end before the proxies.
 	cl.startProxies()
 	cl.startServers(ctx)
 	cl.startCrashingServers(ctx)
@@ -165,8 +165,8 @@
 	return fmt.Sprintf("127.%d.%d.%d", cl.subnet, kind, index+1)
 }
 
-// freeSubnet returns a second number of addresses that no other run uses: the
-// listener that shows it stays open until the end of the test.
+// freeSubnet returns a second octet of addresses that no other run uses. A listener reserves
+// it until the end of the test.
 func freeSubnet(t *testing.T) int {
 	const first, last = 20, 250
 	for n := first; n <= last; n++ {
@@ -202,21 +202,21 @@
 	}
 }
 
-func (cl *cluster) addProxy(all map[int][]*faultproxy.Proxy, kind, index, port, target int, label func([]byte) string) {
+func (cl *cluster) addProxy(proxies map[int][]*faultproxy.Proxy, kind, index, port, target int, label func([]byte) string) {
 	p, err := faultproxy.Listen(faultproxy.Config{Listen: cl.address(kind, index, port), Target: cl.address(kind, index, target), Label: label})
 	cl.must(err)
 	cl.t.Cleanup(p.Close)
-	all[kind] = append(all[kind], p)
+	proxies[kind] = append(proxies[kind], p)
 }
 
 var programNamePattern = regexp.MustCompile(`(control|gateway|stager)-[0-9]+`)
 
-// linkLabel returns the name of the program that dials a link: its handshake
-// begins with it.
+// linkLabel returns the name of the program that dials a link, from the start of its
+// handshake.
 func linkLabel(first []byte) string { return string(programNamePattern.Find(first)) }
 
-// requestLabel tells the two who call an engine apart: gateways send requests, and
-// its stager makes the engine's own calls.
+// requestLabel distinguishes the two callers of an engine by the path: gateways send
+// requests, and the stager calls the engine's own API.
 func requestLabel(first []byte) string {
 	if bytes.Contains(first, []byte(" /api/")) {
 		return "stager"
@@ -225,14 +225,14 @@
 }
 
 // ----------------------------------------------------------------
-// Stand-ins
+// Simulated servers
 
 func (cl *cluster) controlAddresses() []string {
-	var all []string
+	var addresses []string
 	for i := range cl.config.control {
-		all = append(all, cl.address(controlVMs, i, controlPort))
+		addresses = append(addresses, cl.address(controlVMs, i, controlPort))
 	}
-	return all
+	return addresses
 }
 
 func (cl *cluster) startServers(ctx context.Context) {
@@ -258,7 +258,7 @@
 	}
 }
 
-// startCrashingServers starts the servers that end.
+// startCrashingServers starts the plain servers and engines that crash.
 func (cl *cluster) startCrashingServers(ctx context.Context) {
 	for i := range cl.config.crashing {
 		cl.startCrashingServer(ctx, fmt.Sprintf("x-%d", i+1), standin.PlainService, crashingVMs, i, nil)
@@ -268,14 +268,14 @@
 	}
 }
 
-func (cl *cluster) startCrashingServer(ctx context.Context, instance, service string, kind, index int, f *standin.EngineParams) {
+func (cl *cluster) startCrashingServer(ctx context.Context, instance, service string, kind, index int, params *standin.EngineParams) {
 	s := &standin.CrashingServer{
 		Heartbeats: standin.Heartbeats{
 			Instance: instance, Service: service, Address: cl.address(kind, index, serverTargetPort),
 			Zone: failureDomain(index), Slots: engineFigures.Slots, Interval: heartbeatInterval, ControlNodes: cl.controlAddresses(),
 		},
 		ServiceTime: cl.config.plainServiceTime, RunLog: cl.ledger, CrashBody: crashingBody, CrashDelay: crashDelay, Downtime: crashDowntime,
-		SameInstance: cl.config.sameInstance, EngineParams: f,
+		SameInstance: cl.config.sameInstance, EngineParams: params,
 	}
 	cl.crashing = append(cl.crashing, s)
 	go func() {
@@ -293,7 +293,7 @@
 	go b.Run(ctx)
 }
 
-// failureDomains is how many failure domains there are.
+// failureDomains is the number of failure domains.
 const failureDomains = 3
 
 func failureDomain(index int) string { return fmt.Sprintf("hall-%c", 'a'+index%failureDomains) }
@@ -325,7 +325,7 @@
 	}
 }
 
-// startStager starts the stager beside an engine that takes calls at a port.
+// startStager starts the stager of an engine that listens on a port.
 func (cl *cluster) startStager(name string, kind, index, port int) {
 	cl.programs.start("tidepost-stager", name, cl.commonSettings(name, kind, index)+fmt.Sprintf(`
 control: {%s}
@@ -334,12 +334,13 @@
 `, cl.seedsSetting(), cl.address(kind, index, port), standin.EngineService, cl.config.rolloutDeadline))
 }
 
-// seedsSetting is the setting that names the control nodes.
+// seedsSetting returns the setting with the addresses of the control nodes.
 func (cl *cluster) seedsSetting() string {
 	return fmt.Sprintf(`seeds: ["%s"]`, strings.Join(cl.controlAddresses(), `", "`))
 }
 
-// startControl starts a control node; the first start of all may form the log.
+// startControl starts a control node. On the first start of the cluster, the node may form a
+// new control log.
 func (cl *cluster) startControl(i int, first bool) {
 	name := nameOf("control", i)
 	cl.programs.start("tidepost-control", name, cl.commonSettings(name, controlVMs, i)+fmt.Sprintf(`
@@ -350,20 +351,21 @@
 `, cl.dataFolder(name), cl.address(controlVMs, i, controlPort), cl.seedsSetting(), first, cl.config.toleratedLosses, heartbeatInterval))
 }
 
-// dataFolder is the data folder of a control node.
+// dataFolder returns the data folder of a control node.
 func (cl *cluster) dataFolder(name string) string { return filepath.Join(cl.programs.folder, name) }
 
 // nameOf returns the name of a program by its kind and index.
 func nameOf(kind string, index int) string { return fmt.Sprintf("%s-%d", kind, index+1) }
 
-// commonSettings are the settings that all programs have. Each listens behind its proxy.
+// commonSettings returns the settings that all programs have. Each listens behind its proxy.
 func (cl *cluster) commonSettings(name string, kind, index int) string {
 	peers := fmt.Sprintf("listen: %q, advertise: %q", cl.address(kind, index, linkTargetPort), cl.address(kind, index, linkPort))
 	return fmt.Sprintf("protocol: platform\nvm: {name: %s, region: north, failure_domain: %s}\npeers: {%s}\n", name, failureDomain(index), peers)
 }
 
-// logFolder is where the programs' logs and data go: one that is named stays, and must be
-// empty, since control nodes go on with the data that they find.
+// logFolder returns the folder for the programs' logs and data. A folder that is named in
+// TIDEPOST_SOAK_LOGS is kept after the test. It must be empty at the start, because control
+// nodes continue with the data that they find.
 func logFolder(t *testing.T) string {
 	const variable = "TIDEPOST_SOAK_LOGS"
 	folder := os.Getenv(variable)
@@ -373,8 +375,8 @@
 	if err := os.MkdirAll(folder, 0o750); err != nil {
 		t.Fatal(err)
 	}
-	if there, err := os.ReadDir(folder); err != nil || len(there) > 0 {
-		t.Fatalf("%s holds %d files already (%v)", folder, len(there), err)
+	if files, err := os.ReadDir(folder); err != nil || len(files) > 0 {
+		t.Fatalf("%s holds %d files already (%v)", folder, len(files), err)
 	}
 	return folder
 }
--- a/soak/roles_test.go
+++ b/soak/connections_test.go
@@ -1,5 +1,6 @@
 // ================================================================
-// The kinds of connections between the programs, by who dials whom.
+// The kinds of connections between the programs, by dialer and target, and how they are
+// made silent.
 // ================================================================
 
 package soak
@@ -11,15 +12,15 @@
 	"github.com/tidepost/tidepost/pkg/faultproxy"
 )
 
-// connectionKind is a kind of connection.
+// connectionKind is a kind of connection, by dialer and target.
 type connectionKind struct {
 	name    string
 	proxies func(cl *cluster) []*faultproxy.Proxy
-	dialer  string // what its label begins with
+	dialer  string // prefix of the proxies' labels of its connections
 }
 
-func (r connectionKind) matches(label string) bool {
-	return label != "" && strings.HasPrefix(label, r.dialer)
+func (k connectionKind) matches(label string) bool {
+	return label != "" && strings.HasPrefix(label, k.dialer)
 }
 
 var connectionKinds = []connectionKind{
@@ -37,7 +38,7 @@
 func controlLinks(cl *cluster) []*faultproxy.Proxy { return cl.links[controlVMs] }
 func stagerLinks(cl *cluster) []*faultproxy.Proxy  { return cl.links[engineVMs] }
 
-// silencedDialer is one dialer whose connections to one address went silent.
+// silencedDialer is a dialer whose connections to one address went silent.
 type silencedDialer struct {
 	kind  string
 	proxy *faultproxy.Proxy
@@ -46,16 +47,16 @@
 	at    time.Time
 }
 
-// silence makes the open connections of some roles silent.
-func (cl *cluster) silence(some []connectionKind, m faultproxy.Manner) []silencedDialer {
-	var all []silencedDialer
-	for _, r := range some {
-		for _, p := range r.proxies(cl) {
+// silence makes the open connections of some kinds silent, and returns their dialers.
+func (cl *cluster) silence(kinds []connectionKind, m faultproxy.Manner) []silencedDialer {
+	var dialers []silencedDialer
+	for _, k := range kinds {
+		for _, p := range k.proxies(cl) {
 			at := time.Now()
-			for label, count := range p.Silence(r.matches, m) {
-				all = append(all, silencedDialer{r.name, p, label, count, at})
+			for label, count := range p.Silence(k.matches, m) {
+				dialers = append(dialers, silencedDialer{k.name, p, label, count, at})
 			}
 		}
 	}
-	return all
+	return dialers
 }
--- a/soak/ends_servers_test.go
+++ b/soak/crash_request_test.go
@@ -1,10 +1,9 @@
 // ================================================================
-// What was seen: one request ended each server that ran it, came again at any gateway,
-// and nothing stopped it; two fifths of all other work were lost with it. How it comes
-// about: pkg/gateway's test of the same name has the ways, one by one. What caused it: no
-// gateway remembered anything of a request, nor told the others. Here the real programs
-// run beside popular work, racks that fail and gateways that restart. What proved it
-// stands in docs/incidents/.
+// Guards against a request that crashes every server that runs it: its callers retry it at
+// any gateway, and when gateways kept no record of it and shared none, nothing stopped it and
+// two fifths of all other work was lost. The real programs run here with a popular request,
+// failing racks and restarting gateways beside it; pkg/gateway tests the individual causes.
+// The incident is described in docs/incidents/.
 // ================================================================
 
 package soak
@@ -23,31 +22,32 @@
 )
 
 const (
-	crashingBody = "a request that ends its server"
-	popularBody  = "what everybody asks"
-	// crashDelay is how long a server lives after it has begun the request that ends it,
-	// and endedFor how long it is gone.
+	crashingBody = "a request that crashes its server"
+	popularBody  = "a popular request"
+	// crashDelay is the time from the start of the crashing request to the crash of its server.
+	// crashDowntime is how long a crashed server stays down.
 	crashDelay    = 60 * time.Millisecond
 	crashDowntime = 3 * time.Second
-	// crashingRequestPause lies between two tries of the request that ends servers.
+	// crashingRequestPause is the pause between two attempts of the crashing request.
 	crashingRequestPause = 500 * time.Millisecond
-	// quarantineReason is what a refusal of such a request names.
+	// quarantineReason is the error kind in the refusal of a crashing request.
 	quarantineReason = "ends_servers"
-	// maxCrashes is how many servers it may end in all: three, and three more.
+	// maxCrashes is how many servers the request may crash in all: three, after which
+	// gateways refuse it, and three more.
 	maxCrashes = 6
 )
 
-// crashRun sends a request that ends servers beside other work.
+// crashRun sends a request that crashes servers, and other requests in the background.
 type crashRun struct {
 	cluster  *cluster
 	kind     standin.Kind
-	random   *rand.Rand // of the tries that end servers
+	random   *rand.Rand // draws the gateways of the crashing request
 	attempts int
 
 	background sync.WaitGroup
 	mu         sync.Mutex
-	total      map[string]int // requests beside it, by what they are
-	complete   map[string]int // those of them that were answered whole
+	total      map[string]int // finished background requests by name
+	complete   map[string]int // those of them with a complete answer
 }
 
 func newCrashRun(cl *cluster, kind standin.Kind, seed uint64) *crashRun {
@@ -57,7 +57,8 @@
 	}
 }
 
-// attempt sends one try to a gateway and tells whether it was kept away from servers.
+// attempt sends the crashing request to a gateway once and reports whether the gateway
+// refused it because it crashes servers.
 func (r *crashRun) attempt(t *testing.T, gateway int) bool {
 	r.attempts++
 	c := standin.Caller{Gateway: func(int) string { return r.cluster.address(gatewayVMs, gateway, callersPort) }}
@@ -65,22 +66,22 @@
 	return strings.Contains(a.Attempts[0].Reason, quarantineReason)
 }
 
-// sized fills in the size of a request, which engines go by.
+// sized sets the token counts of a request; engines derive its duration from them.
 func sized(a standin.Request) standin.Request {
 	a.Prompt, a.Tokens, a.Stride = minPrompt, minTokens, engineFigures.Stride
 	return a
 }
 
-// sendBackground sends requests of a kind and body one after the other until the context ends.
-// Those that were begun by then are waited for.
-func (r *crashRun) sendBackground(ctx context.Context, name string, kind standin.Kind, body string, within time.Duration, random *rand.Rand) {
+// sendBackground sends requests of one kind and body one after the other until the context
+// ends. A request that has started by then runs to its end.
+func (r *crashRun) sendBackground(ctx context.Context, name string, kind standin.Kind, body string, deadline time.Duration, random *rand.Rand) {
 	r.background.Go(func() {
 		for n := 0; ctx.Err() == nil; n++ {
 			first := random.IntN(r.cluster.config.gateways)
 			c := standin.Caller{Gateway: func(try int) string {
 				return r.cluster.address(gatewayVMs, (first+try)%r.cluster.config.gateways, callersPort)
 			}}
-			ask := sized(standin.Request{ID: fmt.Sprintf("%s-%d-%d", name, random.Uint32(), n), Kind: kind, Body: body, Timeout: within})
+			ask := sized(standin.Request{ID: fmt.Sprintf("%s-%d-%d", name, random.Uint32(), n), Kind: kind, Body: body, Timeout: deadline})
 			a := c.Do(context.WithoutCancel(ctx), ask)
 			r.mu.Lock()
 			r.total[name]++
@@ -92,7 +93,7 @@
 	})
 }
 
-// crashCount is how many servers the request ended.
+// crashCount returns how often the request crashed a server.
 func (cl *cluster) crashCount() (count int) {
 	for _, s := range cl.crashing {
 		count += len(s.CrashedBy())
@@ -100,7 +101,7 @@
 	return count
 }
 
-// failDomain ends all servers of a failure domain at one moment.
+// failDomain crashes all servers of a failure domain at one moment.
 func (cl *cluster) failDomain(domain int) {
 	for i, s := range cl.crashing {
 		if i%failureDomains == domain {
@@ -109,7 +110,7 @@
 	}
 }
 
-// crashClusterConfig is a world of servers that end, for runs in CI.
+// crashClusterConfig is a cluster with crashing servers, for runs in CI.
 var crashClusterConfig = clusterConfig{control: 3, gateways: 3, crashing: 9, plainServiceTime: 20 * time.Millisecond, rolloutDeadline: longDeadline}
 
 func TestRequestThatCrashesServers(t *testing.T) {
@@ -122,8 +123,8 @@
 	}
 }
 
-// Engines end too, and start again without weights: their stagers have them go on. Streams
-// beside go on elsewhere, behind the last event that their callers have.
+// Engines that crash start again without weights, and their stagers load them again. Other
+// streams of a crashed engine resume at another one after the last event that was delivered.
 func TestRequestThatCrashesEngines(t *testing.T) {
 	for _, same := range []bool{false, true} {
 		t.Run(fmt.Sprintf("same instance %t", same), func(t *testing.T) {
@@ -138,28 +139,28 @@
 			}
 			r.untilAllRefuse(t)
 			if n := cl.crashCount(); n < 3 || n > maxCrashes {
-				t.Errorf("one request ended %d engines in %d tries; %d may end", n, r.attempts, maxCrashes)
+				t.Errorf("one request crashed %d engines in %d attempts; at most %d are allowed", n, r.attempts, maxCrashes)
 			}
 			cancel()
 			r.background.Wait()
 			if r.total["stream"] == 0 || r.complete["stream"] < r.total["stream"] {
-				t.Errorf("%d of %d streams were answered whole", r.complete["stream"], r.total["stream"])
+				t.Errorf("%d of %d streams were answered completely", r.complete["stream"], r.total["stream"])
 			}
 			cl.awaitWeightsServed()
 		})
 	}
 }
 
-// awaitWeightsServed waits until all engines that end serve the weights.
+// awaitWeightsServed waits until all crashing engines serve the weights.
 func (cl *cluster) awaitWeightsServed() {
 	cl.t.Helper()
-	const look = 20 * time.Millisecond
+	const pollInterval = 20 * time.Millisecond
 	for _, s := range cl.crashing {
 		for s.ServedVersion() != standin.FirstVersion {
 			select {
 			case <-cl.t.Context().Done():
-				cl.t.Fatal("an engine that started again serves nothing")
-			case <-time.After(look):
+				cl.t.Fatal("a restarted engine serves no version of the weights")
+			case <-time.After(pollInterval):
 			}
 		}
 	}
@@ -179,10 +180,10 @@
 	r.untilAllRefuse(t)
 	cl.failDomain(1)
 	if n := cl.crashCount(); n < 3 || n > maxCrashes {
-		t.Errorf("one request ended %d servers in %d tries; %d may end", n, r.attempts, maxCrashes)
+		t.Errorf("one request crashed %d servers in %d attempts; at most %d are allowed", n, r.attempts, maxCrashes)
 	}
 
-	// Who starts anew, and who loses its control node, keeps it away as well.
+	// A restarted gateway, and gateways that lose a control node, refuse the request as well.
 	before := cl.crashCount()
 	cl.programs.stop(nameOf("gateway", 1), syscall.SIGTERM)
 	cl.programs.stop(nameOf("control", 0), syscall.SIGKILL)
@@ -190,36 +191,36 @@
 	cl.awaitServing(1)
 	for i := range 3 * cl.config.gateways {
 		if !r.attempt(t, i%cl.config.gateways) {
-			t.Errorf("gateway %d sent it to a server", i%cl.config.gateways+1)
+			t.Errorf("gateway %d sent the crashing request to a server", i%cl.config.gateways+1)
 		}
 	}
 	if n := cl.crashCount(); n > before {
-		t.Errorf("it ended %d more servers after all gateways kept it away", n-before)
+		t.Errorf("the request crashed %d more servers after all gateways refused it", n-before)
 	}
 	cl.programs.restart(nameOf("control", 0))
 	cancel()
 	r.background.Wait()
 	for _, name := range []string{"popular", "safe"} {
 		if r.total[name] == 0 || r.complete[name] < r.total[name] {
-			t.Errorf("%d of %d %s requests were answered whole", r.complete[name], r.total[name], name)
+			t.Errorf("%d of %d %s requests were answered completely", r.complete[name], r.total[name], name)
 		}
 	}
 }
 
-// untilAllRefuse sends tries to one gateway after the other until each keeps the
-// request away, or it has ended more servers than it may.
+// untilAllRefuse sends the crashing request to random gateways until each of them refuses it,
+// or until it has crashed more servers than allowed.
 func (r *crashRun) untilAllRefuse(t *testing.T) {
-	const most = 60
-	kept := map[int]bool{}
-	for range most {
+	const limit = 60
+	refusing := map[int]bool{}
+	for range limit {
 		gateway := r.random.IntN(r.cluster.config.gateways)
 		if r.attempt(t, gateway) {
-			kept[gateway] = true
+			refusing[gateway] = true
 		}
-		if len(kept) == r.cluster.config.gateways || r.cluster.crashCount() > maxCrashes {
+		if len(refusing) == r.cluster.config.gateways || r.cluster.crashCount() > maxCrashes {
 			return
 		}
 		time.Sleep(crashingRequestPause)
 	}
-	t.Errorf("after %d tries %d of %d gateways keep it away", most, len(kept), r.cluster.config.gateways)
+	t.Errorf("after %d attempts %d of %d gateways refuse the request", limit, len(refusing), r.cluster.config.gateways)
 }
--- a/soak/doc.go
+++ b/soak/doc.go
@@ -1,12 +1,11 @@
 // ================================================================
-// The fault soak runs the real programs as separate processes on loopback, with
-// stand-ins around them and a proxy before each address that they dial. Its tests
-// do to the connections what networks do, and look from outside at what callers
-// and backend servers see.
+// The soak tests run the real programs as separate processes on loopback, with
+// simulated clients and backend servers and a fault-injecting proxy in front of each
+// address that the programs dial. They check what callers and backend servers observe.
 //
-// CI runs a short one with a fixed seed that checks promises only. What takes a
-// clock to judge is run by hand: make silence SEED=1.
+// CI runs short tests with a fixed seed that check guarantees only. Tests that measure
+// times are run by hand, for example: make silence SEED=1.
 // ================================================================
 
-// Package soak tests the real programs under faults of the network.
+// Package soak tests the real programs under network and process faults.
 package soak
--- a/soak/ends_size_test.go
+++ b/soak/ends_size_test.go
@@ -1,14 +1,17 @@
 //go:build bench
 
 // ================================================================
-// What a request that ends servers costs, and whether it is stopped, at 6 gateways and 12
-// servers: it comes at a random gateway four times a second, beside repeatable requests,
-// some that run once and one that everybody asks. By hand: make ends SEED=1.
+// Measures the cost of a request that crashes servers, and checks that it is stopped, with 6
+// gateways and 12 servers. The request arrives at a random gateway four times a second, beside
+// repeatable requests, requests that must run at most once and one popular request. The test
+// is run by hand: make ends SEED=1, with these optional arguments:
 //
-//	KIND is safe or unsafe, SAME=1 has servers start again under their instance,
-//	RACKS=1 fails a rack of servers four times, RESTARTS=1 restarts gateways, kills
-//	control nodes, has programs reload and stand still and changes the configuration,
-//	ENDING=0 leaves the request out
+//	KIND       safe or unsafe: the kind of the crashing request
+//	SAME=1     servers restart under the same instance name
+//	RACKS=1    crashes all servers of a failure domain, four times
+//	RESTARTS=1 restarts gateways, kills control nodes, reloads and pauses programs and
+//	           changes the configuration
+//	ENDING=0   leaves out the crashing request
 // ================================================================
 
 package soak
@@ -28,13 +31,14 @@
 )
 
 const (
-	// crashRunSeconds is how long a run takes; TIDEPOST_SECONDS changes it.
+	// crashRunSeconds is the duration of a run unless TIDEPOST_SECONDS is set.
 	crashRunSeconds = 24
-	// crashReportTime is within what time all machines hear of an end.
+	// crashReportTime is the time within which all gateways must know of a crash.
 	crashReportTime = 3 * time.Second
-	// maxLateCrashes is how often the request may reach servers later than that after the third.
+	// maxLateCrashes is how often the request may reach servers more than crashReportTime after
+	// its third crash.
 	maxLateCrashes = 3
-	// minServedShare of the other repeatable work is to be served.
+	// minServedShare is the share of the other repeatable requests that must be served.
 	minServedShare = 0.97
 
 	crashingPerSecond = 4
@@ -43,7 +47,8 @@
 	popularPerSecond  = 50
 )
 
-// openLoad sends requests at even distances whatever becomes of the ones before.
+// openLoad is an open-loop load: it sends requests at a fixed rate, whatever the outcome of
+// earlier ones.
 type openLoad struct {
 	cluster    *cluster
 	background sync.WaitGroup
@@ -53,15 +58,15 @@
 	complete map[string]int
 }
 
-// send sends requests of a name at a rate until the context ends.
+// send sends requests under a name at a fixed rate until the context ends.
 func (l *openLoad) send(ctx context.Context, name string, perSecond float64, a standin.Request, random *rand.Rand) {
 	l.background.Go(func() {
 		ticker := time.NewTicker(time.Duration(float64(time.Second) / perSecond))
 		defer ticker.Stop()
 		for n := 0; ctx.Err() == nil; n++ {
-			one, first := a, random.IntN(l.cluster.config.gateways)
-			one.ID = fmt.Sprintf("%s-%d", name, n)
-			l.background.Go(func() { l.ask(name, one, first) })
+			request, first := a, random.IntN(l.cluster.config.gateways)
+			request.ID = fmt.Sprintf("%s-%d", name, n)
+			l.background.Go(func() { l.ask(name, request, first) })
 			<-ticker.C
 		}
 	})
@@ -94,49 +99,50 @@
 	defer cancel()
 	l := &openLoad{cluster: cl, sent: map[string]int{}, complete: map[string]int{}}
 	random := rand.New(rand.NewPCG(seed(t), 1))
-	draws := func() *rand.Rand { return rand.New(rand.NewPCG(random.Uint64(), 1)) }
-	const within = 6 * time.Second
-	l.send(ctx, "safe", safePerSecond, standin.Request{Kind: standin.Safe, Timeout: within}, draws())
-	l.send(ctx, "once", oncePerSecond, standin.Request{Kind: standin.Unsafe, Timeout: within}, draws())
-	l.send(ctx, "popular", popularPerSecond, standin.Request{Kind: standin.Safe, Timeout: within, Body: popularBody}, draws())
-	s := &faultInjector{cluster: cl, random: draws(), counts: map[string]int{}}
+	newRandom := func() *rand.Rand { return rand.New(rand.NewPCG(random.Uint64(), 1)) }
+	const deadline = 6 * time.Second
+	l.send(ctx, "safe", safePerSecond, standin.Request{Kind: standin.Safe, Timeout: deadline}, newRandom())
+	l.send(ctx, "once", oncePerSecond, standin.Request{Kind: standin.Unsafe, Timeout: deadline}, newRandom())
+	l.send(ctx, "popular", popularPerSecond, standin.Request{Kind: standin.Safe, Timeout: deadline, Body: popularBody}, newRandom())
+	faults := &faultInjector{cluster: cl, random: newRandom(), counts: map[string]int{}}
 	kind := standin.Safe
 	if os.Getenv("TIDEPOST_KIND") == string(standin.Unsafe) {
 		kind = standin.Unsafe
 	}
 	if os.Getenv("TIDEPOST_ENDING") != "0" {
-		l.send(ctx, "ending", crashingPerSecond, standin.Request{Kind: kind, Timeout: within, Body: crashingBody}, draws())
+		l.send(ctx, "ending", crashingPerSecond, standin.Request{Kind: kind, Timeout: deadline, Body: crashingBody}, newRandom())
 	}
 	if os.Getenv("TIDEPOST_RACKS") == "1" {
-		l.background.Go(func() { failDomains(ctx, cl, draws()) })
+		l.background.Go(func() { failDomains(ctx, cl, newRandom()) })
 	}
 	if os.Getenv("TIDEPOST_RESTARTS") == "1" {
-		l.background.Go(func() { restart(ctx, cl, "gateway", cl.config.gateways, syscall.SIGTERM, draws()) })
-		l.background.Go(func() { restart(ctx, cl, "control", cl.config.control, syscall.SIGKILL, draws()) })
-		l.background.Go(func() { pausePrograms(ctx, cl, draws()) })
-		s.reloadPrograms(ctx)
-		s.changeConfiguration(ctx)
+		l.background.Go(func() { restart(ctx, cl, "gateway", cl.config.gateways, syscall.SIGTERM, newRandom()) })
+		l.background.Go(func() { restart(ctx, cl, "control", cl.config.control, syscall.SIGKILL, newRandom()) })
+		l.background.Go(func() { pausePrograms(ctx, cl, newRandom()) })
+		faults.reloadPrograms(ctx)
+		faults.changeConfiguration(ctx)
 	}
 	l.background.Wait()
-	s.running.Wait()
+	faults.running.Wait()
 	l.report(t, kind)
 }
 
-// failDomains ends all servers of one failure domain after the other.
+// failDomains crashes all servers of one failure domain at a time, four times.
 func failDomains(ctx context.Context, cl *cluster, random *rand.Rand) {
 	const pause = 5 * time.Second
-	for rest := range 4 {
+	for shift := range 4 {
 		select {
 		case <-ctx.Done():
 			return
 		case <-time.After(pause):
 		}
-		cl.failDomain((random.IntN(failureDomains) + rest) % failureDomains)
+		cl.failDomain((random.IntN(failureDomains) + shift) % failureDomains)
 	}
 }
 
-// restart ends programs of a kind by a signal, one after the other, and starts them again.
-func restart(ctx context.Context, cl *cluster, kind string, count int, by syscall.Signal, random *rand.Rand) {
+// restart stops randomly drawn programs of a kind by a signal and starts them again, until the
+// context ends.
+func restart(ctx context.Context, cl *cluster, kind string, count int, sig syscall.Signal, random *rand.Rand) {
 	const pause = 2 * time.Second
 	for ctx.Err() == nil {
 		select {
@@ -145,49 +151,50 @@
 		case <-time.After(pause):
 		}
 		name := nameOf(kind, random.IntN(count))
-		cl.programs.stop(name, by)
+		cl.programs.stop(name, sig)
 		cl.programs.restart(name)
 	}
 }
 
-// pausePrograms has any program stand still for a while, one after the other. One that is
-// being restarted may be gone.
+// pausePrograms suspends randomly drawn programs for a short time, until the context ends. A
+// program that is being restarted may have exited, so errors are ignored.
 func pausePrograms(ctx context.Context, cl *cluster, random *rand.Rand) {
-	const pause, mostStill = 500 * time.Millisecond, 800 * time.Millisecond
+	const pause, maxPause = 500 * time.Millisecond, 800 * time.Millisecond
 	for ctx.Err() == nil {
 		names := cl.programs.names()
 		process := cl.programs.lookup(names[random.IntN(len(names))]).cmd.Process
 		_ = process.Signal(syscall.SIGSTOP)
-		time.Sleep(time.Duration(random.Float64() * float64(mostStill)))
+		time.Sleep(time.Duration(random.Float64() * float64(maxPause)))
 		_ = process.Signal(syscall.SIGCONT)
 		time.Sleep(pause)
 	}
 }
 
-// report prints what was served and checks how often the request reached servers.
+// report prints how many requests were served and checks how often the crashing request
+// reached servers.
 func (l *openLoad) report(t *testing.T, kind standin.Kind) {
-	var ends []time.Time
+	var crashes []time.Time
 	for _, s := range l.cluster.crashing {
 		for _, b := range s.CrashedBy() {
-			ends = append(ends, b.At)
+			crashes = append(crashes, b.At)
 		}
 	}
-	slices.SortFunc(ends, time.Time.Compare)
-	later := 0
-	for i, at := range ends {
-		if i >= 3 && at.Sub(ends[2]) > crashReportTime {
-			later++
+	slices.SortFunc(crashes, time.Time.Compare)
+	late := 0
+	for i, at := range crashes {
+		if i >= 3 && at.Sub(crashes[2]) > crashReportTime {
+			late++
 		}
 	}
-	fmt.Printf("ends: seed %d, kind %s, machine load %s; came %d, servers ended %d, of them late %d; safe %d of %d, once %d of %d, popular %d of %d\n",
-		seed(t), kind, machineLoad(), l.sent["ending"], len(ends), later,
+	fmt.Printf("ends: seed %d, kind %s, machine load %s; crashing requests %d, crashes %d, late ones %d; safe %d of %d, once %d of %d, popular %d of %d\n",
+		seed(t), kind, machineLoad(), l.sent["ending"], len(crashes), late,
 		l.complete["safe"], l.sent["safe"], l.complete["once"], l.sent["once"], l.complete["popular"], l.sent["popular"])
-	if later > maxLateCrashes {
-		t.Errorf("it reached servers %d times later than %s after the third end; %d may", later, crashReportTime, maxLateCrashes)
+	if late > maxLateCrashes {
+		t.Errorf("the request crashed servers %d times more than %s after its third crash; at most %d are allowed", late, crashReportTime, maxLateCrashes)
 	}
 	for _, name := range []string{"safe", "popular"} {
 		if float64(l.complete[name]) < minServedShare*float64(l.sent[name]) {
-			t.Errorf("%s: %d of %d served whole", name, l.complete[name], l.sent[name])
+			t.Errorf("%s: %d of %d answered completely", name, l.complete[name], l.sent[name])
 		}
 	}
 }
--- a/soak/final_test.go
+++ b/soak/final_test.go
@@ -1,9 +1,9 @@
 //go:build bench
 
 // ================================================================
-// What is left of acknowledged configurations when control nodes lose their disks,
-// alone or in the moment in which all processes die. By hand: make final-faults
-// SEED=1 ROUNDS=14.
+// Checks that acknowledged configurations survive when control nodes lose their disks,
+// alone or at the moment when all control nodes are killed. The test is run by hand:
+// make final-faults SEED=1 ROUNDS=14.
 // ================================================================
 
 package soak
@@ -22,21 +22,22 @@
 )
 
 const (
-	// controlNodes lose two disks at most at one moment, and are to be whole again
-	// caughtUp after the last of them has started.
+	// At most maxLostDisks of the controlNodes lose their disks at one moment. The log must
+	// have all its replicas again catchUpTime after the last node has started.
 	controlNodes = 6
 	maxLostDisks = 2
 	catchUpTime  = 6 * time.Second
-	// recoveryTime is the time in which every node has to answer again.
+	// recoveryTime is the time within which every node must answer again.
 	recoveryTime = 15 * time.Second
-	// maxChanges go out in a row before a fault unless the run says otherwise, and mostMore is how many routes
-	// each has at the most beyond the usual ones.
+	// maxChanges is the largest number of configuration changes before a fault unless
+	// TIDEPOST_CHANGES is set. maxExtraRoutes is the largest number of routes that a
+	// changed configuration has beyond the default ones.
 	maxChanges     = 3
 	maxExtraRoutes = 1400
 )
 
-// TestAcknowledgedSurvivesLostDisks draws rounds of changes with a fault right after
-// the last acknowledgement, and asks every node for what was acknowledged.
+// TestAcknowledgedSurvivesLostDisks makes rounds of random changes with a fault right after
+// the last acknowledgement, and checks that every node has the acknowledged configuration.
 func TestAcknowledgedSurvivesLostDisks(t *testing.T) {
 	cl := startCluster(t, clusterConfig{control: controlNodes, gateways: 1, engines: 1, plain: 1, plainServiceTime: 20 * time.Millisecond, rolloutDeadline: longRolloutDeadline, toleratedLosses: maxLostDisks}, logFolder(t))
 	time.Sleep(startupWait)
@@ -49,12 +50,12 @@
 			acknowledged++
 			cl.must(cl.operator.Reconfigure(t.Context(), engineFigures, standin.ConfigurationChange{Version: acknowledged, ExtraRoutes: random.IntN(maxExtraRoutes)}))
 		}
-		all := random.IntN(3) > 0
+		killAll := random.IntN(3) > 0
 		lost := random.Perm(controlNodes)[:1+random.IntN(maxLostDisks)]
-		cl.loseDisks(random, lost, all)
+		cl.loseDisks(random, lost, killAll)
 		started := time.Now()
 		took, err := cl.awaitConfiguration(t.Context(), acknowledged)
-		fmt.Printf("final: seed %d round %d: disks of %v lost, all killed %t: %d answered by all after %.2f s\n", seed(t), round, lost, all, acknowledged, took.Seconds())
+		fmt.Printf("final: seed %d round %d: disks of %v lost, all killed %t: all nodes returned configuration %d after %.2f s\n", seed(t), round, lost, killAll, acknowledged, took.Seconds())
 		if err != nil {
 			t.Fatalf("round %d: %v", round, err)
 		}
@@ -62,19 +63,19 @@
 	}
 }
 
-// loseDisks kills control nodes and starts them again, each within a second, some of
-// them with an empty data folder.
-func (cl *cluster) loseDisks(random *rand.Rand, lost []int, all bool) {
+// loseDisks kills control nodes and starts them again, each within a second. The lost ones
+// start with an empty data folder.
+func (cl *cluster) loseDisks(random *rand.Rand, lost []int, killAll bool) {
 	killed := lost
-	if all {
+	if killAll {
 		killed = random.Perm(controlNodes)
 	}
-	var gone []<-chan struct{}
+	var exits []<-chan struct{}
 	for _, i := range killed {
-		gone = append(gone, cl.programs.requestStop(nameOf("control", i), syscall.SIGKILL))
+		exits = append(exits, cl.programs.requestStop(nameOf("control", i), syscall.SIGKILL))
 	}
-	for _, over := range gone {
-		<-over
+	for _, exited := range exits {
+		<-exited
 	}
 	for _, i := range lost {
 		cl.must(os.RemoveAll(cl.dataFolder(nameOf("control", i))))
@@ -90,10 +91,10 @@
 	starts.Wait()
 }
 
-// awaitConfiguration waits until every control node answers a configuration, and returns how long
-// that took. A node that answers an older one is an error at once.
+// awaitConfiguration waits until every control node returns a configuration, and returns how
+// long that took. A node that returns an older one is an error at once.
 func (cl *cluster) awaitConfiguration(ctx context.Context, acknowledged uint64) (time.Duration, error) {
-	began := time.Now()
+	start := time.Now()
 	for _, node := range cl.controlAddresses() {
 		for {
 			held, err := cl.operator.ConfigurationVersion(ctx, node)
@@ -101,13 +102,13 @@
 				break
 			}
 			if err == nil {
-				return time.Since(began), fmt.Errorf("%s answers %d; %d was acknowledged", node, held, acknowledged)
+				return time.Since(start), fmt.Errorf("%s returned configuration %d; %d was acknowledged", node, held, acknowledged)
 			}
-			if time.Since(began) > recoveryTime {
-				return time.Since(began), fmt.Errorf("%s: %w", node, err)
+			if time.Since(start) > recoveryTime {
+				return time.Since(start), fmt.Errorf("%s: %w", node, err)
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
 	}
-	return time.Since(began), nil
+	return time.Since(start), nil
 }
--- a/soak/kept_test.go
+++ b/soak/keepalive_test.go
@@ -1,6 +1,6 @@
 // ================================================================
-// Callers that keep their connections, and send one request after the other until they
-// are told that it closes.
+// Callers with keep-alive connections: each sends one request after the other over its
+// connection until the gateway announces that it closes.
 // ================================================================
 
 package soak
@@ -17,21 +17,22 @@
 )
 
 const (
-	// streamDeadline and plainWithin are how long callers wait for an answer.
+	// streamDeadline and plainDeadline are how long callers wait for the answer to a stream and to a
+	// request to a plain server.
 	streamDeadline = 6 * time.Second
 	plainDeadline  = 1200 * time.Millisecond
 )
 
-// keepAliveLoad are the callers that keep their connections.
+// keepAliveLoad is the load of callers with keep-alive connections.
 type keepAliveLoad struct {
 	cluster *cluster
-	// streams and plain are how many callers each gateway has.
+	// streams and plain are the numbers of callers per gateway, by kind of request.
 	streams, plain int
-	// pause is the longest pause between two requests of a caller, and within how long
-	// each waits; 0 is for as long as its kind usually does.
+	// pause is the longest pause between two requests of a caller. deadline is how long a
+	// caller waits; 0 means the default of the kind of request.
 	pause, deadline time.Duration
-	// tokens bounds the answers of streams, and prompt what they read; zero values are the
-	// usual bounds.
+	// tokens bounds the lengths of streams, and prompt those of their prompts, both in
+	// tokens; zero values mean the default bounds.
 	tokens, prompt bounds
 
 	callers  sync.WaitGroup
@@ -39,7 +40,7 @@
 	finished []standin.KeepAliveRequest
 }
 
-// run has callers send requests until the context ends, and waits for the last ones.
+// run lets callers send requests until the context ends, and waits for the last ones.
 func (l *keepAliveLoad) run(ctx context.Context, seed uint64) {
 	for gateway := range l.cluster.config.gateways {
 		for n := range l.streams + l.plain {
@@ -72,7 +73,7 @@
 	l.finished = append(l.finished, k)
 }
 
-// bounds are the least and the most of what is drawn.
+// bounds is the inclusive range of a random number.
 type bounds struct{ low, high int }
 
 func (b bounds) draw(r *rand.Rand) int { return b.low + r.IntN(b.high-b.low+1) }
--- a/soak/limits_series_test.go
+++ b/soak/limits_series_test.go
@@ -1,10 +1,11 @@
 //go:build bench
 
 // ================================================================
-// Whether limits that backend servers name are kept, and used, while gateways are rolled,
-// killed, frozen and cut off from each other and control nodes and stagers are killed: some
-// engines and plain servers, or all, name a limit, another one, something that is none, and
-// nothing again. By hand, since it takes a clock: make limits SEED=1.
+// Checks that gateways keep to the rate limits that backend servers announce, and use them
+// up, while gateways are restarted, killed, suspended and partitioned and control nodes and
+// stagers are killed. A third of the servers, or all, change between limits, malformed
+// limits and none. The test depends on wall-clock time, so it is run by hand:
+// make limits SEED=1.
 // ================================================================
 
 package soak
@@ -24,32 +25,34 @@
 )
 
 const (
-	// limitsSeconds is how long a run takes; TIDEPOST_SECONDS changes it.
+	// limitsSeconds is the duration of a run unless TIDEPOST_SECONDS is set.
 	limitsSeconds = 30
-	// limitChangePause is the mean time between two words of a server.
+	// limitChangePause is the mean time between two changes of a server's limit.
 	limitChangePause = 4 * time.Second
-	// Mean pauses between two kills, freezes and cuts of gateways, and how long the last two
-	// take at the most.
+	// Mean pauses between two kills, suspensions and partitions of gateways, and the longest
+	// duration of a suspension or partition.
 	gatewayKillPause = 1500 * time.Millisecond
 	freezePause      = 3 * time.Second
 	partitionPause   = 4 * time.Second
 	maxFaultTime     = 4 * time.Second
-	// minLimitTime is how long a limit has to be named for its use to be counted.
+	// minLimitTime is how long a limit must be in effect for its use to be measured.
 	minLimitTime = 5 * time.Second
-	// minMeasuredLimit and mostUsable bound the limits whose use is counted: of a lower one a
-	// permit is more than a tenth, and an engine has no work for a higher one.
+	// minMeasuredLimit and maxMeasuredLimit bound the limits whose use is measured. One permit
+	// is more than a tenth of a lower limit, and an engine has too little work for a higher one.
 	minMeasuredLimit, maxMeasuredLimit = 0.9, 5
-	// minUsedShare is how much of a limit is to be used where there is work for it.
+	// minUsedShare is the share of a limit that must be used if there is enough work.
 	minUsedShare = 0.8
 )
 
-// limitTexts are what servers say; an empty one ends what was said.
+// limitTexts are the values that servers announce, some malformed; an empty one removes the
+// limit.
 var limitTexts = []string{"1", "1.9", "3", "8", "0.2", "0", "25", "many", "-1", "NaN", "1e400", "", "", ""}
 
-// limitFaultSeries are what is done to gateways beside the other series.
+// limitFaultSeries are the fault series that only this test has. Their names are arguments of
+// make limits.
 var limitFaultSeries = []struct {
 	name  string
-	start func(s *faultInjector, ctx context.Context)
+	start func(f *faultInjector, ctx context.Context)
 }{
 	{"fall", (*faultInjector).killGateways},
 	{"freeze", (*faultInjector).freezeGateways},
@@ -66,180 +69,185 @@
 	time.Sleep(startupWait)
 	ctx, cancel := context.WithTimeout(t.Context(), time.Duration(envNumber(t, "TIDEPOST_SECONDS", limitsSeconds)*float64(time.Second)))
 	defer cancel()
-	s := &faultInjector{cluster: cl, random: rand.New(rand.NewPCG(seed(t), 1)), counts: map[string]int{}, slowdown: 1}
-	some := cl.limitedServers(os.Getenv("TIDEPOST_ALL") != "")
+	faults := &faultInjector{cluster: cl, random: rand.New(rand.NewPCG(seed(t), 1)), counts: map[string]int{}, slowdown: 1}
+	servers := cl.limitedServers(os.Getenv("TIDEPOST_ALL") != "")
 	steady := os.Getenv("TIDEPOST_STEADY")
 	if steady != "" {
-		s.holdLimit(ctx, some, steady)
+		faults.holdLimit(ctx, servers, steady)
 	} else {
-		s.changeLimits(ctx, some)
+		faults.changeLimits(ctx, servers)
 	}
-	only := os.Getenv("TIDEPOST_SERIES")
-	for _, one := range faultSeries {
-		if strings.Contains(only, one.name) {
-			one.start(s, ctx)
+	selected := os.Getenv("TIDEPOST_SERIES")
+	for _, series := range faultSeries {
+		if strings.Contains(selected, series.name) {
+			series.start(faults, ctx)
 		}
 	}
-	for _, one := range limitFaultSeries {
-		if strings.Contains(only, one.name) {
-			one.start(s, ctx)
+	for _, series := range limitFaultSeries {
+		if strings.Contains(selected, series.name) {
+			series.start(faults, ctx)
 		}
 	}
 	streams := envNumber(t, "TIDEPOST_LOAD", 0.8) * float64(cl.config.engines*engineFigures.Slots) / float64(cl.config.gateways)
 	l := &keepAliveLoad{cluster: cl, streams: int(streams + 0.5), plain: 8, pause: 50 * time.Millisecond}
 	l.run(ctx, seed(t))
-	s.running.Wait()
-	cl.reportLimits(t, some, cl.evaluate(l.finished, s.stops), s.counts)
+	faults.running.Wait()
+	cl.reportLimits(t, servers, cl.evaluate(l.finished, faults.stops), faults.counts)
 }
 
-// limitedServers returns the servers that name limits: a third of each kind, or all.
-func (cl *cluster) limitedServers(all bool) (some []limitedServer) {
+// limitedServers returns the servers that announce limits: a third of each kind, or all.
+func (cl *cluster) limitedServers(all bool) (servers []limitedServer) {
 	for i := range cl.engines {
 		if all || i%failureDomains == 0 {
-			some = append(some, cl.limitedEngine(i))
+			servers = append(servers, cl.limitedEngine(i))
 		}
 	}
 	for i := range cl.plain {
 		if all || i%failureDomains == 0 {
-			some = append(some, cl.limitedPlain(i))
+			servers = append(servers, cl.limitedPlain(i))
 		}
 	}
-	return some
+	return servers
 }
 
-// changeLimits has each server say one thing after the other.
-func (s *faultInjector) changeLimits(ctx context.Context, some []limitedServer) {
-	for _, one := range some {
-		s.repeat(ctx, "word", limitChangePause, func(r *rand.Rand) { one.limit.Announce(limitTexts[r.IntN(len(limitTexts))]) })
+// changeLimits makes each server announce randomly drawn limits.
+func (f *faultInjector) changeLimits(ctx context.Context, servers []limitedServer) {
+	for _, server := range servers {
+		f.repeat(ctx, "word", limitChangePause, func(r *rand.Rand) { server.limit.Announce(limitTexts[r.IntN(len(limitTexts))]) })
 	}
 }
 
-// holdLimit has all servers name one limit from the start, until a fifth of the time is left.
-func (s *faultInjector) holdLimit(ctx context.Context, some []limitedServer, text string) {
+// holdLimit makes all servers announce one limit from the start until a fifth of the time is
+// left.
+func (f *faultInjector) holdLimit(ctx context.Context, servers []limitedServer, text string) {
 	deadline, _ := ctx.Deadline()
-	for _, one := range some {
-		one.limit.Announce(text)
-		s.running.Go(func() {
+	for _, server := range servers {
+		server.limit.Announce(text)
+		f.running.Go(func() {
 			select {
 			case <-ctx.Done():
 			case <-time.After(time.Until(deadline) * 4 / 5):
-				one.limit.Announce("")
+				server.limit.Announce("")
 			}
 		})
 	}
 }
 
-// reportLimits prints what became of the limits, and fails where one was passed.
-func (cl *cluster) reportLimits(t *testing.T, some []limitedServer, v verdict, done map[string]int) {
-	most, got, may := 0, 0.0, 0.0
-	for _, s := range some {
+// reportLimits prints how limits were kept and used, and fails if one was exceeded, if too
+// little of the limits was used in a run without fault series, or if an answer was wrong or
+// missing.
+func (cl *cluster) reportLimits(t *testing.T, servers []limitedServer, v verdict, counts map[string]int) {
+	maxCount, received, allowed := 0, 0.0, 0.0
+	for _, s := range servers {
 		lines, count := cl.limitViolations(s)
-		most = max(most, count)
+		maxCount = max(maxCount, count)
 		for _, line := range lines {
 			t.Errorf("%s", line)
 		}
 		for _, p := range limitPeriods(s.limit) {
 			if seconds := (p.to.Sub(p.from) - limitUseDelay).Seconds(); p.to.Sub(p.from) >= minLimitTime && p.perSecond >= minMeasuredLimit && p.perSecond <= maxMeasuredLimit {
-				got += usedShare(s, p) * p.perSecond * seconds
-				may += p.perSecond * seconds
+				received += usedShare(s, p) * p.perSecond * seconds
+				allowed += p.perSecond * seconds
 			}
 		}
 	}
 	share := 1.0
-	if may > 0 {
-		share = got / may
+	if allowed > 0 {
+		share = received / allowed
 	}
-	fmt.Printf("limits: seed %d, machine load %s; done %v; ends %v; most in %s %d; used %.2f of %.0f; cut by plan %d, wrong %d\n",
-		seed(t), machineLoad(), done, v.ends, limitWindow, most, share, may, v.stopViolations(), len(v.wrongAnswers))
+	fmt.Printf("limits: seed %d, machine load %s; done %v; ends %v; most in %s %d; used %.2f of %.0f; cut by planned stops %d, wrong %d\n",
+		seed(t), machineLoad(), counts, v.ends, limitWindow, maxCount, share, allowed, v.stopViolations(), len(v.wrongAnswers))
 	if os.Getenv("TIDEPOST_SERIES") == "" && share < minUsedShare {
-		t.Errorf("%.2f of the limits was used; %.2f is the aim", share, minUsedShare)
+		t.Errorf("%.2f of the limits was used; the target is %.2f", share, minUsedShare)
 	}
 	for _, k := range v.wrongAnswers {
 		t.Errorf("%s: %s", k.ID, k.Reason)
 	}
 	if n := v.ends[standin.TimedOut]; n > 0 {
-		t.Errorf("%d requests had no answer at all", n)
+		t.Errorf("%d requests had no answer", n)
 	}
 }
 
-// usedShare returns how much of a limit the gateways used, from useFrom after its naming on.
+// usedShare returns the share of a limit that gateways used, from limitUseDelay after its
+// announcement on.
 func usedShare(s limitedServer, p limitPeriod) float64 {
 	from := p.from.Add(limitUseDelay)
-	got := 0
+	received := 0
 	for _, a := range s.limit.Arrivals() {
 		if !a.At.Before(from) && a.At.Before(p.to) {
-			got++
+			received++
 		}
 	}
-	return float64(got) / (p.perSecond * p.to.Sub(from).Seconds())
+	return float64(received) / (p.perSecond * p.to.Sub(from).Seconds())
 }
 
 // killGateways kills one gateway after the other and starts it again.
-func (s *faultInjector) killGateways(ctx context.Context) {
-	s.repeat(ctx, "fall", gatewayKillPause, func(r *rand.Rand) {
-		s.stopAndRestart(r, nameOf("gateway", r.IntN(s.cluster.config.gateways)), syscall.SIGKILL)
+func (f *faultInjector) killGateways(ctx context.Context) {
+	f.repeat(ctx, "fall", gatewayKillPause, func(r *rand.Rand) {
+		f.stopAndRestart(r, nameOf("gateway", r.IntN(f.cluster.config.gateways)), syscall.SIGKILL)
 	})
 }
 
-// freezeGateways has one gateway after the other stand still.
-func (s *faultInjector) freezeGateways(ctx context.Context) {
-	s.repeat(ctx, "freeze", freezePause, func(r *rand.Rand) {
-		name := nameOf("gateway", r.IntN(s.cluster.config.gateways))
-		if !s.acquire(name) {
+// freezeGateways suspends one gateway after the other.
+func (f *faultInjector) freezeGateways(ctx context.Context) {
+	f.repeat(ctx, "freeze", freezePause, func(r *rand.Rand) {
+		name := nameOf("gateway", r.IntN(f.cluster.config.gateways))
+		if !f.acquire(name) {
 			return
 		}
-		defer s.release(name)
-		s.cluster.programs.signal(name, syscall.SIGSTOP)
+		defer f.release(name)
+		f.cluster.programs.signal(name, syscall.SIGSTOP)
 		time.Sleep(time.Duration(r.Float64() * float64(maxFaultTime)))
-		s.cluster.programs.signal(name, syscall.SIGCONT)
+		f.cluster.programs.signal(name, syscall.SIGCONT)
 	})
 }
 
-// partitionGateways cuts the gateways of one failure domain off from the others, while all reach
-// the servers and the control nodes.
-func (s *faultInjector) partitionGateways(ctx context.Context) {
-	s.repeat(ctx, "cut", partitionPause, func(r *rand.Rand) {
-		away := failureDomain(r.IntN(failureDomains))
-		for i, p := range s.cluster.links[gatewayVMs] {
-			here := failureDomain(i) == away
+// partitionGateways partitions the gateways of one failure domain from the others. All of
+// them still reach the servers and the control nodes.
+func (f *faultInjector) partitionGateways(ctx context.Context) {
+	f.repeat(ctx, "cut", partitionPause, func(r *rand.Rand) {
+		isolated := failureDomain(r.IntN(failureDomains))
+		for i, p := range f.cluster.links[gatewayVMs] {
+			inside := failureDomain(i) == isolated
 			p.Delay(func(dialer string) time.Duration {
-				if (s.cluster.failureDomainOf(dialer) == away) != here {
+				if (f.cluster.failureDomainOf(dialer) == isolated) != inside {
 					return 2 * maxFaultTime
 				}
 				return 0
 			})
 		}
 		time.Sleep(time.Duration(r.Float64() * float64(maxFaultTime)))
-		for _, p := range s.cluster.links[gatewayVMs] {
+		for _, p := range f.cluster.links[gatewayVMs] {
 			p.Delay(nil)
 		}
 	})
 }
 
-// silenceGatewayLinks makes the open links between gateways silent for good.
-func (s *faultInjector) silenceGatewayLinks(ctx context.Context) {
-	s.repeat(ctx, "hush", partitionPause, func(*rand.Rand) {
-		for _, p := range s.cluster.links[gatewayVMs] {
+// silenceGatewayLinks makes the open links between gateways permanently silent. New links work.
+func (f *faultInjector) silenceGatewayLinks(ctx context.Context) {
+	f.repeat(ctx, "hush", partitionPause, func(*rand.Rand) {
+		for _, p := range f.cluster.links[gatewayVMs] {
 			p.Silence(faultproxy.Every, faultproxy.Manner{})
 		}
 	})
 }
 
 // killControlNodes kills all control nodes for the rest of the run.
-func (s *faultInjector) killControlNodes(ctx context.Context) {
-	s.running.Go(func() {
+func (f *faultInjector) killControlNodes(ctx context.Context) {
+	f.running.Go(func() {
 		select {
 		case <-ctx.Done():
 			return
 		case <-time.After(limitChangePause):
 		}
-		for i := range s.cluster.config.control {
-			s.cluster.programs.stop(nameOf("control", i), syscall.SIGKILL)
+		for i := range f.cluster.config.control {
+			f.cluster.programs.stop(nameOf("control", i), syscall.SIGKILL)
 		}
 	})
 }
 
-// failureDomainOf returns the failure domain of the gateway that dials a link; empty of none.
+// failureDomainOf returns the failure domain of the gateway that dials a link, and an empty
+// string for any other dialer.
 func (cl *cluster) failureDomainOf(dialer string) string {
 	for i := range cl.config.gateways {
 		if nameOf("gateway", i) == dialer {
--- a/soak/limits_verdict_test.go
+++ b/soak/limits_verdict_test.go
@@ -1,7 +1,7 @@
 // ================================================================
-// The verdict on backend servers that name a limit of the requests that they take: whether
-// all gateways together kept it, and how much of it they used. It looks at what came to the
-// server and at what its answers said, and knows nothing of how gateways go about it.
+// Decides whether all gateways together kept to the limits that backend servers announced. It
+// uses only the requests that arrived at a server and the limits in its answers, so it does
+// not depend on how gateways implement limits.
 // ================================================================
 
 package soak
@@ -17,51 +17,53 @@
 )
 
 const (
-	// limitWindow, limitFactor and limitSlack are the users' rule: in no 4 s more than one and
-	// a half times what the limit allows, and 5 requests.
+	// limitWindow, limitFactor and limitSlack are the users' rule: in any 4 s at most one and
+	// a half times the requests that the limit allows, plus 5.
 	limitWindow = 4 * time.Second
 	limitFactor = 1.5
 	limitSlack  = 5
-	// limitGrace is how long a gateway has known of the limit when its requests count.
+	// limitGrace is the time from an answer that announces a limit until the requests of the
+	// gateway that got it count.
 	limitGrace = 500 * time.Millisecond
-	// maxLimitPerSecond is above any number that a limit is named with.
+	// maxLimitPerSecond is the largest rate that is a valid limit.
 	maxLimitPerSecond = 1e6
-	// limitUseDelay its naming on a limit is to be used: by then all gateways have heard of it.
+	// limitUseDelay is the time from the announcement of a limit until its use is measured. All
+	// gateways know the limit by then.
 	limitUseDelay = time.Second
 )
 
-// limitedServer is a backend server that may name a limit.
+// limitedServer is a backend server that may announce a limit.
 type limitedServer struct {
 	name  string
 	limit *standin.LimitAnnouncer
 }
 
-// limitPeriod is a time in which a backend server named one limit.
+// limitPeriod is a time in which a backend server announced one limit.
 type limitPeriod struct {
 	from, to  time.Time
-	since     time.Time // from when on it has named one without a break
+	since     time.Time // start of the uninterrupted time with some limit
 	perSecond float64
 }
 
-// limitPeriods returns when limits were named that can be read.
-func limitPeriods(n *standin.LimitAnnouncer) (all []limitPeriod) {
-	sayings := n.Announcements()
-	for i, s := range sayings {
+// limitPeriods returns the periods in which valid limits were announced.
+func limitPeriods(n *standin.LimitAnnouncer) (periods []limitPeriod) {
+	texts := n.Announcements()
+	for i, s := range texts {
 		to := time.Now()
-		if i+1 < len(sayings) {
-			to = sayings[i+1].From
+		if i+1 < len(texts) {
+			to = texts[i+1].From
 		}
 		perSecond, ok := parseLimit(s.Text)
 		if !ok {
 			continue
 		}
 		since := s.From
-		if n := len(all); n > 0 && all[n-1].to.Equal(s.From) {
-			since = all[n-1].since
+		if n := len(periods); n > 0 && periods[n-1].to.Equal(s.From) {
+			since = periods[n-1].since
 		}
-		all = append(all, limitPeriod{s.From, to, since, perSecond})
+		periods = append(periods, limitPeriod{s.From, to, since, perSecond})
 	}
-	return all
+	return periods
 }
 
 func parseLimit(text string) (perSecond float64, ok bool) {
@@ -70,9 +72,9 @@
 	return perSecond, ok
 }
 
-// limitAt returns the limit named at a moment.
-func limitAt(all []limitPeriod, at time.Time) (p limitPeriod, ok bool) {
-	for _, p := range all {
+// limitAt returns the limit that was announced at a moment.
+func limitAt(periods []limitPeriod, at time.Time) (p limitPeriod, ok bool) {
+	for _, p := range periods {
 		if !at.Before(p.from) && at.Before(p.to) {
 			return p, true
 		}
@@ -80,22 +82,22 @@
 	return limitPeriod{}, false
 }
 
-// gatewayOf returns the name of the gateway that a kept caller's request went to.
+// gatewayOf returns the name of the gateway that a keep-alive caller's request went to.
 func gatewayOf(id string) string {
 	number, _, _ := strings.Cut(strings.TrimLeft(id, "sp"), ".")
 	return "gateway-" + number
 }
 
-// countedArrivals returns the arrivals that the rule counts: from gateways that had been told for
-// toldFor, in the process that they are now, that the limit is named.
-func (cl *cluster) countedArrivals(s limitedServer, all []limitPeriod) (counted []standin.RequestTime) {
-	told := map[string][]time.Time{}
+// countedArrivals returns the arrivals that the rule counts: those from gateways whose current
+// process had got an answer with a limit at least limitGrace before.
+func (cl *cluster) countedArrivals(s limitedServer, periods []limitPeriod) (counted []standin.RequestTime) {
+	informed := map[string][]time.Time{}
 	for _, a := range s.limit.LimitedResponses() {
-		told[gatewayOf(a.ID)] = append(told[gatewayOf(a.ID)], a.At)
+		informed[gatewayOf(a.ID)] = append(informed[gatewayOf(a.ID)], a.At)
 	}
 	for _, a := range s.limit.Arrivals() {
 		gateway := gatewayOf(a.ID)
-		p, named := limitAt(all, a.At)
+		p, named := limitAt(periods, a.At)
 		if !named {
 			continue
 		}
@@ -103,7 +105,7 @@
 		if p.since.After(since) {
 			since = p.since
 		}
-		for _, at := range told[gateway] {
+		for _, at := range informed[gateway] {
 			if !at.Before(since) && a.At.Sub(at) >= limitGrace {
 				counted = append(counted, a)
 				break
@@ -113,7 +115,7 @@
 	return counted
 }
 
-// latestBefore returns the last of some moments before one.
+// latestBefore returns the last of some moments that is before a given one.
 func latestBefore(moments []time.Time, before time.Time) (last time.Time) {
 	for _, m := range moments {
 		if m.Before(before) {
@@ -123,40 +125,40 @@
 	return last
 }
 
-// limitViolations returns a line for each window of a backend server in which it got too much, the
-// worst one of each period.
-func (cl *cluster) limitViolations(s limitedServer) (lines []string, most int) {
-	all := limitPeriods(s.limit)
-	counted := cl.countedArrivals(s, all)
+// limitViolations returns a line for the worst window of each period in which a backend server
+// got too many requests, and the largest number of requests in any window.
+func (cl *cluster) limitViolations(s limitedServer) (lines []string, maxCount int) {
+	periods := limitPeriods(s.limit)
+	counted := cl.countedArrivals(s, periods)
 	worst := map[time.Time]string{}
-	over := map[time.Time]float64{}
+	worstSurplus := map[time.Time]float64{}
 	first := 0
 	for i, a := range counted {
 		for counted[first].At.Before(a.At.Add(-limitWindow)) {
 			first++
 		}
-		got := i - first + 1
-		most = max(most, got)
-		allowed := math.Floor(limitFactor*limitWindow.Seconds()*highestLimit(all, counted[first].At, a.At) + limitSlack)
-		if surplus := float64(got) - allowed; surplus > 0 {
-			p, _ := limitAt(all, a.At)
-			if surplus > over[p.from] {
-				over[p.from] = surplus
-				worst[p.from] = fmt.Sprintf("%s named a limit of %g a second and got %d requests in %s from gateways that it had told; allowed %g", s.name, p.perSecond, got, limitWindow, allowed)
+		received := i - first + 1
+		maxCount = max(maxCount, received)
+		allowed := math.Floor(limitFactor*limitWindow.Seconds()*highestLimit(periods, counted[first].At, a.At) + limitSlack)
+		if surplus := float64(received) - allowed; surplus > 0 {
+			p, _ := limitAt(periods, a.At)
+			if surplus > worstSurplus[p.from] {
+				worstSurplus[p.from] = surplus
+				worst[p.from] = fmt.Sprintf("%s announced a limit of %g requests a second and got %d in %s from gateways that knew it; at most %g are allowed", s.name, p.perSecond, received, limitWindow, allowed)
 			}
 		}
 	}
-	for _, p := range all {
-		if line, there := worst[p.from]; there {
+	for _, p := range periods {
+		if line, found := worst[p.from]; found {
 			lines = append(lines, line)
 		}
 	}
-	return lines, most
+	return lines, maxCount
 }
 
-// highestLimit returns the highest limit that was named at some time between two moments.
-func highestLimit(all []limitPeriod, from, to time.Time) (perSecond float64) {
-	for _, p := range all {
+// highestLimit returns the highest limit that was announced at any time between two moments.
+func highestLimit(periods []limitPeriod, from, to time.Time) (perSecond float64) {
+	for _, p := range periods {
 		if !p.from.After(to) && p.to.After(from) {
 			perSecond = max(perSecond, p.perSecond)
 		}
@@ -164,7 +166,7 @@
 	return perSecond
 }
 
-// arrivalsBetween returns how many requests came to a backend server between two moments.
+// arrivalsBetween returns how many requests arrived at a backend server between two moments.
 func arrivalsBetween(n *standin.LimitAnnouncer, from, to time.Time) (count int) {
 	for _, a := range n.Arrivals() {
 		if !a.At.Before(from) && a.At.Before(to) {
--- a/soak/load_test.go
+++ b/soak/load_test.go
@@ -1,6 +1,6 @@
 // ================================================================
-// The load: callers' requests drawn by a seed, sent at even distances whatever
-// becomes of the ones before.
+// An open-loop load of callers' requests that are drawn by a seed and sent at a fixed rate,
+// whatever the outcome of earlier ones.
 // ================================================================
 
 package soak
@@ -17,21 +17,22 @@
 )
 
 const (
-	// loadShare of what the engines carry is asked of them.
+	// loadShare is the share of the engines' capacity that the load uses.
 	loadShare = 0.7
-	// plainShare of the requests goes to plain servers, half of them unsafe.
+	// plainShare is the share of requests to plain servers; half of these are unsafe.
 	plainShare = 0.3
-	// minTokens and mostTokens bound an answer; the mean is the engines' usual one.
+	// minTokens and maxTokens bound the length of an answer; their mean is
+	// engineFigures.Answer. minPrompt and maxPrompt bound the length of a prompt.
 	minTokens, maxTokens = 40, 120
 	minPrompt, maxPrompt = 400, 1200
 )
 
-// load sends requests and keeps what became of them.
+// load sends requests and records their outcomes.
 type load struct {
 	cluster   *cluster
 	random    *rand.Rand
-	keepAlive []*http.Client // by gateway
-	within    time.Duration  // how long a caller waits; 0 is for as long as it takes
+	keepAlive []*http.Client // by gateway, for keep-alive connections
+	within    time.Duration  // how long a caller waits; 0 means without limit
 
 	inFlight sync.WaitGroup
 	mu       sync.Mutex
@@ -47,14 +48,15 @@
 	return l
 }
 
-// interval is the time between two requests.
+// interval returns the time between two requests.
 func (l *load) interval() time.Duration {
 	streams := loadShare * float64(l.cluster.config.engines) / engineFigures.MeanSlotInterval().Seconds()
 	return time.Duration(float64(time.Second) * (1 - plainShare) / streams)
 }
 
-// draw draws the next request and the gateway of its first try.
-func (l *load) draw() (a standin.Request, gateway int, kept bool) {
+// draw draws the next request, the gateway of its first attempt and whether the request goes
+// over a keep-alive connection.
+func (l *load) draw() (a standin.Request, gateway int, keepAlive bool) {
 	a = standin.Request{
 		ID: fmt.Sprintf("r%d", l.drawn), Kind: standin.Stream, Stride: engineFigures.Stride, Timeout: l.within,
 		Prompt: minPrompt + l.random.IntN(maxPrompt-minPrompt+1),
@@ -70,25 +72,25 @@
 	return a, l.random.IntN(l.cluster.config.gateways), l.random.IntN(2) == 0
 }
 
-// sendOne sends one request beside what else happens.
+// sendOne sends one request without waiting for its end.
 func (l *load) sendOne(ctx context.Context) {
-	a, gateway, kept := l.draw()
-	l.start(ctx, a, gateway, kept)
+	a, gateway, keepAlive := l.draw()
+	l.start(ctx, a, gateway, keepAlive)
 }
 
-// sendUnsafe sends some requests that may run once, and returns when each of them runs
-// at a server or is over: one that goes out on a silent connection never runs.
+// sendUnsafe sends some requests that must run at most once, and returns when each of them
+// runs at a server or has ended: one that is sent over a silent connection never runs.
 func (l *load) sendUnsafe(ctx context.Context, count int) {
-	const look = time.Millisecond
-	over := map[string]<-chan struct{}{}
+	const pollInterval = time.Millisecond
+	running := map[string]<-chan struct{}{}
 	for range count {
-		a, gateway, kept := l.draw()
+		a, gateway, keepAlive := l.draw()
 		a.Kind = standin.Unsafe
-		over[standin.FirstAttemptID(a.ID)] = l.start(ctx, a, gateway, kept)
+		running[standin.FirstAttemptID(a.ID)] = l.start(ctx, a, gateway, keepAlive)
 	}
-	for id, ended := range over {
-		for l.cluster.ledger.Runs(id) == 0 && !isClosed(ended) {
-			time.Sleep(look)
+	for id, done := range running {
+		for l.cluster.ledger.Runs(id) == 0 && !isClosed(done) {
+			time.Sleep(pollInterval)
 		}
 	}
 }
@@ -102,26 +104,26 @@
 	}
 }
 
-// start sends a request, and returns what is closed when it is over.
-func (l *load) start(ctx context.Context, a standin.Request, gateway int, kept bool) <-chan struct{} {
-	over := make(chan struct{})
+// start sends a request, and returns a channel that is closed when it has ended.
+func (l *load) start(ctx context.Context, a standin.Request, gateway int, keepAlive bool) <-chan struct{} {
+	done := make(chan struct{})
 	c := standin.Caller{Gateway: func(try int) string {
 		return l.cluster.address(gatewayVMs, (gateway+try)%l.cluster.config.gateways, callersPort)
 	}}
-	if kept {
+	if keepAlive {
 		c.KeepAliveClient = l.keepAlive[gateway]
 	}
 	l.inFlight.Go(func() {
-		defer close(over)
+		defer close(done)
 		answer := c.Do(ctx, a)
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		l.answers = append(l.answers, answer)
 	})
-	return over
+	return done
 }
 
-// send sends requests, so many or until the context ends.
+// send sends up to count requests, or until the context ends.
 func (l *load) send(ctx context.Context, count int) {
 	ticker := time.NewTicker(l.interval())
 	defer ticker.Stop()
@@ -134,7 +136,7 @@
 	}
 }
 
-// finished returns what became of the requests that are over.
+// finished returns the outcomes of the requests that have ended.
 func (l *load) finished() []standin.Result {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/soak/lost_test.go
+++ b/soak/lost_test.go
@@ -1,9 +1,9 @@
 //go:build bench
 
 // ================================================================
-// Whether requests over kept connections are lost while the programs are rolled,
-// reloaded and reconfigured. By hand, since it takes a clock and a machine that is
-// not too busy: make lost SEED=1.
+// Checks that no requests over keep-alive connections are lost while programs are restarted,
+// reloaded and reconfigured. The test depends on wall-clock time and needs a machine with
+// little other load, so it is run by hand: make lost SEED=1.
 // ================================================================
 
 package soak
@@ -20,19 +20,19 @@
 	"time"
 )
 
-// maxUnanswered is how many requests over kept connections may end without an answer
+// maxUnanswered is how many requests over keep-alive connections may end without an answer
 // outside of planned stops.
 const maxUnanswered = 3
 
-// userTokens and sitePrompt are how long the users' answers and prompts are: 0.4 to 4.5 s at
-// an engine, and up to 0.2 s before.
+// userTokens and userPrompt are the lengths of the users' answers and prompts, in tokens. An
+// answer takes an engine 0.4 to 4.5 s, and its prompt up to 0.2 s before that.
 var userTokens, userPrompt = bounds{40, 480}, bounds{100, 3880}
 
-// envNumber is what a variable says.
-func envNumber(t *testing.T, variable string, standard float64) float64 {
+// envNumber returns the number in an environment variable, or fallback if it is not set.
+func envNumber(t *testing.T, variable string, fallback float64) float64 {
 	text := os.Getenv(variable)
 	if text == "" {
-		return standard
+		return fallback
 	}
 	n, err := strconv.ParseFloat(text, 64)
 	if err != nil {
@@ -41,24 +41,26 @@
 	return n
 }
 
-// Guards against answers that end without their rest while programs are stopped in order.
+// Guards against answers that are cut off while programs are stopped gracefully.
 func TestNothingIsLost(t *testing.T) {
 	runFaultSeries(t).report(t)
 }
 
-// Guards against streams that a guard of their gateway interrupts, whatever becomes of them later.
+// Guards against gateways that interrupt running streams, for instance for a stall or at the
+// end of a version, even if the streams resume later.
 func TestNoStreamUnderWayIsInterrupted(t *testing.T) {
 	for why, n := range runFaultSeries(t).interrupted {
 		if why != stopDeadline {
-			t.Errorf("%d streams under way were interrupted: %s", n, why)
+			t.Errorf("%d running streams were interrupted: %s", n, why)
 		}
 	}
 }
 
-// stopDeadline is why a gateway interrupts what still runs when the time for its stop is over.
+// stopDeadline is the reason for which a gateway interrupts streams that still run at the end
+// of its drain limit.
 const stopDeadline = "stop deadline"
 
-// runFaultSeries has callers send requests while the series go on, and judges how they ended.
+// runFaultSeries sends requests while the fault series run, and evaluates how they ended.
 func runFaultSeries(t *testing.T) verdict {
 	load := envNumber(t, "TIDEPOST_LOAD", 1)
 	cl := startCluster(t, clusterConfig{
@@ -71,10 +73,10 @@
 	ctx, cancel := context.WithTimeout(t.Context(), time.Duration(seconds*float64(time.Second)))
 	defer cancel()
 	burnCPU(ctx, int(envNumber(t, "TIDEPOST_BUSY", 0)))
-	s := &faultInjector{cluster: cl, random: rand.New(rand.NewPCG(seed(t), 1)), counts: map[string]int{}, slowdown: envNumber(t, "TIDEPOST_SLOW", 1)}
-	for _, one := range faultSeries {
-		if only := os.Getenv("TIDEPOST_SERIES"); only == "" && !one.onlyNamed || strings.Contains(only, one.name) {
-			one.start(s, ctx)
+	faults := &faultInjector{cluster: cl, random: rand.New(rand.NewPCG(seed(t), 1)), counts: map[string]int{}, slowdown: envNumber(t, "TIDEPOST_SLOW", 1)}
+	for _, series := range faultSeries {
+		if selected := os.Getenv("TIDEPOST_SERIES"); selected == "" && !series.onlyNamed || strings.Contains(selected, series.name) {
+			series.start(faults, ctx)
 		}
 	}
 	streams := load * float64(cl.config.engines*engineFigures.Slots) / float64(cl.config.gateways)
@@ -83,14 +85,14 @@
 		l.tokens, l.prompt = userTokens, userPrompt
 	}
 	l.run(ctx, seed(t))
-	s.running.Wait()
-	v := cl.evaluate(l.finished, s.stops)
-	fmt.Printf("lost: seed %d, %.0f s, load %.2f, machine load %s; done %v; ends %v; unanswered alone %d, cut by plan %d, wrong %d; interrupted %v\n",
-		seed(t), seconds, load, machineLoad(), s.counts, v.ends, v.lostOutsideStops(), v.stopViolations(), len(v.wrongAnswers), v.interrupted)
+	faults.running.Wait()
+	v := cl.evaluate(l.finished, faults.stops)
+	fmt.Printf("lost: seed %d, %.0f s, load %.2f, machine load %s; done %v; ends %v; unanswered outside stops %d, cut by planned stops %d, wrong %d; interrupted %v\n",
+		seed(t), seconds, load, machineLoad(), faults.counts, v.ends, v.lostOutsideStops(), v.stopViolations(), len(v.wrongAnswers), v.interrupted)
 	return v
 }
 
-// burnCPU works in vain on some cores until the context ends.
+// burnCPU keeps some cores busy until the context ends.
 func burnCPU(ctx context.Context, cores int) {
 	for range cores {
 		go func() {
@@ -100,38 +102,39 @@
 	}
 }
 
-// report prints each request that was cut, and fails where more were than may.
+// report prints each request that was cut off, and fails if there were more than allowed.
 func (v verdict) report(t *testing.T) {
 	for _, c := range v.cuts {
 		fmt.Println("lost: " + c.reportLine())
 	}
 	if n := v.lostOutsideStops(); n > maxUnanswered {
-		t.Errorf("%d requests over kept connections ended without an answer; %d may", n, maxUnanswered)
+		t.Errorf("%d requests over keep-alive connections ended without an answer; at most %d are allowed", n, maxUnanswered)
 	}
 	if n := v.stopViolations(); n > 0 {
-		t.Errorf("planned stops cut %d requests that they may not", n)
+		t.Errorf("planned stops cut %d requests that they must not cut", n)
 	}
 	for _, k := range v.wrongAnswers {
 		t.Errorf("%s: %s", k.ID, k.Reason)
 	}
 }
 
-// countCuts returns how many of the cut requests satisfy a condition.
-func (v verdict) countCuts(holds func(cutRequest) bool) (n int) {
+// countCuts returns how many of the cut requests match a condition.
+func (v verdict) countCuts(matches func(cutRequest) bool) (n int) {
 	for _, c := range v.cuts {
-		if holds(c) {
+		if matches(c) {
 			n++
 		}
 	}
 	return n
 }
 
-// lostOutsideStops are those left without an answer while nothing was done to their gateway.
+// lostOutsideStops returns how many requests were left without an answer while their gateway
+// was not being stopped.
 func (v verdict) lostOutsideStops() int {
 	return v.countCuts(func(c cutRequest) bool { return c.lostAnswer && c.stop == nil })
 }
 
-// stopViolations are those that planned work cut and may not.
+// stopViolations returns how many requests a planned stop cut though it must not.
 func (v verdict) stopViolations() int {
 	return v.countCuts(func(c cutRequest) bool { return c.cutByStop })
 }
--- a/soak/main_test.go
+++ b/soak/main_test.go
@@ -8,8 +8,9 @@
 	"testing"
 )
 
-// binaryFolder is the folder that TestMain builds the programs into. One that is named holds
-// programs of another state of the code, which the same runs are to meet.
+// binaryFolder is the folder with the programs under test. TestMain builds them there unless
+// TIDEPOST_SOAK_BINARIES names a folder with programs of another revision, to run the same
+// tests against it.
 var binaryFolder = os.Getenv("TIDEPOST_SOAK_BINARIES")
 
 func TestMain(m *testing.M) {
--- a/soak/programs_test.go
+++ b/soak/programs_test.go
@@ -1,7 +1,7 @@
 // ================================================================
-// The programs as processes: started, watched and ended by their ids. All are
-// started by one thread that lives until the end, so that the kernel ends them
-// with this process, however it ends.
+// Runs the programs as child processes. One locked thread starts all of them and lives until
+// the end: the kernel kills a child with the parent-death signal when its starting thread
+// ends, so no program outlives the test process.
 // ================================================================
 
 package soak
@@ -21,10 +21,10 @@
 	"time"
 )
 
-// stopTimeout is how long a program may take to end in order.
+// stopTimeout is how long a program may take to stop gracefully.
 const stopTimeout = 10 * time.Second
 
-// programs are running processes.
+// programs holds the running processes.
 type programs struct {
 	t            *testing.T
 	folder       string
@@ -33,16 +33,16 @@
 	shutdownOnce sync.Once
 
 	mu         sync.Mutex
-	byName     map[string]*program    // by name
-	startTimes map[string][]time.Time // of all processes that had a name, in order
+	byName     map[string]*program
+	startTimes map[string][]time.Time // of all processes by name, in order
 }
 
-// program is one process. It may be ended and started again under its name.
+// program is one process. Another one may be started under its name after its end.
 type program struct {
 	kind, name   string
 	cmd          *exec.Cmd
 	exited       chan struct{}
-	exitExpected atomic.Bool // its end is
+	exitExpected atomic.Bool // set before a signal that ends the process
 }
 
 func newPrograms(t *testing.T, folder string) *programs {
@@ -57,7 +57,7 @@
 	return p
 }
 
-// start runs a program on settings; its log goes to a file.
+// start writes the settings of a program and runs it. Its log goes to a file.
 func (p *programs) start(kind, name, settings string) {
 	if err := os.WriteFile(p.settingsPath(name), []byte(settings), 0o600); err != nil {
 		p.t.Error(err)
@@ -68,8 +68,7 @@
 
 func (p *programs) settingsPath(name string) string { return filepath.Join(p.folder, name+".yaml") }
 
-// run runs a program on the settings that it has. What it logs follows what it logged
-// before.
+// run runs a program with the settings that were written before. It appends to its log.
 func (p *programs) run(kind, name string) {
 	log, err := os.OpenFile(filepath.Join(p.folder, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -85,89 +84,90 @@
 		p.t.Error(err)
 		return
 	}
-	one := &program{kind: kind, name: name, cmd: cmd, exited: make(chan struct{})}
+	prog := &program{kind: kind, name: name, cmd: cmd, exited: make(chan struct{})}
 	p.mu.Lock()
-	p.byName[name] = one
+	p.byName[name] = prog
 	p.startTimes[name] = append(p.startTimes[name], time.Now())
 	p.mu.Unlock()
 	go func() {
-		defer close(one.exited)
+		defer close(prog.exited)
 		defer log.Close()
-		if err := cmd.Wait(); !p.shuttingDown.Load() && !one.exitExpected.Load() {
-			p.t.Errorf("%s ended by itself: %v", name, err)
+		if err := cmd.Wait(); !p.shuttingDown.Load() && !prog.exitExpected.Load() {
+			p.t.Errorf("%s exited unexpectedly: %v", name, err)
 		}
 	}()
 }
 
-// lookup returns the running process of a name.
+// lookup returns the latest process of a name.
 func (p *programs) lookup(name string) *program {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.byName[name]
 }
 
-// startTimesOf returns when the processes that had a name began, in order.
+// startTimesOf returns when the processes of a name were started, in order.
 func (p *programs) startTimesOf(name string) []time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.Clone(p.startTimes[name])
 }
 
-// names are those of all programs, in order.
+// names returns the sorted names of all programs.
 func (p *programs) names() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.Sorted(maps.Keys(p.byName))
 }
 
-// signal sends a signal that ends no program. One that was asked to end may have done so by then,
-// where the machine is slow.
+// signal sends a signal. A program that was asked to stop may have exited before, which is no
+// error.
 func (p *programs) signal(name string, s syscall.Signal) {
-	one := p.lookup(name)
-	err := one.cmd.Process.Signal(s)
+	prog := p.lookup(name)
+	err := prog.cmd.Process.Signal(s)
 	switch {
 	case err == nil:
-	case one.exitExpected.Load() && errors.Is(err, os.ErrProcessDone):
-		p.t.Logf("%s has ended before signal %v", name, s)
+	case prog.exitExpected.Load() && errors.Is(err, os.ErrProcessDone):
+		p.t.Logf("%s exited before signal %v", name, s)
 	default:
 		p.t.Errorf("%s: %v", name, err)
 	}
 }
 
-// stop ends a program by a signal and waits until it is gone.
+// stop ends a program by a signal and waits until it has exited.
 func (p *programs) stop(name string, s syscall.Signal) {
 	<-p.requestStop(name, s)
 }
 
-// requestStop sends a signal that is to end a program, and returns what is closed when it is gone.
-func (p *programs) requestStop(name string, s syscall.Signal) (gone <-chan struct{}) {
-	one := p.lookup(name)
-	one.exitExpected.Store(true)
+// requestStop sends a signal that ends a program, and returns a channel that is closed when the
+// program has exited.
+func (p *programs) requestStop(name string, s syscall.Signal) (exited <-chan struct{}) {
+	prog := p.lookup(name)
+	prog.exitExpected.Store(true)
 	p.signal(name, s)
-	return one.exited
+	return prog.exited
 }
 
-// restart starts a program that was stopped.
+// restart starts a stopped program again.
 func (p *programs) restart(name string) { p.run(p.lookup(name).kind, name) }
 
-// stopAll ends all programs; their logs are whole then. A second call does nothing.
+// stopAll stops all programs; their logs are complete afterwards. A second call does nothing.
 func (p *programs) stopAll() { p.shutdownOnce.Do(p.stopEach) }
 
 func (p *programs) stopEach() {
 	p.shuttingDown.Store(true)
-	for _, one := range p.byName {
-		_ = one.cmd.Process.Signal(syscall.SIGTERM)
+	for _, prog := range p.byName {
+		_ = prog.cmd.Process.Signal(syscall.SIGTERM)
 	}
-	limit := time.After(stopTimeout)
-	for _, one := range p.byName {
+	timeout := time.After(stopTimeout)
+	for _, prog := range p.byName {
 		select {
-		case <-one.exited:
+		case <-prog.exited:
 			continue
-		case <-limit:
-			p.t.Errorf("%s did not end in order", one.name)
+		case <-timeout:
+			p.t.Errorf("%s did not stop in time", prog.name)
 		}
-		_ = one.cmd.Process.Kill()
-		<-one.exited
+		_ = prog.cmd.Process.Kill()
+		<-prog.exited
 	}
 	close(p.startQueue)
 }
--- a/soak/silence_test.go
+++ b/soak/silence_test.go
@@ -1,5 +1,6 @@
 // ================================================================
-// What holds when connections go silent, with a fixed seed and without a clock.
+// Checks the guarantees to callers when connections go silent, with a fixed seed and without
+// measuring times.
 // ================================================================
 
 package soak
@@ -15,7 +16,7 @@
 	"github.com/tidepost/tidepost/platform/standin"
 )
 
-// defaultSeed is that of every run that names none.
+// defaultSeed is the seed of runs without TIDEPOST_SEED.
 const defaultSeed = 20261202
 
 func seed(t *testing.T) uint64 {
@@ -31,16 +32,17 @@
 }
 
 const (
-	// requestsPerPhase are sent in each part of the run, and underWay are those that a plain
-	// server runs when connections go silent. It takes long enough for that.
+	// requestsPerPhase requests are sent in each phase of the run. inFlightRequests of them
+	// run at plain servers when connections go silent; plainServiceTime is long enough for
+	// that.
 	requestsPerPhase = 30
 	inFlightRequests = 8
 	plainServiceTime = 250 * time.Millisecond
 )
 
-// All connections go silent, twice, in the middle of messages the second time.
-// Meanwhile new weights spread. Every caller is served in the end, every engine
-// serves the new version, and no promise is broken.
+// All connections go silent twice, the second time in the middle of messages, during a rollout
+// of new weights. Every caller is served in the end, every engine serves the new version, and
+// no guarantee to callers is violated.
 func TestServiceGoesOnAfterSilence(t *testing.T) {
 	cl := startCluster(t, clusterConfig{control: 3, gateways: 2, engines: 3, plain: 2, plainServiceTime: plainServiceTime, rolloutDeadline: 2 * time.Second}, logFolder(t))
 	l := newLoad(cl, seed(t), 0)
@@ -49,30 +51,29 @@
 	const next = standin.FirstVersion + 1
 	cl.nameVersion(ctx, next)
 	l.send(ctx, requestsPerPhase/2)
-	// Some run at a server when the silence falls: the answer to what may not run
-	// again is lost.
+	// Some requests run at a server when the connections go silent: the answers to those
+	// that must not run again are lost.
 	l.sendUnsafe(ctx, inFlightRequests)
-	silent := cl.silence(connectionKinds, faultproxy.Manner{})
+	silenced := cl.silence(connectionKinds, faultproxy.Manner{})
 	l.send(ctx, requestsPerPhase)
 	l.sendUnsafe(ctx, inFlightRequests)
-	silent = append(silent, cl.silence(connectionKinds, faultproxy.Manner{Midway: true})...)
+	silenced = append(silenced, cl.silence(connectionKinds, faultproxy.Manner{Midway: true})...)
 	l.send(ctx, requestsPerPhase)
 	l.inFlight.Wait()
 	cl.awaitVersionServed(next)
-	if len(silent) == 0 {
+	if len(silenced) == 0 {
 		t.Fatal("no connection went silent")
 	}
 	checkGuarantees(t, cl, l.finished())
-	// Callers that come afterwards are served too.
-	after := newLoad(cl, seed(t)+1, 0)
-	after.drawn = math.MaxInt32
-	after.send(ctx, requestsPerPhase)
-	after.inFlight.Wait()
-	checkGuarantees(t, cl, after.finished())
+	// Later callers are served too.
+	later := newLoad(cl, seed(t)+1, 0)
+	later.drawn = math.MaxInt32
+	later.send(ctx, requestsPerPhase)
+	later.inFlight.Wait()
+	checkGuarantees(t, cl, later.finished())
 }
 
-// awaitVersionServed waits until every engine serves a version; the test's own limit bounds
-// it.
+// awaitVersionServed waits until every engine serves a version, or until the test times out.
 func (cl *cluster) awaitVersionServed(version uint64) {
 	for _, e := range cl.engines {
 		for e.ServedVersion() != version {
@@ -81,12 +82,12 @@
 	}
 }
 
-// checkGuarantees checks what every caller was promised. Each is served, but for the
-// requests that may have run and must not run again.
+// checkGuarantees checks the guarantees to every caller: it is served, unless its request may
+// have run and must not run again, and no request that must run at most once runs twice.
 func checkGuarantees(t *testing.T, cl *cluster, answers []standin.Result) {
 	t.Helper()
 	if len(answers) == 0 {
-		t.Fatal("nothing was asked")
+		t.Fatal("no requests were sent")
 	}
 	for _, a := range answers {
 		if a.Mismatch != "" {
@@ -104,7 +105,7 @@
 			}
 		}
 		if a.Request.Kind == standin.Unsafe && runs > 1 {
-			t.Errorf("%s may run once and ran %d times: %+v", a.Request.ID, runs, a.Attempts)
+			t.Errorf("%s must run at most once and ran %d times: %+v", a.Request.ID, runs, a.Attempts)
 		}
 		if a.Complete && runs == 0 {
 			t.Errorf("%s was answered and never ran", a.Request.ID)
--- a/soak/stop_of_all_test.go
+++ b/soak/stop_all_test.go
@@ -1,19 +1,10 @@
 // ================================================================
-// What was seen: streams of 0.4 to 4.5 s that callers had sent over kept connections ended
-// without a whole answer around the planned stop of their gateways, and the gateways said
-// that the callers had left. How it comes about: a caller whose stream began before the
-// signal cannot be told that its connection closes, and sends its next request late in the
-// stop; the gateway begins it, and ends 7.7 s after the signal with the stream half out.
-// What caused it: a stop asked an estimate whether a request would be over in time, and the
-// estimate knows neither services that are no engines nor engines that have just become
-// slower. What proved it: these two runs of the real programs, and the cases of
-// TestStopBeginsNothingThatItMayCut one by one.
-//
-// Seen once in some runs beside load: `nobody says who cut it` of a stream that ended at its
-// caller's deadline. How: the gateway's log had the line, 0.2 ms before the caller saw the end,
-// and the test had read the log without it. Cause: lines wait in a queue of the program for
-// 20 ms, and the verdict came sooner. What proved it: the log that such a run left. Now the
-// programs have ended before their logs are read.
+// Guards against planned stops of gateways that cut off streams of 0.4 to 4.5 s over keep-alive
+// connections. A caller whose stream began before the signal cannot learn that its connection
+// closes, and sends its next request late in the stop. If the gateway starts that request, it
+// exits 7.7 s after the signal in the middle of the stream. An estimate of the duration does
+// not prevent that: it covers neither services other than engines nor engines that have just
+// become slower. pkg/gateway tests the individual cases.
 // ================================================================
 
 package soak
@@ -28,19 +19,20 @@
 	"github.com/tidepost/tidepost/platform/standin"
 )
 
-// userDrainNotice is how long the users' gateways take callers after the signal.
+// userDrainNotice is how long the users' gateways still accept requests after the signal.
 const userDrainNotice = 3 * time.Second
 
-// TestStopOfAllGatewaysCutsNothing stops all gateways at one moment, tells all programs to reload,
-// puts a configuration, names a version and sends the signal once more, all within the stop.
+// TestStopOfAllGatewaysCutsNothing stops all gateways at one moment. During the stop it
+// reloads all programs, changes the configuration, names a new version of the weights and
+// repeats the signal.
 func TestStopOfAllGatewaysCutsNothing(t *testing.T) {
 	for _, c := range []struct {
-		name    string
-		streams int // at each gateway
-		tokens  bounds
-		pace    float64 // of the engines from the signal on
+		name     string
+		streams  int // at each gateway
+		tokens   bounds
+		slowdown float64 // of the engines, from the signal on
 	}{
-		{"answers as long as the sites'", 18, bounds{160, 480}, 1},
+		{"answers as long as the users'", 18, bounds{160, 480}, 1},
 		{"engines that become slower", 6, bounds{100, 120}, 4.5},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -48,21 +40,21 @@
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
 			l := &keepAliveLoad{cluster: cl, streams: c.streams, plain: 2, pause: 20 * time.Millisecond, tokens: c.tokens}
-			over := make(chan struct{})
+			done := make(chan struct{})
 			go func() {
-				defer close(over)
+				defer close(done)
 				l.run(ctx, seed(t))
 			}()
 			l.awaitAnswers(4 * (l.streams + l.plain))
-			stops := cl.stopAllGateways(t, c.pace)
+			stops := cl.stopAllGateways(t, c.slowdown)
 			cancel()
-			<-over
+			<-done
 			checkStop(t, cl.evaluate(l.finished, stops))
 		})
 	}
 }
 
-// awaitAnswers waits until so many requests were answered.
+// awaitAnswers waits until count requests have ended.
 func (l *keepAliveLoad) awaitAnswers(count int) {
 	for answered := 0; answered < count; time.Sleep(time.Millisecond) {
 		l.mu.Lock()
@@ -71,15 +63,15 @@
 	}
 }
 
-// stopAllGateways stops all gateways while the engines are slow and the programs are told
-// several things more, and starts them again.
-func (cl *cluster) stopAllGateways(t *testing.T, pace float64) (stops []stopSpan) {
-	cl.slowEngines(pace)
+// stopAllGateways stops all gateways while the engines are slow, with the operations of
+// TestStopOfAllGatewaysCutsNothing during the stop, and starts them again.
+func (cl *cluster) stopAllGateways(t *testing.T, slowdown float64) (stops []stopSpan) {
+	cl.slowEngines(slowdown)
 	defer cl.slowEngines(1)
-	var gone []<-chan struct{}
+	var exits []<-chan struct{}
 	for i := range cl.config.gateways {
 		stops = append(stops, stopSpan{gateway: cl.address(gatewayVMs, i, callersPort), from: time.Now()})
-		gone = append(gone, cl.programs.requestStop(nameOf("gateway", i), syscall.SIGTERM))
+		exits = append(exits, cl.programs.requestStop(nameOf("gateway", i), syscall.SIGTERM))
 	}
 	for _, name := range cl.programs.names() {
 		cl.programs.signal(name, syscall.SIGHUP)
@@ -90,7 +82,7 @@
 		cl.programs.signal(nameOf("gateway", i), syscall.SIGTERM)
 	}
 	for i := range stops {
-		<-gone[i]
+		<-exits[i]
 		stops[i].to = time.Now()
 		cl.programs.restart(nameOf("gateway", i))
 	}
@@ -100,15 +92,15 @@
 	return stops
 }
 
-// slowEngines has all engines take so many times as long as their figures say.
-func (cl *cluster) slowEngines(pace float64) {
+// slowEngines makes all engines take longer by a factor.
+func (cl *cluster) slowEngines(slowdown float64) {
 	for _, e := range cl.engines {
-		e.SetSlowdown(pace)
+		e.SetSlowdown(slowdown)
 	}
 }
 
-// checkStop checks that a stop cut nothing that it may not, and that whatever was cut is
-// told by whom.
+// checkStop checks that a stop cut only requests that it may cut, and that a gateway's log gives
+// the cause of each cut.
 func checkStop(t *testing.T, v verdict) {
 	t.Helper()
 	for _, c := range v.cuts {
@@ -116,7 +108,7 @@
 			t.Errorf("%s", c.reportLine())
 		}
 		if c.stop != nil && c.ran > 0 && !slices.ContainsFunc(c.logLines, namesCutCause) {
-			t.Errorf("nobody says who cut it: %s", c.reportLine())
+			t.Errorf("no log line gives the cause of the cut: %s", c.reportLine())
 		}
 	}
 	for _, k := range v.wrongAnswers {
--- a/soak/stop_test.go
+++ b/soak/stop_test.go
@@ -1,9 +1,9 @@
 // ================================================================
-// What was seen: requests over kept connections ended without an answer while gateways
-// were rolled, reloaded or short of processor time. How it comes about: pkg/gateway's
-// TestWhatWasReadIsAnswered has the ways, one by one. Here the real programs are stopped,
-// reloaded and paused under kept connections, with a fixed seed and without a clock: what
-// ran at a server is answered. What proved it stands in docs/incidents/.
+// Guards against requests over keep-alive connections that end without an answer while their
+// gateways are restarted, reloaded or short of processor time. The real programs are stopped,
+// reloaded and suspended here, with a fixed seed and without measuring times: every request
+// that ran at a server must be answered. pkg/gateway tests the individual causes. The incident
+// is described in docs/incidents/.
 // ================================================================
 
 package soak
@@ -18,61 +18,62 @@
 	"github.com/tidepost/tidepost/platform/standin"
 )
 
-// longDeadline is a deadline that no request of these runs comes near.
+// longDeadline is a deadline that no request of these tests comes near.
 const longDeadline = time.Minute
 
-// smallClusterConfig is a world for runs in CI.
+// smallClusterConfig is a cluster for runs in CI.
 var smallClusterConfig = clusterConfig{control: 3, gateways: 2, engines: 3, plain: 2, plainServiceTime: plainServiceTime, rolloutDeadline: longDeadline}
 
-// startKeepAliveCallers runs callers that keep their connections to all gateways until the
-// function that it returns is called, which waits for the last answers.
+// startKeepAliveCallers starts callers with keep-alive connections to all gateways. The
+// function that it returns stops them and waits for the last answers.
 func (cl *cluster) startKeepAliveCallers(t *testing.T) (end func() []standin.KeepAliveRequest) {
 	ctx, cancel := context.WithCancel(t.Context())
 	l := &keepAliveLoad{cluster: cl, streams: 3, plain: 3, pause: 20 * time.Millisecond, deadline: longDeadline}
-	over := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
-		defer close(over)
+		defer close(done)
 		l.run(ctx, seed(t))
 	}()
 	return func() []standin.KeepAliveRequest {
 		cancel()
-		<-over
+		<-done
 		return l.finished
 	}
 }
 
-// awaitServing waits until a gateway takes callers again.
+// awaitServing waits until a gateway accepts requests again.
 func (cl *cluster) awaitServing(i int) {
 	cl.t.Helper()
 	cl.must(standin.AwaitReady(cl.t.Context(), cl.address(gatewayVMs, i, readyPort)))
 }
 
-// Each gateway is stopped in order and started again while a configuration goes out and
-// all programs are told to reload, one of them just after its start.
+// Each gateway is stopped gracefully and started again during a configuration change and a
+// reload of all programs, which meets one of them just after its start.
 func TestStopsAndReloadsLeaveNothingUnanswered(t *testing.T) {
 	cl := startCluster(t, smallClusterConfig, logFolder(t))
 	end := cl.startKeepAliveCallers(t)
-	hangUp := func() {
+	reload := func() {
 		for _, name := range cl.programs.names() {
 			cl.programs.signal(name, syscall.SIGHUP)
 		}
 	}
 	for i := range cl.config.gateways {
 		name := nameOf("gateway", i)
-		hangUp()
+		reload()
 		cl.must(cl.operator.Reconfigure(t.Context(), engineFigures, standin.ConfigurationChange{Version: uint64(i + 2), ExtraRoutes: extraRoutesInCI}))
 		cl.programs.stop(name, syscall.SIGTERM)
 		cl.programs.restart(name)
 		cl.awaitServing(i)
 	}
-	hangUp()
+	reload()
 	checkAnswered(t, cl, end())
 }
 
-// extraRoutesInCI is how many routes a configuration has in CI beyond the usual ones.
+// extraRoutesInCI is how many routes a changed configuration has in CI beyond the default
+// ones.
 const extraRoutesInCI = 200
 
-// checkAnswered checks that whatever ran at a server was answered, and truly.
+// checkAnswered checks that every request that ran at a server was answered correctly.
 func checkAnswered(t *testing.T, cl *cluster, ended []standin.KeepAliveRequest) {
 	t.Helper()
 	v := cl.evaluate(ended, nil)
@@ -89,9 +90,9 @@
 	}
 }
 
-// requestDuringPause sends one request over a connection of its own, has the gateway stand still
-// once the request has run for a while, and returns what became of it.
-func (cl *cluster) requestDuringPause(t *testing.T, a standin.Request, ran, pause time.Duration) standin.KeepAliveRequest {
+// requestDuringPause sends one request over its own connection, suspends the gateway after the
+// request has run for a while, and returns the outcome.
+func (cl *cluster) requestDuringPause(t *testing.T, a standin.Request, delay, pause time.Duration) standin.KeepAliveRequest {
 	ended := make(chan standin.KeepAliveRequest, 1)
 	ctx, cancel := context.WithCancel(t.Context())
 	c := &standin.KeepAliveCaller{
@@ -106,7 +107,7 @@
 	for cl.ledger.Runs(pausedRequestID) == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	time.Sleep(ran)
+	time.Sleep(delay)
 	gateway := nameOf("gateway", 0)
 	cl.programs.signal(gateway, syscall.SIGSTOP)
 	time.Sleep(pause)
@@ -114,11 +115,11 @@
 	return <-ended
 }
 
-// pausedRequestID is the id of askPaused's request.
+// pausedRequestID is the ID of requestDuringPause's request.
 const pausedRequestID = "paused-0"
 
-// A gateway stands still until long after the deadline of a request that runs, and goes
-// on. Its caller still waits, and is answered.
+// A gateway is suspended until long after the deadline of a running request and then resumes.
+// The caller is still waiting and gets an answer.
 func TestAnswerAfterAPauseIsWritten(t *testing.T) {
 	cl := startCluster(t, smallClusterConfig, logFolder(t))
 	k := cl.requestDuringPause(t, standin.Request{Kind: standin.Unsafe, Timeout: plainDeadline}, 0, 2*plainDeadline)
@@ -127,13 +128,13 @@
 	}
 }
 
-// A gateway stands still in the middle of a stream for longer than the longest pause that
-// it lets a backend server have. What came meanwhile waits at its socket: the backend
-// server was not silent, and the stream is neither broken off nor run again.
+// A gateway is suspended in the middle of a stream for longer than the longest pause that it
+// allows a backend server. The events of that time wait in its socket buffer: the backend
+// server was not silent, so the gateway must neither cancel the stream nor retry it.
 func TestPauseOfAGatewayBreaksNoStream(t *testing.T) {
 	const (
 		pause      = 1500 * time.Millisecond
-		before     = 500 * time.Millisecond // its first events pass
+		before     = 500 * time.Millisecond // the first events reach the caller
 		longStream = 300
 	)
 	cl := startCluster(t, smallClusterConfig, logFolder(t))
@@ -143,6 +144,6 @@
 		t.Errorf("%s: %s, %s", k.ID, k.Outcome, k.Reason)
 	}
 	if n := cl.ledger.Runs(pausedRequestID); n != 1 {
-		t.Errorf("it ran %d times", n)
+		t.Errorf("the request ran %d times; want 1", n)
 	}
 }
--- a/soak/verdict_test.go
+++ b/soak/verdict_test.go
@@ -1,7 +1,7 @@
 // ================================================================
-// The verdict on how requests over kept connections ended: a request that was read is
-// answered, whatever is done to the programs in order. What a planned stop may cut is said
-// by stopAllows.
+// Decides whether requests over keep-alive connections ended as they must: a request that a
+// gateway has read is answered, whatever planned operations the programs undergo. The
+// requests that a planned stop may cut are defined by allowedByStop.
 // ================================================================
 
 package soak
@@ -21,55 +21,56 @@
 )
 
 const (
-	// deadlineSlack is how early before a deadline an end counts as due to it.
+	// deadlineSlack is how long before a deadline an end still counts as caused by it.
 	deadlineSlack = 100 * time.Millisecond
-	// unreadSlack is for how long a request may lie read and not passed on when its
-	// connection closes.
+	// unreadSlack is how long a request may wait at a gateway, read or unread and without running
+	// at a server, when its connection closes.
 	unreadSlack = 200 * time.Millisecond
-	// earlyRequestTime is how soon after it a request is sent that may be cut if a server
-	// works on it until the last sixth of the time for the stop.
+	// A request that is sent within earlyRequestTime after the signal may be cut if a server
+	// still runs it lateCutTime after the signal, in the last sixth of the drain limit.
 	earlyRequestTime = 3 * time.Second
 	lateCutTime      = drainLimit * 5 / 6
 )
 
-// stopSpan is a time in which something was done to a gateway.
+// stopSpan is the time of a planned stop of a gateway, from the signal to the exit.
 type stopSpan struct {
 	gateway  string // its address for callers
 	from, to time.Time
 }
 
-// covers tells whether a request was under way within the span or soon after it.
+// covers reports whether a request was in flight during the stop or within a second after it.
 func (s stopSpan) covers(k standin.KeepAliveRequest) bool {
 	return s.gateway == k.Gateway && k.Ended.After(s.from) && k.Sent.Before(s.to.Add(time.Second))
 }
 
-// cutRequest is a request over a kept connection that ended without a whole answer.
+// cutRequest is a request over a keep-alive connection that ended without a complete answer.
 type cutRequest struct {
 	standin.KeepAliveRequest
 	ran  int       // how often it ran at a server
-	stop *stopSpan // the planned stop that it met; nil for none
-	// cutByStop says that it counts as cut by planned work, and leftAlone that it counts as
-	// left without an answer, whatever was done.
+	stop *stopSpan // the planned stop during which it was in flight; nil for none
+	// cutByStop is true if a planned stop cut the request though it must not. lostAnswer is true
+	// if the request ran and got no answer before its deadline, whatever the cause.
 	cutByStop, lostAnswer bool
-	logLines              []string // the gateways' log lines of it
+	logLines              []string // the gateways' log lines on the request
 }
 
-// verdict is what became of all requests.
+// verdict is the evaluation of all requests.
 type verdict struct {
 	ends map[standin.Outcome]int
 	cuts []cutRequest
-	// wrongAnswers are answers that seemed whole and were not those of their requests.
+	// wrongAnswers are complete answers whose content does not match their requests.
 	wrongAnswers []standin.KeepAliveRequest
-	// interrupted counts the streams under way that guards of gateways ended, by reason.
+	// interrupted counts the running streams that gateways interrupted, by reason.
 	interrupted map[string]int
 }
 
-// evaluate looks at all requests that are over, when the run is. It ends the programs first: a line
-// waits in their queues for some ms before it is written, and longer on a busy machine.
+// evaluate evaluates the requests of a finished run. It stops the programs first: log lines wait
+// in a queue of the program for 20 ms, and longer on a busy machine, so a log that is read
+// earlier may lack the line on a request that has just ended.
 func (cl *cluster) evaluate(ended []standin.KeepAliveRequest, stops []stopSpan) verdict {
 	cl.programs.stopAll()
 	v := verdict{ends: map[standin.Outcome]int{}, interrupted: map[string]int{}}
-	told := cl.requestLogLines(func(why string) { v.interrupted[why]++ })
+	logLines := cl.requestLogLines(func(why string) { v.interrupted[why]++ })
 	for _, k := range ended {
 		v.ends[k.Outcome]++
 		if k.Outcome == standin.Succeeded && k.Reason != "" {
@@ -78,7 +79,7 @@
 		if k.Outcome != standin.NoResponse && k.Outcome != standin.Truncated && k.Outcome != standin.TimedOut {
 			continue
 		}
-		c := cutRequest{KeepAliveRequest: k, ran: cl.ledger.Runs(k.ID), logLines: told[k.ID]}
+		c := cutRequest{KeepAliveRequest: k, ran: cl.ledger.Runs(k.ID), logLines: logLines[k.ID]}
 		if i := slices.IndexFunc(stops, func(s stopSpan) bool { return s.covers(k) }); i >= 0 {
 			c.stop = &stops[i]
 		}
@@ -89,25 +90,26 @@
 	return v
 }
 
-// pastDeadline tells whether the request ended at its deadline or later.
+// pastDeadline reports whether the request ended at its deadline or later.
 func (c cutRequest) pastDeadline() bool {
 	return !c.Ended.Before(c.Sent.Add(c.Timeout - deadlineSlack))
 }
 
-// allowedByStop tells whether a planned stop may cut the request: nobody has read it, its
-// time was over, or it was sent early enough and a server was at work on it until late.
+// allowedByStop reports whether a planned stop may cut the request: if its connection closed
+// before it could reach a server, if its deadline has passed, or if it was sent early in the
+// stop and a server ran it until late in the stop.
 func (c cutRequest) allowedByStop() bool {
 	if c.ran == 0 && c.Ended.Sub(c.Sent) <= unreadSlack {
 		return true
 	}
-	soon := c.Sent.Before(c.stop.from.Add(earlyRequestTime))
-	return c.pastDeadline() || soon && c.ran > 0 && c.Ended.After(c.stop.from.Add(lateCutTime))
+	early := c.Sent.Before(c.stop.from.Add(earlyRequestTime))
+	return c.pastDeadline() || early && c.ran > 0 && c.Ended.After(c.stop.from.Add(lateCutTime))
 }
 
-// requestLogLines returns what the gateways' logs say of each request, and calls interrupted for each
-// stream under way that its gateway interrupted.
+// requestLogLines returns the lines on each request in the gateways' logs, and calls interrupted
+// for each running stream that its gateway interrupted.
 func (cl *cluster) requestLogLines(interrupted func(why string)) map[string][]string {
-	all := map[string][]string{}
+	byRequest := map[string][]string{}
 	for i := range cl.config.gateways {
 		raw, err := os.ReadFile(filepath.Join(cl.programs.folder, nameOf("gateway", i)+".log"))
 		if err != nil {
@@ -117,29 +119,29 @@
 		lines := bufio.NewScanner(bytes.NewReader(raw))
 		lines.Buffer(nil, 1<<20)
 		for lines.Scan() {
-			var told struct{ Msg, Request, Outcome, End, Why, Interrupted string }
-			if json.Unmarshal(lines.Bytes(), &told) == nil && told.Request != "" {
-				if told.Interrupted != "" {
-					interrupted(told.Interrupted)
+			var entry struct{ Msg, Request, Outcome, End, Why, Interrupted string }
+			if json.Unmarshal(lines.Bytes(), &entry) == nil && entry.Request != "" {
+				if entry.Interrupted != "" {
+					interrupted(entry.Interrupted)
 				}
-				all[told.Request] = append(all[told.Request], told.Msg+" "+told.Outcome+told.End+": "+told.Why)
+				byRequest[entry.Request] = append(byRequest[entry.Request], entry.Msg+" "+entry.Outcome+entry.End+": "+entry.Why)
 			}
 		}
 	}
-	return all
+	return byRequest
 }
 
-// reportLine is one cut request for a report.
+// reportLine formats the request for the output of a test.
 func (c cutRequest) reportLine() string {
-	at := ""
+	stopTimes := ""
 	if c.stop != nil {
-		at = fmt.Sprintf(", sent %+.2f s from the signal, gone at %.2f", c.Sent.Sub(c.stop.from).Seconds(), c.stop.to.Sub(c.stop.from).Seconds())
+		stopTimes = fmt.Sprintf(", sent %+.2f s from the signal, exit at %.2f", c.Sent.Sub(c.stop.from).Seconds(), c.stop.to.Sub(c.stop.from).Seconds())
 	}
-	return fmt.Sprintf("%s %s (%s, %d before): %s after %.2f s, ran %d, reset %t, cut by plan %t, left alone %t%s; %s; log %q",
-		c.Ended.Format("05.000"), c.ID, c.Kind, c.AnsweredBefore, c.Outcome, c.Ended.Sub(c.Sent).Seconds(), c.ran, c.Reset, c.cutByStop, c.lostAnswer, at, c.Reason, c.logLines)
+	return fmt.Sprintf("%s %s (%s, %d before): %s after %.2f s, ran %d, reset %t, cut by stop %t, lost answer %t%s; %s; log %q",
+		c.Ended.Format("05.000"), c.ID, c.Kind, c.AnsweredBefore, c.Outcome, c.Ended.Sub(c.Sent).Seconds(), c.ran, c.Reset, c.cutByStop, c.lostAnswer, stopTimes, c.Reason, c.logLines)
 }
 
-// namesCutCause tells whether a gateway's line of a request says who cut it.
+// namesCutCause reports whether a gateway's log line on a request gives the cause of its cut.
 func namesCutCause(line string) bool {
 	return !strings.Contains(line, "the caller left") && strings.HasPrefix(line, "request ")
 }
