--- a/bench/path_test.go
+++ b/bench/path_test.go
@@ -81,11 +81,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	e, err := entry.New(es, entry.Hooks{Seams: daemon.Seams{Log: io.Discard}})
+	e, err := entry.New(es, entry.Hooks{Hooks: daemon.Hooks{Log: io.Discard}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	a, err := agent.New(as, agent.Hooks{Seams: daemon.Seams{Log: io.Discard}})
+	a, err := agent.New(as, agent.Hooks{Hooks: daemon.Hooks{Log: io.Discard}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/tidepost-control/main.go
+++ b/cmd/tidepost-control/main.go
@@ -13,13 +13,13 @@
 )
 
 func main() {
-	os.Exit(daemon.MainAt("tidepost-control", settings.LoadControl, func(path string, s settings.Control, signals <-chan os.Signal) error {
-		protocol, err := daemon.Choose(s.Protocol(), control.NativeProtocol(), platform.Control())
+	os.Exit(daemon.MainWithPath("tidepost-control", settings.LoadControl, func(path string, s settings.Control, signals <-chan os.Signal) error {
+		protocol, err := daemon.ChooseProtocol(s.Protocol(), control.NativeProtocol(), platform.Control())
 		if err != nil {
 			return err
 		}
 		var origin *staging.Protocol
-		if weights := platform.Staging(); weights.Called() == s.Protocol() {
+		if weights := platform.Staging(); weights.ProtocolName() == s.Protocol() {
 			origin = &weights
 		}
 		n, err := control.New(s, path, protocol, origin, control.Seams{})
--- a/cmd/tidepost-gateway/main.go
+++ b/cmd/tidepost-gateway/main.go
@@ -11,12 +11,12 @@
 )
 
 func main() {
-	os.Exit(daemon.MainAt("tidepost-gateway", settings.LoadGateway, func(path string, s settings.Gateway, signals <-chan os.Signal) error {
-		protocol, err := daemon.Choose(s.Protocol(), gateway.NativeProtocol(), platform.Gateway())
+	os.Exit(daemon.MainWithPath("tidepost-gateway", settings.LoadGateway, func(path string, s settings.Gateway, signals <-chan os.Signal) error {
+		protocol, err := daemon.ChooseProtocol(s.Protocol(), gateway.NativeProtocol(), platform.Gateway())
 		if err != nil {
 			return err
 		}
-		g, err := gateway.New(s, path, protocol, daemon.Seams{})
+		g, err := gateway.New(s, path, protocol, daemon.Hooks{})
 		if err != nil {
 			return err
 		}
--- a/cmd/tidepost-stager/main.go
+++ b/cmd/tidepost-stager/main.go
@@ -11,12 +11,12 @@
 )
 
 func main() {
-	os.Exit(daemon.MainAt("tidepost-stager", settings.LoadStaging, func(path string, c settings.Staging, signals <-chan os.Signal) error {
-		protocol, err := daemon.Choose(c.Protocol(), platform.Staging())
+	os.Exit(daemon.MainWithPath("tidepost-stager", settings.LoadStager, func(path string, c settings.Stager, signals <-chan os.Signal) error {
+		protocol, err := daemon.ChooseProtocol(c.Protocol(), platform.Staging())
 		if err != nil {
 			return err
 		}
-		s, err := staging.New(c, path, protocol, daemon.Seams{})
+		s, err := staging.New(c, path, protocol, daemon.Hooks{})
 		if err != nil {
 			return err
 		}
--- a/pkg/agent/agent.go
+++ b/pkg/agent/agent.go
@@ -70,7 +70,7 @@
 // Hooks replace the environment of the process in tests. The zero value selects the
 // real environment.
 type Hooks struct {
-	daemon.Seams
+	daemon.Hooks
 	// Engine is the model engine. If nil, the settings select it.
 	Engine *engine.Engine
 	// Services are plain services by name. They take precedence over the settings.
@@ -115,7 +115,7 @@
 	if err != nil {
 		return nil, err
 	}
-	process, err := daemon.New(s.Common(), incarnation, hooks.Seams)
+	process, err := daemon.New(s.Common(), incarnation, hooks.Hooks)
 	if err != nil {
 		return nil, err
 	}
@@ -134,7 +134,7 @@
 		services:      map[string]*engine.Engine{},
 		download:      rate.NewLimiter(rate.Limit(s.ChunkRate()), chunkRateBurst),
 		upload:        rate.NewLimiter(rate.Limit(s.ChunkRate()), chunkRateBurst),
-		uploads:       make(chan struct{}, s.Uploads()),
+		uploads:       make(chan struct{}, s.MaxUploads()),
 		metrics:       newMetrics(process.Registry),
 		configChanged: make(chan struct{}, 1),
 		drain:         process.NewDrain(),
@@ -189,7 +189,7 @@
 		group.Add(func() error { return f(ctx) }, func(error) { cancel() })
 	}
 	add(func(ctx context.Context) error { return a.process.ServeLinks(ctx, a.settings.Common().PeersListen()) })
-	add(a.process.ServeObserve)
+	add(a.process.ServeMetrics)
 	add(a.process.Bus.Run)
 	add(a.follower().Run)
 	add(a.sendHeartbeats)
--- a/pkg/agent/loader.go
+++ b/pkg/agent/loader.go
@@ -62,7 +62,7 @@
 			interrupted = true
 		}
 	}
-	if interrupted && !a.settings.EngineFences() && !a.hooks.Faults.SkipOrderWait {
+	if interrupted && !a.settings.EngineChecksFences() && !a.hooks.Faults.SkipOrderWait {
 		l.nextOrderAt = time.Now().Add(a.settings.OrderLimit())
 	}
 	return l
@@ -240,7 +240,7 @@
 	s, err := l.agent.engine.SendOrder(orderContext, o)
 	if err != nil {
 		_ = level.Warn(l.agent.process.Logger).Log("msg", "order failed", "action", o.Action, "model", o.Model, "err", err)
-		if failure.Of(err).Ran() != failure.NotRun && !l.agent.settings.EngineFences() {
+		if failure.Of(err).Ran() != failure.NotRun && !l.agent.settings.EngineChecksFences() {
 			l.nextOrderAt = time.Now().Add(l.agent.settings.OrderLimit())
 			return engine.State{}, err
 		}
--- a/pkg/control/cluster_test.go
+++ b/pkg/control/cluster_test.go
@@ -77,7 +77,7 @@
 		c.t.Fatal(err)
 	}
 	n.node, err = New(s, "", NativeProtocol(), nil, Seams{
-		Seams: daemon.Seams{
+		Hooks: daemon.Hooks{
 			Log:    io.Discard,
 			Listen: func(a string) (net.Listener, error) { return net.Listen("tcp", a) },
 			Dial:   n.dial,
--- a/pkg/control/node.go
+++ b/pkg/control/node.go
@@ -57,7 +57,7 @@
 
 // Seams replace the external dependencies of the process in tests.
 type Seams struct {
-	daemon.Seams
+	daemon.Hooks
 	// Folder opens the data folder; if nil, the folder from the settings is opened.
 	Folder func() (*disk.Folder, error)
 }
@@ -65,7 +65,7 @@
 // Node is one control node.
 type Node struct {
 	settings        settings.Control
-	seeds           *daemon.Reloaded[[]string]
+	seeds           *daemon.Reloadable[[]string]
 	process         *daemon.Process
 	protocol        Protocol
 	member          *member
@@ -85,7 +85,7 @@
 // weights cache.
 func New(s settings.Control, path string, protocol Protocol, origin *staging.Protocol, seams Seams) (*Node, error) {
 	debug.SetMemoryLimit(int64(float64(s.Memory()) * memoryLimitShare))
-	process, err := daemon.New(s.Common().WithoutDataFolder(), vm.NewIncarnation(), seams.Seams)
+	process, err := daemon.New(s.Common().WithoutDataFolder(), vm.NewIncarnation(), seams.Hooks)
 	if err != nil {
 		return nil, err
 	}
@@ -151,7 +151,7 @@
 		openFolder: open, onOpen: n.quarantineStore.setFolder, onClose: n.quarantineStore.clearFolder,
 		endpoint: n.process.Endpoint, machine: n.service.state.StateMachine(),
 		recordEvent: n.recordEvent, logger: n.process.Logger, seeds: n.seedAddresses,
-		bootstrap: n.settings.Bootstrap(), toleratedFailures: n.settings.Tolerate(),
+		bootstrap: n.settings.Bootstrap(), toleratedFailures: n.settings.ToleratedFailures(),
 	}
 }
 
@@ -183,7 +183,7 @@
 	add(func(ctx context.Context) error {
 		return n.process.ServeLinks(ctx, n.settings.Common().PeersListen())
 	})
-	add(n.process.ServeObserve)
+	add(n.process.ServeMetrics)
 	add(n.serveHTTP)
 	add(n.member.run)
 	if n.weightsCache != nil {
@@ -239,5 +239,5 @@
 	return nil
 }
 
-// Called returns the protocol's name in settings.
-func (p Protocol) Called() string { return p.Name }
+// ProtocolName returns the protocol's name in settings.
+func (p Protocol) ProtocolName() string { return p.Name }
--- a/pkg/daemon/daemon.go
+++ b/pkg/daemon/daemon.go
@@ -35,10 +35,10 @@
 )
 
 const (
-	timelineFile   = "timeline.jsonl"
-	folderMode     = 0o750
-	timelineMode   = 0o640
-	readHeaderTime = 5 * time.Second
+	timelineFile      = "timeline.jsonl"
+	dirMode           = 0o750
+	timelineMode      = 0o640
+	readHeaderTimeout = 5 * time.Second
 )
 
 // Process is what a daemon is built on.
@@ -54,12 +54,12 @@
 	Listen func(address string) (net.Listener, error)
 
 	observeListen string
-	lines         *LineWriter // nil where a test takes the log
+	lineWriter    *LineWriter // nil where a test takes the log
 }
 
-// Seams are where a test puts its own network and log in place of the
+// Hooks are where a test puts its own network and log in place of the
 // machine's. The zero value is the machine's.
-type Seams struct {
+type Hooks struct {
 	// Listen opens a listener.
 	Listen func(address string) (net.Listener, error)
 	// Dial opens a connection.
@@ -68,7 +68,7 @@
 	Log io.Writer
 }
 
-func (s Seams) withDefaults() Seams {
+func (s Hooks) withDefaults() Hooks {
 	if s.Listen == nil {
 		s.Listen = func(address string) (net.Listener, error) { return net.Listen("tcp", address) }
 	}
@@ -76,7 +76,7 @@
 }
 
 // New returns the parts of a daemon, with the given incarnation of its VM.
-func New(c settings.Common, incarnation uint64, seams Seams) (*Process, error) {
+func New(c settings.Common, incarnation uint64, seams Hooks) (*Process, error) {
 	ownProcess := seams.Log == nil
 	seams = seams.withDefaults()
 	identity := vm.NewIdentity(vm.ID(c.Name()), incarnation, c.Region(), c.Domain(), c.PeersAdvertise())
@@ -112,7 +112,7 @@
 	doubts := metric.NewCounters(metric.LinkLivenessChecks, "found")
 	registry.MustRegister(doubts)
 	p := &Process{
-		Logger: logger, Registry: registry, lines: lines, Clock: clock, Recorder: recorder, Bus: b, Identity: identity,
+		Logger: logger, Registry: registry, lineWriter: lines, Clock: clock, Recorder: recorder, Bus: b, Identity: identity,
 		Endpoint: link.NewEndpoint(link.Config{
 			Own: identity, Key: key, TLS: tlsConfig, Clock: clock, Logger: logger, Dial: seams.Dial,
 			OnProbe: func(f link.ProbeResult) { doubts.WithLabelValues(string(f)).Inc() },
@@ -129,10 +129,10 @@
 }
 
 // NewLogger returns a logger of JSON lines from a level up.
-func NewLogger(w io.Writer, least, process string) log.Logger {
+func NewLogger(w io.Writer, minLevel, process string) log.Logger {
 	logger := log.NewJSONLogger(log.NewSyncWriter(w))
 	logger = log.With(logger, "ts", log.DefaultTimestampUTC, "process", process)
-	return level.NewFilter(logger, level.Allow(level.ParseDefault(least, level.InfoValue())))
+	return level.NewFilter(logger, level.Allow(level.ParseDefault(minLevel, level.InfoValue())))
 }
 
 func newRegistry() *prometheus.Registry {
@@ -145,7 +145,7 @@
 	if folder == "" {
 		return nil
 	}
-	if err := os.MkdirAll(folder, folderMode); err != nil {
+	if err := os.MkdirAll(folder, dirMode); err != nil {
 		return err
 	}
 	f, err := os.OpenFile(filepath.Join(folder, timelineFile), os.O_CREATE|os.O_APPEND|os.O_WRONLY, timelineMode)
@@ -188,8 +188,8 @@
 	return nil
 }
 
-// ServeObserve serves /metrics and /healthz where the settings say.
-func (p *Process) ServeObserve(ctx context.Context) error {
+// ServeMetrics serves /metrics and /healthz where the settings say.
+func (p *Process) ServeMetrics(ctx context.Context) error {
 	if p.observeListen == "" {
 		<-ctx.Done()
 		return nil
@@ -201,7 +201,7 @@
 	router := chi.NewRouter()
 	router.Handle("/metrics", promhttp.HandlerFor(p.Registry, promhttp.HandlerOpts{}))
 	router.Get("/healthz", Healthy)
-	return ServeHTTP(ctx, &http.Server{Handler: router, ReadHeaderTimeout: readHeaderTime}, l)
+	return ServeHTTP(ctx, &http.Server{Handler: router, ReadHeaderTimeout: readHeaderTimeout}, l)
 }
 
 // Healthy answers that the process runs.
--- a/pkg/daemon/drain.go
+++ b/pkg/daemon/drain.go
@@ -17,18 +17,18 @@
 // Drain is the word that a process is to drain.
 type Drain struct {
 	process *Process
-	begun   chan struct{}
+	started chan struct{}
 }
 
 // NewDrain returns a drain that has not begun.
-func (p *Process) NewDrain() *Drain { return &Drain{process: p, begun: make(chan struct{}, 1)} }
+func (p *Process) NewDrain() *Drain { return &Drain{process: p, started: make(chan struct{}, 1)} }
 
 // Begin records why the process drains. It is to be called once.
 func (d *Drain) Begin(reason string) {
 	p := d.process
 	p.Recorder.Record(event.ProcessDraining, string(p.Identity.ID()), reason)
 	_ = level.Info(p.Logger).Log("msg", "draining", "reason", reason)
-	d.begun <- struct{}{}
+	d.started <- struct{}{}
 }
 
 // Await waits until the process drains, and returns false when it is to go at once
@@ -42,7 +42,7 @@
 			return false
 		}
 		begin("signal " + s.String())
-	case <-d.begun:
+	case <-d.started:
 	}
 	return true
 }
--- a/pkg/daemon/lifecycle.go
+++ b/pkg/daemon/lifecycle.go
@@ -39,8 +39,8 @@
 
 // CloseLog writes the last log lines.
 func (p *Process) CloseLog() {
-	if p.lines != nil {
-		p.lines.Close()
+	if p.lineWriter != nil {
+		p.lineWriter.Close()
 	}
 }
 
@@ -55,13 +55,13 @@
 
 // HTTPLog is the log of an HTTP server. A handler's panic closes its connection, so it is
 // told; what else servers write is about clients that break off, and is no news.
-func HTTPLog(logger log.Logger) *stdlog.Logger { return stdlog.New(panicLog{logger}, "", 0) }
+func HTTPLog(logger log.Logger) *stdlog.Logger { return stdlog.New(panicWriter{logger}, "", 0) }
 
-// panicLog passes on what a server writes of panics.
-type panicLog struct{ logger log.Logger }
+// panicWriter passes on what a server writes of panics.
+type panicWriter struct{ logger log.Logger }
 
 // Write takes one line, or the several of a panic.
-func (l panicLog) Write(lines []byte) (int, error) {
+func (l panicWriter) Write(lines []byte) (int, error) {
 	if bytes.Contains(lines, []byte("panic")) {
 		_ = level.Error(l.logger).Log("msg", "panic", "cause", string(lines))
 	}
--- a/pkg/daemon/lifecycle_test.go
+++ b/pkg/daemon/lifecycle_test.go
@@ -9,7 +9,7 @@
 )
 
 // Only panics get through.
-func TestHTTPLogTellsPanics(t *testing.T) {
+func TestHTTPLogWritesOnlyPanics(t *testing.T) {
 	var out bytes.Buffer
 	l := HTTPLog(log.NewJSONLogger(&out))
 	l.Print("http: TLS handshake error from 127.0.0.1:1: EOF")
--- a/pkg/daemon/logs.go
+++ b/pkg/daemon/logs.go
@@ -20,12 +20,12 @@
 )
 
 const (
-	// maxQueued bounds the bytes of log lines that wait.
-	maxQueued = 1 << 20
-	// flushPause is how long lines wait for others to be written with them.
-	flushPause = 20 * time.Millisecond
-	// closeWait bounds the wait for the last lines at the end of a process.
-	closeWait = 300 * time.Millisecond
+	// maxQueuedBytes bounds the bytes of log lines that wait.
+	maxQueuedBytes = 1 << 20
+	// flushDelay is how long lines wait for others to be written with them.
+	flushDelay = 20 * time.Millisecond
+	// closeTimeout bounds the wait for the last lines at the end of a process.
+	closeTimeout = 300 * time.Millisecond
 )
 
 // LineWriter writes lines to an output that may be slow. It is safe for
@@ -34,12 +34,12 @@
 	output  io.Writer
 	dropped prometheus.Counter
 
-	mu      sync.Mutex
-	queued  bytes.Buffer
-	lost    int // lines dropped since the last write
-	closing bool
-	wake    chan struct{}
-	done    chan struct{}
+	mu              sync.Mutex
+	queued          bytes.Buffer
+	unreportedDrops int // lines dropped since the last write
+	closing         bool
+	wake            chan struct{}
+	done            chan struct{}
 }
 
 // NewLineWriter returns a writer that counts dropped lines.
@@ -52,8 +52,8 @@
 // Write queues a line, or drops it when too much waits. It never fails.
 func (w *LineWriter) Write(line []byte) (int, error) {
 	w.mu.Lock()
-	if w.queued.Len()+len(line) > maxQueued {
-		w.lost++
+	if w.queued.Len()+len(line) > maxQueuedBytes {
+		w.unreportedDrops++
 		w.dropped.Inc()
 	} else {
 		w.queued.Write(line)
@@ -70,24 +70,24 @@
 		// so what was queued meanwhile is written too.
 		closing := w.isClosing()
 		if !closing {
-			time.Sleep(flushPause)
+			time.Sleep(flushDelay)
 		}
-		_, _ = w.output.Write(w.take())
+		_, _ = w.output.Write(w.takeQueued())
 		if closing {
 			return
 		}
 	}
 }
 
-// take returns what is queued, with a line about those that were dropped.
-func (w *LineWriter) take() []byte {
+// takeQueued returns what is queued, with a line about those that were dropped.
+func (w *LineWriter) takeQueued() []byte {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	lines := bytes.Clone(w.queued.Bytes())
 	w.queued.Reset()
-	if w.lost > 0 {
-		lines = fmt.Appendf(lines, `{"level":"warn","msg":"log lines dropped","count":%d}`+"\n", w.lost)
-		w.lost = 0
+	if w.unreportedDrops > 0 {
+		lines = fmt.Appendf(lines, `{"level":"warn","msg":"log lines dropped","count":%d}`+"\n", w.unreportedDrops)
+		w.unreportedDrops = 0
 	}
 	return lines
 }
@@ -106,6 +106,6 @@
 	Wake(w.wake)
 	select {
 	case <-w.done:
-	case <-time.After(closeWait):
+	case <-time.After(closeTimeout):
 	}
 }
--- a/pkg/daemon/logs_test.go
+++ b/pkg/daemon/logs_test.go
@@ -11,15 +11,15 @@
 	dto "github.com/prometheus/client_model/go"
 )
 
-// stuckOutput is an output whose reader has stopped until released.
-type stuckOutput struct {
+// blockedOutput is an output whose reader has stopped until released.
+type blockedOutput struct {
 	release chan struct{}
 	entered chan struct{} // gets a word at the first write; may be nil
 	mu      sync.Mutex
 	written bytes.Buffer
 }
 
-func (o *stuckOutput) Write(p []byte) (int, error) {
+func (o *blockedOutput) Write(p []byte) (int, error) {
 	select {
 	case o.entered <- struct{}{}:
 	default:
@@ -31,12 +31,12 @@
 }
 
 // A reader that stops costs dropped lines, counted and told, and nobody waits.
-func TestLogsNeverBlock(t *testing.T) {
-	output := &stuckOutput{release: make(chan struct{})}
+func TestLineWriterDropsLinesInsteadOfBlocking(t *testing.T) {
+	output := &blockedOutput{release: make(chan struct{})}
 	dropped := prometheus.NewCounter(prometheus.CounterOpts{Name: "dropped"})
 	w := NewLineWriter(output, dropped)
 	line := []byte(strings.Repeat("x", 1023) + "\n")
-	const lines = 3 * maxQueued / 1024
+	const lines = 3 * maxQueuedBytes / 1024
 	for range lines {
 		_, _ = w.Write(line)
 	}
@@ -57,8 +57,8 @@
 	}
 }
 
-func TestLogsAreWrittenAtTheEnd(t *testing.T) {
-	output := &stuckOutput{release: make(chan struct{})}
+func TestCloseWritesQueuedLines(t *testing.T) {
+	output := &blockedOutput{release: make(chan struct{})}
 	close(output.release)
 	w := NewLineWriter(output, prometheus.NewCounter(prometheus.CounterOpts{Name: "dropped"}))
 	_, _ = w.Write([]byte("last words\n"))
@@ -72,8 +72,8 @@
 
 // What is queued while the output is stuck was lost when the end came before the
 // output went on.
-func TestLinesQueuedBehindASlowWriteAreWrittenAtTheEnd(t *testing.T) {
-	output := &stuckOutput{release: make(chan struct{}), entered: make(chan struct{}, 1)}
+func TestCloseWritesLinesQueuedDuringABlockedWrite(t *testing.T) {
+	output := &blockedOutput{release: make(chan struct{}), entered: make(chan struct{}, 1)}
 	w := NewLineWriter(output, prometheus.NewCounter(prometheus.CounterOpts{Name: "dropped"}))
 	_, _ = w.Write([]byte("first words\n"))
 	<-output.entered
--- a/pkg/daemon/main.go
+++ b/pkg/daemon/main.go
@@ -21,12 +21,12 @@
 // Main runs a daemon and returns its exit code: 0 after an orderly end, 1 on a
 // failure, 2 when the command line or the settings are wrong.
 func Main[T any](name string, load func(path string) (T, error), run func(T, <-chan os.Signal) error) int {
-	return MainAt(name, load, func(_ string, s T, signals <-chan os.Signal) error { return run(s, signals) })
+	return MainWithPath(name, load, func(_ string, s T, signals <-chan os.Signal) error { return run(s, signals) })
 }
 
-// MainAt is Main for a daemon that reads its settings file again while it
+// MainWithPath is Main for a daemon that reads its settings file again while it
 // runs.
-func MainAt[T any](name string, load func(path string) (T, error), run func(path string, s T, signals <-chan os.Signal) error) int {
+func MainWithPath[T any](name string, load func(path string) (T, error), run func(path string, s T, signals <-chan os.Signal) error) int {
 	// A reload asked for while the process starts or ends must not end it: without a
 	// taker SIGHUP does.
 	signal.Notify(make(chan os.Signal, 1), syscall.SIGHUP)
@@ -65,17 +65,17 @@
 	return 0
 }
 
-// Named is something that settings choose by name.
-type Named interface{ Called() string }
+// NamedProtocol is something that settings choose by name.
+type NamedProtocol interface{ ProtocolName() string }
 
-// Choose returns the one of several that the settings name.
-func Choose[T Named](name string, known ...T) (T, error) {
+// ChooseProtocol returns the one of several that the settings name.
+func ChooseProtocol[T NamedProtocol](name string, known ...T) (T, error) {
 	var names []string
 	for _, k := range known {
-		if k.Called() == name {
+		if k.ProtocolName() == name {
 			return k, nil
 		}
-		names = append(names, k.Called())
+		names = append(names, k.ProtocolName())
 	}
 	var none T
 	return none, failure.New(failure.BadSettings, "protocol %q is not known; known are %v", name, names)
--- a/pkg/daemon/reload.go
+++ b/pkg/daemon/reload.go
@@ -18,11 +18,11 @@
 	"github.com/go-kit/log/level"
 )
 
-// lookEvery is the time between looks at the file.
-const lookEvery = 2 * time.Second
+// filePollInterval is the time between looks at the file.
+const filePollInterval = 2 * time.Second
 
-// Reloaded is a value of a settings file that may change.
-type Reloaded[T any] struct {
+// Reloadable is a value of a settings file that may change.
+type Reloadable[T any] struct {
 	path   string
 	read   func(path string) (T, error)
 	logger log.Logger
@@ -30,22 +30,22 @@
 	hangup chan os.Signal
 }
 
-// NewReloaded returns a value read from path; an empty path never changes. From now on
+// NewReloadable returns a value read from path; an empty path never changes. From now on
 // SIGHUP is taken: one that came before Run would end the process.
-func NewReloaded[T any](path string, first T, read func(path string) (T, error), logger log.Logger) *Reloaded[T] {
-	r := &Reloaded[T]{path: path, read: read, logger: logger, hangup: make(chan os.Signal, 1)}
+func NewReloadable[T any](path string, first T, read func(path string) (T, error), logger log.Logger) *Reloadable[T] {
+	r := &Reloadable[T]{path: path, read: read, logger: logger, hangup: make(chan os.Signal, 1)}
 	r.value.Store(&first)
 	signal.Notify(r.hangup, syscall.SIGHUP)
 	return r
 }
 
 // Get returns the newest value.
-func (r *Reloaded[T]) Get() T { return *r.value.Load() }
+func (r *Reloadable[T]) Get() T { return *r.value.Load() }
 
 // Run reads the file again when it is to be, until the context ends.
-func (r *Reloaded[T]) Run(ctx context.Context) error {
+func (r *Reloadable[T]) Run(ctx context.Context) error {
 	defer signal.Stop(r.hangup)
-	ticker := time.NewTicker(lookEvery)
+	ticker := time.NewTicker(filePollInterval)
 	defer ticker.Stop()
 	last := r.modified()
 	for {
@@ -63,7 +63,7 @@
 	}
 }
 
-func (r *Reloaded[T]) modified() time.Time {
+func (r *Reloadable[T]) modified() time.Time {
 	if r.path == "" {
 		return time.Time{}
 	}
@@ -74,7 +74,7 @@
 	return info.ModTime()
 }
 
-func (r *Reloaded[T]) reload() {
+func (r *Reloadable[T]) reload() {
 	if r.path == "" {
 		return
 	}
@@ -88,9 +88,9 @@
 }
 
 // NewSeeds returns the seeds that settings name, read again with them.
-func NewSeeds[T interface{ Seeds() []string }](path string, first T, load func(path string) (T, error), logger log.Logger) *Reloaded[[]string] {
-	return NewReloaded(path, first.Seeds(), func(path string) ([]string, error) {
-		again, err := load(path)
-		return again.Seeds(), err
+func NewSeeds[T interface{ Seeds() []string }](path string, first T, load func(path string) (T, error), logger log.Logger) *Reloadable[[]string] {
+	return NewReloadable(path, first.Seeds(), func(path string) ([]string, error) {
+		reloaded, err := load(path)
+		return reloaded.Seeds(), err
 	}, logger)
 }
--- a/pkg/daemon/reload_test.go
+++ b/pkg/daemon/reload_test.go
@@ -14,7 +14,7 @@
 // gone, with all connections that it had. How it comes about: nobody takes SIGHUP between
 // the start of the process and the loop that waits for it, and then it ends the process.
 // What proved it: without the mend this test ends the test's own process.
-func TestHangupBeforeRunIsTaken(t *testing.T) {
+func TestSIGHUPBeforeRunReloads(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "settings")
 	write := func(text string) {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -28,7 +28,7 @@
 		raw, err := os.ReadFile(path)
 		return string(raw), err
 	}
-	r := NewReloaded(path, "first", read, log.NewNopLogger())
+	r := NewReloadable(path, "first", read, log.NewNopLogger())
 	write("second")
 	if err := syscall.Kill(os.Getpid(), syscall.SIGHUP); err != nil {
 		t.Fatal(err)
--- a/pkg/entry/coordinators.go
+++ b/pkg/entry/coordinators.go
@@ -86,7 +86,7 @@
 		Domain:        domain,
 		Digest:        digest,
 		Total:         len(model.Manifest().Chunks()),
-		OriginFetches: c.entry.settings.OriginDraws(),
+		OriginFetches: c.entry.settings.MaxOriginFetches(),
 		Random:        rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	}, time.Now()), startedAt: time.Now(), lastReportAt: time.Now()}
 	c.byDigest[digest] = created
--- a/pkg/entry/entry.go
+++ b/pkg/entry/entry.go
@@ -63,7 +63,7 @@
 // Hooks replace the environment of the process in tests. The zero value selects the
 // real environment.
 type Hooks struct {
-	daemon.Seams
+	daemon.Hooks
 	// Manifest fetches the manifest of a model version from a source.
 	Manifest func(ctx context.Context, url string, name contract.ModelName) (contract.Manifest, error)
 	// BeforeSend is called with the attempt's ID before it is sent.
@@ -111,7 +111,7 @@
 			return nil, err
 		}
 	}
-	process, err := daemon.New(s.Common(), incarnation, hooks.Seams)
+	process, err := daemon.New(s.Common(), incarnation, hooks.Hooks)
 	if err != nil {
 		return nil, err
 	}
@@ -187,7 +187,7 @@
 	}
 	add(e.process.Bus.Run)
 	add(e.serveLinks)
-	add(e.process.ServeObserve)
+	add(e.process.ServeMetrics)
 	add(e.serveCallers)
 	add(e.sendHeartbeats)
 	add(e.expireAgents)
--- a/pkg/entry/heartbeats_test.go
+++ b/pkg/entry/heartbeats_test.go
@@ -33,7 +33,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	e, err := New(s, Hooks{Seams: daemon.Seams{Log: io.Discard}})
+	e, err := New(s, Hooks{Hooks: daemon.Hooks{Log: io.Discard}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/pkg/fake/engine.go
+++ b/pkg/fake/engine.go
@@ -24,10 +24,10 @@
 )
 
 const (
-	defaultStep   = 10 * time.Millisecond
-	defaultTokens = 8
-	maxOrder      = 1 << 20
-	maxRequest    = 16 << 20
+	defaultStep     = 10 * time.Millisecond
+	defaultTokens   = 8
+	maxOrderBytes   = 1 << 20
+	maxRequestBytes = 16 << 20
 )
 
 // Engine is the stand-in.
@@ -80,8 +80,8 @@
 
 func (e *Engine) serveOrder(w http.ResponseWriter, r *http.Request) {
 	var o engine.Order
-	if err := json.NewDecoder(io.LimitReader(r.Body, maxOrder)).Decode(&o); err != nil {
-		refuse(w, http.StatusBadRequest, err.Error())
+	if err := json.NewDecoder(io.LimitReader(r.Body, maxOrderBytes)).Decode(&o); err != nil {
+		writeError(w, http.StatusBadRequest, err.Error())
 		return
 	}
 	e.mu.Lock()
@@ -91,13 +91,13 @@
 	}
 	e.mu.Unlock()
 	if stale {
-		refuse(w, http.StatusConflict, fmt.Sprintf("fence %d is not above %d", o.Fence, e.fence))
+		writeError(w, http.StatusConflict, fmt.Sprintf("fence %d is not above %d", o.Fence, e.fence))
 		return
 	}
 	if o.Action == engine.ActionLoad {
 		time.Sleep(e.LoadTime)
 		if err := verifyWeights(o); err != nil {
-			refuse(w, http.StatusUnprocessableEntity, err.Error())
+			writeError(w, http.StatusUnprocessableEntity, err.Error())
 			return
 		}
 	}
@@ -131,21 +131,21 @@
 }
 
 func (e *Engine) serveChat(w http.ResponseWriter, r *http.Request) {
-	raw, err := io.ReadAll(io.LimitReader(r.Body, maxRequest))
+	raw, err := io.ReadAll(io.LimitReader(r.Body, maxRequestBytes))
 	var q chatRequest
 	if err != nil || json.Unmarshal(raw, &q) != nil {
-		refuse(w, http.StatusBadRequest, "not a chat request")
+		writeError(w, http.StatusBadRequest, "not a chat request")
 		return
 	}
 	digest, ok := e.digestOf(q.Model, r.Header.Get(engine.DigestHeader))
 	if !ok {
-		refuse(w, http.StatusNotFound, "model is not loaded")
+		writeError(w, http.StatusNotFound, "model is not loaded")
 		return
 	}
-	if !e.enter(r) {
+	if !e.acquireSlot(r) {
 		return
 	}
-	defer e.leave()
+	defer e.releaseSlot()
 	if q.MaxTokens == 0 {
 		q.MaxTokens = defaultTokens
 	}
@@ -173,24 +173,24 @@
 	return "", false
 }
 
-func (e *Engine) enter(r *http.Request) bool {
-	e.count(0, 1)
-	defer e.count(0, -1)
+func (e *Engine) acquireSlot(r *http.Request) bool {
+	e.adjustCounts(0, 1)
+	defer e.adjustCounts(0, -1)
 	select {
 	case e.slots <- struct{}{}:
-		e.count(1, 0)
+		e.adjustCounts(1, 0)
 		return true
 	case <-r.Context().Done():
 		return false
 	}
 }
 
-func (e *Engine) leave() {
+func (e *Engine) releaseSlot() {
 	<-e.slots
-	e.count(-1, 0)
+	e.adjustCounts(-1, 0)
 }
 
-func (e *Engine) count(running, queued int) {
+func (e *Engine) adjustCounts(running, queued int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.running += running
--- a/pkg/fake/fake.go
+++ b/pkg/fake/fake.go
@@ -18,6 +18,6 @@
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-func refuse(w http.ResponseWriter, status int, text string) {
+func writeError(w http.ResponseWriter, status int, text string) {
 	http.Error(w, text, status)
 }
--- a/pkg/fake/origin.go
+++ b/pkg/fake/origin.go
@@ -89,7 +89,7 @@
 func (o *Origin) serveManifest(w http.ResponseWriter, r *http.Request) {
 	data, ok := o.find(r)
 	if !ok {
-		refuse(w, http.StatusNotFound, "no such version")
+		writeError(w, http.StatusNotFound, "no such version")
 		return
 	}
 	writeJSON(w, source.NewPublishedManifest(contract.ManifestOf(data, o.chunkSize)))
@@ -98,10 +98,10 @@
 func (o *Origin) serveWeights(w http.ResponseWriter, r *http.Request) {
 	data, ok := o.find(r)
 	if !ok {
-		refuse(w, http.StatusNotFound, "no such version")
+		writeError(w, http.StatusNotFound, "no such version")
 		return
 	}
-	http.ServeContent(&pacedWriter{ResponseWriter: w, origin: o, ctx: r.Context()}, r, "", time.Time{}, bytes.NewReader(data))
+	http.ServeContent(&rateLimitedWriter{ResponseWriter: w, origin: o, ctx: r.Context()}, r, "", time.Time{}, bytes.NewReader(data))
 }
 
 // servePut changes a version: ?size=1048576&seed=7
@@ -109,21 +109,21 @@
 	size, sizeErr := strconv.ParseInt(r.URL.Query().Get("size"), 10, 64)
 	seed, seedErr := strconv.ParseUint(r.URL.Query().Get("seed"), 10, 64)
 	if sizeErr != nil || seedErr != nil || size <= 0 {
-		refuse(w, http.StatusBadRequest, "size and seed are whole numbers")
+		writeError(w, http.StatusBadRequest, "size and seed are whole numbers")
 		return
 	}
 	m := o.Put(chi.URLParam(r, "model"), chi.URLParam(r, "version"), size, seed)
 	_, _ = io.WriteString(w, m.Digest().String()+"\n")
 }
 
-// pacedWriter sends at the origin's rate and counts.
-type pacedWriter struct {
+// rateLimitedWriter sends at the origin's rate and counts.
+type rateLimitedWriter struct {
 	http.ResponseWriter
 	origin *Origin
 	ctx    context.Context
 }
 
-func (w *pacedWriter) Write(data []byte) (int, error) {
+func (w *rateLimitedWriter) Write(data []byte) (int, error) {
 	written := 0
 	for written < len(data) {
 		part := data[written:min(written+originBurst, len(data))]
--- a/pkg/fake/platform.go
+++ b/pkg/fake/platform.go
@@ -18,24 +18,24 @@
 	// Lag is how long a withdrawal takes to show in the list.
 	Lag time.Duration
 
-	mu      sync.Mutex
-	leaving map[string]time.Time
+	mu          sync.Mutex
+	withdrawnAt map[string]time.Time
 }
 
 // NewPlatform returns a list without withdrawals.
 func NewPlatform(lag time.Duration) *Platform {
-	return &Platform{Lag: lag, leaving: map[string]time.Time{}}
+	return &Platform{Lag: lag, withdrawnAt: map[string]time.Time{}}
 }
 
 // Withdraw takes a VM away; the list shows it after the lag.
 func (p *Platform) Withdraw(name string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.leaving[name] = time.Now()
+	p.withdrawnAt[name] = time.Now()
 }
 
-// listed is a line of the list.
-type listed struct {
+// listedVM is a line of the list.
+type listedVM struct {
 	Name    string `json:"name"`
 	Leaving bool   `json:"leaving"`
 }
@@ -48,13 +48,13 @@
 	return r
 }
 
-func (p *Platform) list() []listed {
+func (p *Platform) list() []listedVM {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	list := []listed{}
-	for name, at := range p.leaving {
+	list := []listedVM{}
+	for name, at := range p.withdrawnAt {
 		if time.Since(at) >= p.Lag {
-			list = append(list, listed{Name: name, Leaving: true})
+			list = append(list, listedVM{Name: name, Leaving: true})
 		}
 	}
 	sort.Slice(list, func(i, j int) bool { return list[i].Name < list[j].Name })
--- a/pkg/fake/service.go
+++ b/pkg/fake/service.go
@@ -60,9 +60,9 @@
 }
 
 func (s *Service) serveOrder(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(io.LimitReader(r.Body, maxRequest))
+	body, err := io.ReadAll(io.LimitReader(r.Body, maxRequestBytes))
 	if err != nil {
-		refuse(w, http.StatusBadRequest, err.Error())
+		writeError(w, http.StatusBadRequest, err.Error())
 		return
 	}
 	s.mu.Lock()
--- a/pkg/faultproxy/faults.go
+++ b/pkg/faultproxy/faults.go
@@ -8,9 +8,9 @@
 
 // Reset breaks the open connections with a label that which names, at both ends,
 // and returns how many there were by label.
-func (p *Proxy) Reset(which func(label string) bool) map[string]int {
-	chosen, count := p.choose(which)
-	for _, c := range chosen {
+func (p *Proxy) Reset(match func(label string) bool) map[string]int {
+	matched, count := p.matching(match)
+	for _, c := range matched {
 		c.reset()
 	}
 	return count
@@ -25,23 +25,23 @@
 	p.delay = delay
 }
 
-// choose returns the open connections with a label that which names, but for those
+// matching returns the open connections with a label that which names, but for those
 // that are silent already, and counts them by label.
-func (p *Proxy) choose(which func(label string) bool) (chosen []*pair, count map[string]int) {
+func (p *Proxy) matching(match func(label string) bool) (matched []*proxiedConn, count map[string]int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	count = map[string]int{}
-	for c := range p.pairs {
-		if !c.isSilent() && which(c.label) {
-			chosen = append(chosen, c)
+	for c := range p.conns {
+		if !c.isSilent() && match(c.label) {
+			matched = append(matched, c)
 			count[c.label]++
 		}
 	}
-	return chosen, count
+	return matched, count
 }
 
 // delayOf returns how long a piece of a connection is held up now.
-func (p *Proxy) delayOf(c *pair) time.Duration {
+func (p *Proxy) delayOf(c *proxiedConn) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.delay == nil {
--- a/pkg/faultproxy/pair.go
+++ b/pkg/faultproxy/pair.go
@@ -14,54 +14,54 @@
 	"time"
 )
 
-// pieceSize is the most that is carried at one time.
-const pieceSize = 32 << 10
+// maxBlockBytes is the most that is carried at one time.
+const maxBlockBytes = 32 << 10
 
-// pair is a dialer's connection and the one to the target.
-type pair struct {
+// proxiedConn is a dialer's connection and the one to the target.
+type proxiedConn struct {
 	dialer, target     *net.TCPConn
-	toTarget, toDialer *way
-	label              string                 // under the proxy's lock
-	midway             atomic.Pointer[Manner] // how it goes silent within the next piece
-	halved             atomic.Bool            // that piece has come
+	toTarget, toDialer *pipe
+	label              string                         // under the proxy's lock
+	midway             atomic.Pointer[SilenceOptions] // how it goes silent within the next piece
+	halfSent           atomic.Bool                    // that piece has come
 }
 
-// way is one direction of a pair.
-type way struct {
+// pipe is one direction of a pair.
+type pipe struct {
 	from, to *net.TCPConn
 	silent   atomic.Bool
-	over     chan struct{} // closed when it carries nothing any more
+	done     chan struct{} // closed when it carries nothing any more
 }
 
-func newPair(dialer, target *net.TCPConn) *pair {
-	return &pair{
+func newProxiedConn(dialer, target *net.TCPConn) *proxiedConn {
+	return &proxiedConn{
 		dialer: dialer, target: target,
-		toTarget: &way{from: dialer, to: target, over: make(chan struct{})},
-		toDialer: &way{from: target, to: dialer, over: make(chan struct{})},
+		toTarget: &pipe{from: dialer, to: target, done: make(chan struct{})},
+		toDialer: &pipe{from: target, to: dialer, done: make(chan struct{})},
 	}
 }
 
 // isSilent tells whether either way is.
-func (c *pair) isSilent() bool { return c.toTarget.silent.Load() || c.toDialer.silent.Load() }
+func (c *proxiedConn) isSilent() bool { return c.toTarget.silent.Load() || c.toDialer.silent.Load() }
 
-// ways returns those that a manner silences.
-func (c *pair) ways(m Manner) []*way {
-	switch m.Only {
+// pipes returns those that a manner silences.
+func (c *proxiedConn) pipes(m SilenceOptions) []*pipe {
+	switch m.Direction {
 	case ToTarget:
-		return []*way{c.toTarget}
+		return []*pipe{c.toTarget}
 	case ToDialer:
-		return []*way{c.toDialer}
+		return []*pipe{c.toDialer}
 	}
-	return []*way{c.toTarget, c.toDialer}
+	return []*pipe{c.toTarget, c.toDialer}
 }
 
-func (c *pair) close() {
+func (c *proxiedConn) close() {
 	_ = c.dialer.Close()
 	_ = c.target.Close()
 }
 
 // reset breaks both sides.
-func (c *pair) reset() {
+func (c *proxiedConn) reset() {
 	reset(c.dialer)
 	reset(c.target)
 }
@@ -73,30 +73,30 @@
 
 // forward carries bytes both ways until both have ended. begins is called with the
 // first bytes of the dialer, and delay says how long a piece is held up.
-func (c *pair) forward(begins func(first []byte), delay func() time.Duration) {
+func (c *proxiedConn) forward(onFirst func(first []byte), delay func() time.Duration) {
 	var both sync.WaitGroup
-	both.Go(func() { c.carry(c.toTarget, begins, delay) })
-	both.Go(func() { c.carry(c.toDialer, func([]byte) {}, delay) })
+	both.Go(func() { c.forwardPipe(c.toTarget, onFirst, delay) })
+	both.Go(func() { c.forwardPipe(c.toDialer, func([]byte) {}, delay) })
 	both.Wait()
 }
 
-// carry carries bytes one way. It hands on how that way ends: an end of the
+// forwardPipe carries bytes one way. It hands on how that way ends: an end of the
 // stream as one, and a reset as a reset.
-func (c *pair) carry(w *way, begins func(first []byte), delay func() time.Duration) {
-	defer close(w.over)
-	buffer := make([]byte, pieceSize)
+func (c *proxiedConn) forwardPipe(w *pipe, onFirst func(first []byte), delay func() time.Duration) {
+	defer close(w.done)
+	buffer := make([]byte, maxBlockBytes)
 	first := true
 	for {
 		n, err := w.from.Read(buffer)
 		if n > 0 {
 			if first {
-				begins(buffer[:n])
+				onFirst(buffer[:n])
 				first = false
 			}
 			if d := delay(); d > 0 {
 				time.Sleep(d)
 			}
-			if !c.pass(w, buffer[:n]) {
+			if !c.forwardBlock(w, buffer[:n]) {
 				return
 			}
 		}
@@ -114,21 +114,21 @@
 	}
 }
 
-// pass passes a piece on and tells whether more may follow.
-func (c *pair) pass(w *way, piece []byte) bool {
+// forwardBlock passes a piece on and tells whether more may follow.
+func (c *proxiedConn) forwardBlock(w *pipe, block []byte) bool {
 	if w.silent.Load() {
 		return false
 	}
-	if m := c.midway.Load(); m != nil && m.covers(w == c.toTarget) {
-		if !c.halved.CompareAndSwap(false, true) {
+	if m := c.midway.Load(); m != nil && m.affects(w == c.toTarget) {
+		if !c.halfSent.CompareAndSwap(false, true) {
 			// The other way has a half under way: its answer is already lost.
 			return false
 		}
-		_, _ = w.to.Write(piece[:len(piece)/2])
-		c.hush(*m)
+		_, _ = w.to.Write(block[:len(block)/2])
+		c.silence(*m)
 		return false
 	}
-	if _, err := w.to.Write(piece); err != nil {
+	if _, err := w.to.Write(block); err != nil {
 		if !w.silent.Load() {
 			c.reset()
 		}
@@ -137,11 +137,11 @@
 	return true
 }
 
-// hush makes the pair silent. What is being read or written stops there.
-func (c *pair) hush(m Manner) {
+// silence makes the pair silent. What is being read or written stops there.
+func (c *proxiedConn) silence(m SilenceOptions) {
 	// A time that has passed ends the reads and writes under way.
 	past := time.Unix(1, 0)
-	for _, w := range c.ways(m) {
+	for _, w := range c.pipes(m) {
 		w.silent.Store(true)
 		if !m.Acknowledged {
 			dropPackets(w.from)
--- a/pkg/faultproxy/proxy.go
+++ b/pkg/faultproxy/proxy.go
@@ -32,8 +32,8 @@
 	Label func(first []byte) string
 }
 
-// Opening is a connection that came: its label and when it was accepted.
-type Opening struct {
+// AcceptedConn is a connection that came: its label and when it was accepted.
+type AcceptedConn struct {
 	Label string
 	At    time.Time
 }
@@ -45,8 +45,8 @@
 	running  sync.WaitGroup
 
 	mu       sync.Mutex
-	pairs    map[*pair]bool
-	openings []Opening
+	conns    map[*proxiedConn]bool
+	accepted []AcceptedConn
 	delay    func(label string) time.Duration
 	closed   bool
 }
@@ -60,7 +60,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &Proxy{config: c, listener: l, pairs: map[*pair]bool{}}
+	p := &Proxy{config: c, listener: l, conns: map[*proxiedConn]bool{}}
 	p.running.Add(1)
 	go p.accept()
 	return p, nil
@@ -69,19 +69,19 @@
 // Address returns where the proxy listens.
 func (p *Proxy) Address() string { return p.listener.Addr().String() }
 
-// Openings returns the connections that showed their label so far, in the order
+// AcceptedConns returns the connections that showed their label so far, in the order
 // in which they did.
-func (p *Proxy) Openings() []Opening {
+func (p *Proxy) AcceptedConns() []AcceptedConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return slices.Clone(p.openings)
+	return slices.Clone(p.accepted)
 }
 
 // Close ends the proxy and all connections, silent ones too.
 func (p *Proxy) Close() {
 	p.mu.Lock()
 	p.closed = true
-	for c := range p.pairs {
+	for c := range p.conns {
 		c.close()
 	}
 	p.mu.Unlock()
@@ -110,40 +110,40 @@
 		reset(dialer)
 		return
 	}
-	c := newPair(dialer, conn.(*net.TCPConn))
-	if !p.keep(c) {
+	c := newProxiedConn(dialer, conn.(*net.TCPConn))
+	if !p.add(c) {
 		c.close()
 		return
 	}
-	c.forward(func(first []byte) { p.label(c, first, at) }, func() time.Duration { return p.delayOf(c) })
+	c.forward(func(first []byte) { p.setLabel(c, first, at) }, func() time.Duration { return p.delayOf(c) })
 	if c.isSilent() {
 		// It stays open until Close: its ends must not hear that it is over.
 		return
 	}
 	c.close()
-	p.forget(c)
+	p.remove(c)
 }
 
-func (p *Proxy) keep(c *pair) bool {
+func (p *Proxy) add(c *proxiedConn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
 		return false
 	}
-	p.pairs[c] = true
+	p.conns[c] = true
 	return true
 }
 
-func (p *Proxy) forget(c *pair) {
+func (p *Proxy) remove(c *proxiedConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	delete(p.pairs, c)
+	delete(p.conns, c)
 }
 
-func (p *Proxy) label(c *pair, first []byte, at time.Time) {
+func (p *Proxy) setLabel(c *proxiedConn, first []byte, at time.Time) {
 	label := p.config.Label(first)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	c.label = label
-	p.openings = append(p.openings, Opening{label, at})
+	p.accepted = append(p.accepted, AcceptedConn{label, at})
 }
--- a/pkg/faultproxy/proxy_test.go
+++ b/pkg/faultproxy/proxy_test.go
@@ -13,8 +13,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// echo is a server that sends back every line that comes.
-func echo(t *testing.T) string {
+// startEchoServer is a server that sends back every line that comes.
+func startEchoServer(t *testing.T) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -50,23 +50,23 @@
 	return p
 }
 
-// line is a connection that speaks in lines.
-type line struct {
+// lineConn is a connection that speaks in lines.
+type lineConn struct {
 	*net.TCPConn
 	reader *bufio.Reader
 }
 
-func dial(t *testing.T, p *Proxy) line {
+func dial(t *testing.T, p *Proxy) lineConn {
 	conn, err := net.Dial("tcp", p.Address())
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = conn.Close() })
-	return line{conn.(*net.TCPConn), bufio.NewReader(conn)}
+	return lineConn{conn.(*net.TCPConn), bufio.NewReader(conn)}
 }
 
 // mustEcho sends a line and waits for it to come back.
-func (l line) mustEcho(t *testing.T, text string) {
+func (l lineConn) mustEcho(t *testing.T, text string) {
 	t.Helper()
 	if _, err := io.WriteString(l, text+"\n"); err != nil {
 		t.Fatal(err)
@@ -77,10 +77,10 @@
 }
 
 // mustBeSilent checks that nothing comes within a moment: neither bytes nor an end.
-func (l line) mustBeSilent(t *testing.T) {
+func (l lineConn) mustBeSilent(t *testing.T) {
 	t.Helper()
-	const moment = 50 * time.Millisecond
-	_ = l.SetReadDeadline(time.Now().Add(moment))
+	const window = 50 * time.Millisecond
+	_ = l.SetReadDeadline(time.Now().Add(window))
 	rest, err := l.reader.ReadString('\n')
 	var timeout net.Error
 	if rest != "" || !errors.As(err, &timeout) || !timeout.Timeout() {
@@ -89,13 +89,13 @@
 	_ = l.SetReadDeadline(time.Time{})
 }
 
-func TestOpenConnectionsGoSilentAndNewOnesPass(t *testing.T) {
-	for name, m := range map[string]Manner{"lost": {}, "acknowledged": {Acknowledged: true}} {
+func TestSilenceSparesNewConnections(t *testing.T) {
+	for name, m := range map[string]SilenceOptions{"lost": {}, "acknowledged": {Acknowledged: true}} {
 		t.Run(name, func(t *testing.T) {
-			p := listen(t, echo(t))
+			p := listen(t, startEchoServer(t))
 			old := dial(t, p)
 			old.mustEcho(t, "old one")
-			if n := p.Silence(Every, m); n["old"] != 1 {
+			if n := p.Silence(AllLabels, m); n["old"] != 1 {
 				t.Fatalf("silenced %v", n)
 			}
 			if _, err := io.WriteString(old, "old two\n"); err != nil {
@@ -105,7 +105,7 @@
 			fresh := dial(t, p)
 			fresh.mustEcho(t, "fresh one")
 			old.mustBeSilent(t)
-			if n := p.Silence(Every, m); n["old"] != 0 || n["fresh"] != 1 {
+			if n := p.Silence(AllLabels, m); n["old"] != 0 || n["fresh"] != 1 {
 				t.Fatalf("the second time silenced %v", n)
 			}
 			fresh.mustBeSilent(t)
@@ -114,12 +114,12 @@
 	}
 }
 
-func TestOnlyTheChosenGoSilent(t *testing.T) {
-	p := listen(t, echo(t))
+func TestSilenceSparesOtherLabels(t *testing.T) {
+	p := listen(t, startEchoServer(t))
 	a, b := dial(t, p), dial(t, p)
 	a.mustEcho(t, "a one")
 	b.mustEcho(t, "b one")
-	p.Silence(func(label string) bool { return label == "a" }, Manner{})
+	p.Silence(func(label string) bool { return label == "a" }, SilenceOptions{})
 	b.mustEcho(t, "b two")
 	if _, err := io.WriteString(a, "a two\n"); err != nil {
 		t.Fatal(err)
@@ -130,10 +130,10 @@
 
 // A connection may go silent before its dialer has said anything.
 func TestSilenceBeforeTheFirstByte(t *testing.T) {
-	p := listen(t, echo(t))
+	p := listen(t, startEchoServer(t))
 	early := dial(t, p)
 	dial(t, p).mustEcho(t, "later one") // the proxy accepts in order
-	for p.Silence(func(label string) bool { return label == "" }, Manner{})[""] == 0 {
+	for p.Silence(func(label string) bool { return label == "" }, SilenceOptions{})[""] == 0 {
 		// The target is being dialed for it.
 	}
 	if _, err := io.WriteString(early, "early one\n"); err != nil {
@@ -143,10 +143,10 @@
 }
 
 func TestSilenceMidway(t *testing.T) {
-	p := listen(t, echo(t))
+	p := listen(t, startEchoServer(t))
 	l := dial(t, p)
 	l.mustEcho(t, "l one")
-	p.Silence(Every, Manner{Midway: true})
+	p.Silence(AllLabels, SilenceOptions{Midway: true})
 	if _, err := io.WriteString(l, "l 23456789\n"); err != nil {
 		t.Fatal(err)
 	}
@@ -157,9 +157,9 @@
 // Lost packets are not acknowledged: the writer's own limit on that tells it, and
 // nothing else does. Where they are acknowledged it hears of nothing.
 func TestLostPacketsAreNotAcknowledged(t *testing.T) {
-	for name, m := range map[string]Manner{"lost": {}, "acknowledged": {Acknowledged: true}} {
+	for name, m := range map[string]SilenceOptions{"lost": {}, "acknowledged": {Acknowledged: true}} {
 		t.Run(name, func(t *testing.T) {
-			p := listen(t, echo(t))
+			p := listen(t, startEchoServer(t))
 			l := dial(t, p)
 			l.mustEcho(t, "l one")
 			raw, err := l.SyscallConn()
@@ -171,7 +171,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			p.Silence(Every, m)
+			p.Silence(AllLabels, m)
 			if _, err := io.WriteString(l, "l two\n"); err != nil {
 				t.Fatal(err)
 			}
@@ -190,7 +190,7 @@
 }
 
 // unsent returns the bytes that the other side has not acknowledged.
-func unsent(t *testing.T, l line) (n int) {
+func unsent(t *testing.T, l lineConn) (n int) {
 	raw, err := l.SyscallConn()
 	if err != nil {
 		t.Fatal(err)
@@ -203,13 +203,13 @@
 }
 
 // A writer to a silent connection waits in the end: nobody takes what it sends.
-func TestTheWriterIsHeldUp(t *testing.T) {
-	for name, m := range map[string]Manner{"lost": {}, "acknowledged": {Acknowledged: true}} {
+func TestWriterToSilentConnectionBlocks(t *testing.T) {
+	for name, m := range map[string]SilenceOptions{"lost": {}, "acknowledged": {Acknowledged: true}} {
 		t.Run(name, func(t *testing.T) {
-			p := listen(t, echo(t))
+			p := listen(t, startEchoServer(t))
 			l := dial(t, p)
 			l.mustEcho(t, "l one")
-			p.Silence(Every, m)
+			p.Silence(AllLabels, m)
 			_ = l.SetWriteDeadline(time.Now().Add(300 * time.Millisecond))
 			var timeout net.Error
 			if _, err := l.Write(make([]byte, 64<<20)); !errors.As(err, &timeout) || !timeout.Timeout() {
@@ -219,8 +219,8 @@
 	}
 }
 
-func TestEndsAreHandedOn(t *testing.T) {
-	p := listen(t, echo(t))
+func TestEndOfStreamIsForwarded(t *testing.T) {
+	p := listen(t, startEchoServer(t))
 	l := dial(t, p)
 	l.mustEcho(t, "l one")
 	if _, err := io.WriteString(l, "last"); err != nil {
@@ -234,13 +234,13 @@
 	}
 }
 
-func TestATargetThatIsDownResets(t *testing.T) {
-	nobody, err := net.Listen("tcp", "127.0.0.1:0")
+func TestUnreachableTargetResetsTheDialer(t *testing.T) {
+	unused, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	target := nobody.Addr().String()
-	_ = nobody.Close()
+	target := unused.Addr().String()
+	_ = unused.Close()
 	// The reset may come while the connection is being made or after it.
 	conn, err := net.Dial("tcp", listen(t, target).Address())
 	if err == nil {
@@ -252,24 +252,24 @@
 	}
 }
 
-func TestOpeningsTellWhoCame(t *testing.T) {
-	p := listen(t, echo(t))
+func TestAcceptedConnsKeepOrderAndLabels(t *testing.T) {
+	p := listen(t, startEchoServer(t))
 	dial(t, p).mustEcho(t, "a one")
-	p.Silence(Every, Manner{})
+	p.Silence(AllLabels, SilenceOptions{})
 	dial(t, p).mustEcho(t, "b one")
-	all := p.Openings()
+	all := p.AcceptedConns()
 	if len(all) != 2 || all[0].Label != "a" || all[1].Label != "b" || all[1].At.Before(all[0].At) {
 		t.Fatalf("%v", all)
 	}
 }
 
 // One way goes silent and the other one does not.
-func TestOneWaySilence(t *testing.T) {
+func TestSilenceInOneDirection(t *testing.T) {
 	t.Run("to the target", func(t *testing.T) {
-		p := listen(t, echo(t))
+		p := listen(t, startEchoServer(t))
 		l := dial(t, p)
 		l.mustEcho(t, "l one")
-		p.Silence(Every, Manner{Only: ToTarget})
+		p.Silence(AllLabels, SilenceOptions{Direction: ToTarget})
 		if _, err := io.WriteString(l, "l two\n"); err != nil {
 			t.Fatal(err)
 		}
@@ -277,14 +277,14 @@
 	})
 	t.Run("to the dialer", func(t *testing.T) {
 		server, client := net.Pipe()
-		p := listen(t, sink(t, server))
+		p := listen(t, startSinkServer(t, server))
 		l := dial(t, p)
 		if _, err := io.WriteString(l, "l one\n"); err != nil {
 			t.Fatal(err)
 		}
 		lines := bufio.NewReader(client)
 		mustRead(t, lines, "l one\n")
-		p.Silence(Every, Manner{Only: ToDialer})
+		p.Silence(AllLabels, SilenceOptions{Direction: ToDialer})
 		if _, err := io.WriteString(l, "l two\n"); err != nil {
 			t.Fatal(err)
 		}
@@ -293,14 +293,14 @@
 	})
 	t.Run("from the target", func(t *testing.T) {
 		greeting := make(chan string)
-		p := listen(t, greeter(t, greeting))
+		p := listen(t, startGreetingServer(t, greeting))
 		l := dial(t, p)
 		if _, err := io.WriteString(l, "l one\n"); err != nil {
 			t.Fatal(err)
 		}
 		greeting <- "first\n"
 		mustRead(t, l.reader, "first\n")
-		p.Silence(Every, Manner{Only: ToTarget})
+		p.Silence(AllLabels, SilenceOptions{Direction: ToTarget})
 		greeting <- "second\n"
 		mustRead(t, l.reader, "second\n")
 	})
@@ -313,14 +313,14 @@
 	}
 }
 
-// sink is a server that hands on what comes and answers nothing.
-func sink(t *testing.T, to io.Writer) string {
-	return serveOne(t, func(conn net.Conn) { _, _ = io.Copy(to, conn) })
+// startSinkServer is a server that hands on what comes and answers nothing.
+func startSinkServer(t *testing.T, to io.Writer) string {
+	return startSingleConnServer(t, func(conn net.Conn) { _, _ = io.Copy(to, conn) })
 }
 
-// greeter is a server that sends what it is given.
-func greeter(t *testing.T, greeting <-chan string) string {
-	return serveOne(t, func(conn net.Conn) {
+// startGreetingServer is a server that sends what it is given.
+func startGreetingServer(t *testing.T, greeting <-chan string) string {
+	return startSingleConnServer(t, func(conn net.Conn) {
 		for {
 			select {
 			case <-t.Context().Done():
@@ -332,8 +332,8 @@
 	})
 }
 
-// serveOne serves the first connection that comes.
-func serveOne(t *testing.T, serve func(net.Conn)) string {
+// startSingleConnServer serves the first connection that comes.
+func startSingleConnServer(t *testing.T, serve func(net.Conn)) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -350,11 +350,11 @@
 	return l.Addr().String()
 }
 
-func TestResetBreaksTheOpenOnes(t *testing.T) {
-	p := listen(t, echo(t))
+func TestResetSparesNewConnections(t *testing.T) {
+	p := listen(t, startEchoServer(t))
 	old := dial(t, p)
 	old.mustEcho(t, "old one")
-	if n := p.Reset(Every); n["old"] != 1 {
+	if n := p.Reset(AllLabels); n["old"] != 1 {
 		t.Fatalf("reset %v", n)
 	}
 	if _, err := old.reader.ReadString('\n'); !errors.Is(err, syscall.ECONNRESET) {
@@ -364,12 +364,12 @@
 }
 
 // A piece comes no sooner than it is held up, there and back.
-func TestDelayHoldsUp(t *testing.T) {
-	const held = 20 * time.Millisecond
-	p := listen(t, echo(t))
+func TestDelayAppliesInBothDirections(t *testing.T) {
+	const delay = 20 * time.Millisecond
+	p := listen(t, startEchoServer(t))
 	p.Delay(func(label string) time.Duration {
 		if label == "slow" {
-			return held
+			return delay
 		}
 		return 0
 	})
@@ -377,7 +377,7 @@
 	quick.mustEcho(t, "quick one")
 	started := time.Now()
 	slow.mustEcho(t, "slow one")
-	if took := time.Since(started); took < 2*held {
+	if took := time.Since(started); took < 2*delay {
 		t.Fatalf("there and back in %s", took)
 	}
 }
--- a/pkg/faultproxy/silence.go
+++ b/pkg/faultproxy/silence.go
@@ -25,58 +25,58 @@
 	"golang.org/x/sys/unix"
 )
 
-// Manner says how connections go silent. The zero value loses every packet from
+// SilenceOptions says how connections go silent. The zero value loses every packet from
 // now on.
-type Manner struct {
+type SilenceOptions struct {
 	// Acknowledged says that what is sent is still acknowledged, as far as the
 	// buffers of the kernel go.
 	Acknowledged bool
 	// Midway passes half of the next piece that comes either way, and is silent
 	// only then: the silence falls into the middle of a message.
 	Midway bool
-	// Only is the way that goes silent; both when it is not set. What comes the
+	// Direction is the way that goes silent; both when it is not set. What comes the
 	// other way still arrives, but for the acknowledgements of the silent one.
-	Only Way
+	Direction Direction
 }
 
-// Way is a direction of a connection.
-type Way int
+// Direction is a direction of a connection.
+type Direction int
 
 // The ways.
 const (
-	ToTarget Way = iota + 1
+	ToTarget Direction = iota + 1
 	ToDialer
 )
 
-func (m Manner) covers(toTarget bool) bool {
-	return m.Only == 0 || (m.Only == ToTarget) == toTarget
+func (m SilenceOptions) affects(toTarget bool) bool {
+	return m.Direction == 0 || (m.Direction == ToTarget) == toTarget
 }
 
 // Silence makes the open connections with a label that which names silent for
 // good, and returns how many there were by label. New ones pass. But for
 // Manner.Midway, nothing is passed on any more once it returns.
-func (p *Proxy) Silence(which func(label string) bool, m Manner) map[string]int {
-	chosen, count := p.choose(which)
-	for _, c := range chosen {
+func (p *Proxy) Silence(match func(label string) bool, m SilenceOptions) map[string]int {
+	matched, count := p.matching(match)
+	for _, c := range matched {
 		if m.Midway {
 			c.midway.Store(&m)
 		} else {
-			c.hush(m)
+			c.silence(m)
 		}
 	}
 	if m.Midway {
 		return count
 	}
-	for _, c := range chosen {
-		for _, w := range c.ways(m) {
-			<-w.over
+	for _, c := range matched {
+		for _, w := range c.pipes(m) {
+			<-w.done
 		}
 	}
 	return count
 }
 
-// Every chooses the connections of all labels.
-func Every(string) bool { return true }
+// AllLabels chooses the connections of all labels.
+func AllLabels(string) bool { return true }
 
 // dropPackets drops every packet that comes to a socket. Where the kernel has no
 // such filter, what is sent is acknowledged.
@@ -86,8 +86,8 @@
 		return
 	}
 	// One instruction: pass on nothing of a packet.
-	nothing := []unix.SockFilter{{Code: unix.BPF_RET | unix.BPF_K}}
+	dropAll := []unix.SockFilter{{Code: unix.BPF_RET | unix.BPF_K}}
 	_ = raw.Control(func(fd uintptr) {
-		_ = unix.SetsockoptSockFprog(int(fd), unix.SOL_SOCKET, unix.SO_ATTACH_FILTER, &unix.SockFprog{Len: 1, Filter: &nothing[0]})
+		_ = unix.SetsockoptSockFprog(int(fd), unix.SOL_SOCKET, unix.SO_ATTACH_FILTER, &unix.SockFprog{Len: 1, Filter: &dropAll[0]})
 	})
 }
--- a/pkg/feed/versions.go
+++ b/pkg/feed/versions.go
@@ -30,7 +30,7 @@
 	// obsoleteAfter is the age of a version's successor from which the version is not sent any
 	// more. No process waits for it once the longest agreed time of the successor is over; the
 	// factor of two leaves room for ages that are too low.
-	obsoleteAfter = 2 * settings.LongestWithin
+	obsoleteAfter = 2 * settings.MaxRolloutLimit
 )
 
 // VersionInfo is a named version and when it was named. The zero value is no version.
--- a/pkg/gateway/fake_backend_test.go
+++ b/pkg/gateway/fake_backend_test.go
@@ -163,7 +163,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g, err := New(s, "", NativeProtocol(), daemon.Seams{Log: log})
+	g, err := New(s, "", NativeProtocol(), daemon.Hooks{Log: log})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/pkg/gateway/gateway.go
+++ b/pkg/gateway/gateway.go
@@ -51,7 +51,7 @@
 // Gateway is one gateway process.
 type Gateway struct {
 	settings     settings.Gateway
-	seeds        *daemon.Reloaded[[]string]
+	seeds        *daemon.Reloadable[[]string]
 	process      *daemon.Process
 	protocol     Protocol
 	follower     *feed.Follower
@@ -102,7 +102,7 @@
 
 // New returns a gateway that is not running yet. settingsPath is its settings file, which is
 // read again on a reload; it may be empty. hooks replace the environment in tests.
-func New(s settings.Gateway, settingsPath string, protocol Protocol, hooks daemon.Seams) (*Gateway, error) {
+func New(s settings.Gateway, settingsPath string, protocol Protocol, hooks daemon.Hooks) (*Gateway, error) {
 	debug.SetMemoryLimit(int64(float64(s.Memory()) * goMemoryShare))
 	process, err := daemon.New(s.Common(), vm.NewIncarnation(), hooks)
 	if err != nil {
@@ -202,7 +202,7 @@
 	add(func(ctx context.Context) error {
 		return g.process.ServeLinks(ctx, g.settings.Common().PeersListen())
 	})
-	add(g.process.ServeObserve)
+	add(g.process.ServeMetrics)
 	add(func(ctx context.Context) error { return g.serveCallers(ctx, server) })
 	add(g.serveReadiness)
 	add(g.follower.Run)
--- a/pkg/gateway/order_cut_test.go
+++ b/pkg/gateway/order_cut_test.go
@@ -28,7 +28,7 @@
 	f.registerVersion(before, 1)
 	f.registerVersion(after, 2)
 	f.prefer(cut, before, after)
-	f.setNamedVersion(f.gateway.settings.WeightsWithin())
+	f.setNamedVersion(f.gateway.settings.RolloutLimit())
 	status, _, body, err := f.do(t, f.draftRequest(t))
 	if status != http.StatusOK || body != events(1, 3) || err != nil {
 		t.Fatalf("%d %q %v", status, body, err)
--- a/pkg/gateway/protocol.go
+++ b/pkg/gateway/protocol.go
@@ -88,5 +88,5 @@
 	StreamIdleTimeout func(objective, gap time.Duration) time.Duration
 }
 
-// Called returns the protocol's name.
-func (p Protocol) Called() string { return p.Name }
+// ProtocolName returns the protocol's name.
+func (p Protocol) ProtocolName() string { return p.Name }
--- a/pkg/gateway/silence_test.go
+++ b/pkg/gateway/silence_test.go
@@ -91,7 +91,7 @@
 
 func (f *silencedFixture) silence() {
 	for _, p := range f.proxies {
-		p.Silence(faultproxy.Every, faultproxy.Manner{Acknowledged: true})
+		p.Silence(faultproxy.AllLabels, faultproxy.SilenceOptions{Acknowledged: true})
 	}
 }
 
--- a/pkg/gateway/version_expiry.go
+++ b/pkg/gateway/version_expiry.go
@@ -81,10 +81,10 @@
 		l.served = previous
 	}
 	if l.served == 0 {
-		l.served = g.versions.Due(q.model, g.settings.WeightsWithin(), time.Now())
+		l.served = g.versions.Due(q.model, g.settings.RolloutLimit(), time.Now())
 	}
 	if next := g.versions.Next(q.model, l.served); next.Version() > 0 {
-		l.at = next.Since().Add(g.settings.WeightsWithin())
+		l.at = next.Since().Add(g.settings.RolloutLimit())
 	}
 	return l
 }
--- a/pkg/gateway/version_expiry_test.go
+++ b/pkg/gateway/version_expiry_test.go
@@ -76,7 +76,7 @@
 
 // namedUpdate is the same as an update from a control node.
 func (f *fixture) namedUpdate(left time.Duration) feed.Update {
-	named := []feed.NamedVersion{feed.NewNamedVersion("menu", 2, f.gateway.settings.WeightsWithin()-left)}
+	named := []feed.NamedVersion{feed.NewNamedVersion("menu", 2, f.gateway.settings.RolloutLimit()-left)}
 	return feed.NewUpdate(0, nil, named, nil, true, nil, 0, false, nil, nil, nil, nil, nil, nil)
 }
 
@@ -113,7 +113,7 @@
 	cases := map[string]func(f *fixture){
 		"named after the request was sent": func(*fixture) {},
 		"received with too low an age before the request was sent": func(f *fixture) {
-			f.setNamedVersion(f.gateway.settings.WeightsWithin())
+			f.setNamedVersion(f.gateway.settings.RolloutLimit())
 		},
 	}
 	for name, before := range cases {
--- a/pkg/gateway/versions.go
+++ b/pkg/gateway/versions.go
@@ -25,7 +25,7 @@
 // cancelMargin before the version expires.
 func (g *Gateway) minUsableVersion(model string, latency, runTime, cancelMargin time.Duration) uint64 {
 	margin := max(min(minVersionMargin+latency, maxVersionMargin)+runTime, cancelMargin)
-	return g.versions.Due(model, g.settings.WeightsWithin()-margin, time.Now())
+	return g.versions.Due(model, g.settings.RolloutLimit()-margin, time.Now())
 }
 
 // mayRunPastExpiry tells whether a request that would still run when a version expires may begin
--- a/pkg/operator/docs.go
+++ b/pkg/operator/docs.go
@@ -63,7 +63,7 @@
 	_, _ = fmt.Fprint(w, "\n## tidepost-gateway\n\n")
 	writeKeys(w, settings.GatewayKeys())
 	_, _ = fmt.Fprint(w, "\n## tidepost-stager\n\n")
-	writeKeys(w, settings.StagingKeys())
+	writeKeys(w, settings.StagerKeys())
 }
 
 func writeKeys[T any](w io.Writer, keys []settings.Key[T]) {
@@ -73,7 +73,7 @@
 		if k.Required {
 			defaultText = "required"
 		}
-		_, _ = fmt.Fprintf(w, "| `%s` | %s | %s | %s |\n", k.Path, k.Unit, defaultText, k.Doc)
+		_, _ = fmt.Fprintf(w, "| `%s` | %s | %s | %s |\n", k.Path, k.ValueKind, defaultText, k.Doc)
 	}
 }
 
--- a/pkg/settings/check.go
+++ b/pkg/settings/check.go
@@ -22,7 +22,7 @@
 			return failure.New(failure.BadSettings, "%s: peers.entries names this entry itself, %s", path, other)
 		}
 	}
-	return distinct(path, e.callersListen, e.common.peersListen, e.common.observeListen)
+	return checkDistinctListeners(path, e.callersListen, e.common.peersListen, e.common.observeListen)
 }
 
 func (a *Agent) check(path string) error {
@@ -32,11 +32,11 @@
 	if a.engineURL == "" && len(a.services) == 0 {
 		return failure.New(failure.BadSettings, "%s: name engine.url, services, or both", path)
 	}
-	return distinct(path, a.common.peersListen, a.common.observeListen)
+	return checkDistinctListeners(path, a.common.peersListen, a.common.observeListen)
 }
 
-// distinct refuses two listeners on one address.
-func distinct(path string, addresses ...string) error {
+// checkDistinctListeners refuses two listeners on one address.
+func checkDistinctListeners(path string, addresses ...string) error {
 	seen := map[string]bool{}
 	for _, a := range addresses {
 		if a != "" && seen[a] {
--- a/pkg/settings/common.go
+++ b/pkg/settings/common.go
@@ -49,34 +49,34 @@
 // commonKeys returns the shared keys for a T that holds a Common.
 func commonKeys[T any](c func(*T) *Common) []Key[T] {
 	return []Key[T]{
-		{Path: "vm.name", Required: true, Unit: unitText, Doc: "name of this VM, unique among those that live",
+		{Path: "vm.name", Required: true, ValueKind: kindText, Doc: "name of this VM, unique among those that live",
 			set: text(func(t *T) *string { return &c(t).name })},
-		{Path: "vm.region", Required: true, Unit: unitText, Doc: "region of this VM",
+		{Path: "vm.region", Required: true, ValueKind: kindText, Doc: "region of this VM",
 			set: text(func(t *T) *string { return &c(t).region })},
-		{Path: "vm.failure_domain", Required: true, Unit: unitText, Doc: "failure domain of this VM",
+		{Path: "vm.failure_domain", Required: true, ValueKind: kindText, Doc: "failure domain of this VM",
 			set: text(func(t *T) *string { return &c(t).domain })},
-		{Path: "peers.listen", Required: true, Unit: unitAddress, Doc: "where other processes and operators reach this one",
+		{Path: "peers.listen", Required: true, ValueKind: kindAddress, Doc: "where other processes and operators reach this one",
 			set: address(func(t *T) *string { return &c(t).peersListen })},
-		{Path: "peers.advertise", Unit: unitAddress, Doc: "the address that others are told, when it is not peers.listen",
+		{Path: "peers.advertise", ValueKind: kindAddress, Doc: "the address that others are told, when it is not peers.listen",
 			set: address(func(t *T) *string { return &c(t).peersAdvertise })},
-		{Path: "peers.key_file", Unit: unitFile, Doc: "file with the key that all processes share, 16 bytes or more",
+		{Path: "peers.key_file", ValueKind: kindFile, Doc: "file with the key that all processes share, 16 bytes or more",
 			set: text(func(t *T) *string { return &c(t).keyFile })},
-		{Path: "peers.tls.certificate", Unit: unitFile, Doc: "certificate for mutual TLS, in PEM",
+		{Path: "peers.tls.certificate", ValueKind: kindFile, Doc: "certificate for mutual TLS, in PEM",
 			set: text(func(t *T) *string { return &c(t).tlsCertificate })},
-		{Path: "peers.tls.key", Unit: unitFile, Doc: "private key of the certificate, in PEM",
+		{Path: "peers.tls.key", ValueKind: kindFile, Doc: "private key of the certificate, in PEM",
 			set: text(func(t *T) *string { return &c(t).tlsKey })},
-		{Path: "peers.tls.authority", Unit: unitFile, Doc: "authority that all certificates are signed by, in PEM",
+		{Path: "peers.tls.authority", ValueKind: kindFile, Doc: "authority that all certificates are signed by, in PEM",
 			set: text(func(t *T) *string { return &c(t).tlsAuthority })},
-		{Path: "peers.unsecured", Default: "false", Unit: unitFlag, Doc: "trust whoever reaches peers.listen: for networks that are closed to others",
+		{Path: "peers.unsecured", Default: "false", ValueKind: kindFlag, Doc: "trust whoever reaches peers.listen: for networks that are closed to others",
 			set: flag(func(t *T) *bool { return &c(t).unsecured })},
-		{Path: "observe.listen", Unit: unitAddress, Doc: "where /metrics and /healthz are served; nowhere when missing",
+		{Path: "observe.listen", ValueKind: kindAddress, Doc: "where /metrics and /healthz are served; nowhere when missing",
 			set: address(func(t *T) *string { return &c(t).observeListen })},
-		{Path: "log.level", Default: "info", Unit: "debug, info, warn or error", Doc: "least level that is logged",
+		{Path: "log.level", Default: "info", ValueKind: "debug, info, warn or error", Doc: "least level that is logged",
 			set: text(func(t *T) *string { return &c(t).logLevel })},
 	}
 }
 
-const leastKeyLength = 16
+const minKeyLength = 16
 
 // check refuses settings that are valid one by one but not together.
 func (c *Common) check(path string) error {
@@ -127,8 +127,8 @@
 		return nil, failure.New(failure.BadSettings, "key file: %v", err)
 	}
 	key := strings.TrimSpace(string(raw))
-	if len(key) < leastKeyLength {
-		return nil, failure.New(failure.BadSettings, "key file %s holds %d bytes; the least is %d", path, len(key), leastKeyLength)
+	if len(key) < minKeyLength {
+		return nil, failure.New(failure.BadSettings, "key file %s holds %d bytes; the least is %d", path, len(key), minKeyLength)
 	}
 	return []byte(key), nil
 }
--- a/pkg/settings/entry.go
+++ b/pkg/settings/entry.go
@@ -40,9 +40,9 @@
 	agentTimeout time.Duration
 	// platformURL is where the platform's list of VMs is read; may be empty.
 	platformURL string
-	// originDraws bounds the draws of one copy from the origin at one time,
+	// maxOriginFetches bounds the draws of one copy from the origin at one time,
 	// over all failure domains.
-	originDraws int
+	maxOriginFetches int
 }
 
 func entryCommon(e *Entry) *Common { return &e.common }
@@ -50,38 +50,38 @@
 // EntryKeys is the table of an entry's settings.
 func EntryKeys() []Key[Entry] {
 	return append(commonKeys(entryCommon), []Key[Entry]{
-		{Path: "data.folder", Unit: unitFolder, Doc: "folder of the control log; needed on a voter",
+		{Path: "data.folder", ValueKind: kindFolder, Doc: "folder of the control log; needed on a voter",
 			set: text(func(e *Entry) *string { return &e.common.dataFolder })},
-		{Path: "callers.listen", Required: true, Unit: unitAddress, Doc: "where callers send requests, and where /healthz and /readyz are",
+		{Path: "callers.listen", Required: true, ValueKind: kindAddress, Doc: "where callers send requests, and where /healthz and /readyz are",
 			set: address(func(e *Entry) *string { return &e.callersListen })},
-		{Path: "peers.entries", Unit: unitList, Doc: "link addresses of the other entries",
+		{Path: "peers.entries", ValueKind: kindAddressList, Doc: "link addresses of the other entries",
 			set: addresses(func(e *Entry) *[]string { return &e.entries })},
-		{Path: "control_log.voter", Default: "false", Unit: unitFlag, Doc: "keep the control log on this VM's disk",
+		{Path: "control_log.voter", Default: "false", ValueKind: kindFlag, Doc: "keep the control log on this VM's disk",
 			set: flag(func(e *Entry) *bool { return &e.voter })},
-		{Path: "requests.max_body", Default: "1MiB", Unit: unitBytes, Doc: "largest request body",
+		{Path: "requests.max_body", Default: "1MiB", ValueKind: kindBytes, Doc: "largest request body",
 			set: size(1<<10, 8<<20, func(e *Entry) *int64 { return &e.maxBody })},
-		{Path: "requests.max_header", Default: "16KiB", Unit: unitBytes, Doc: "largest sum of a request's headers",
+		{Path: "requests.max_header", Default: "16KiB", ValueKind: kindBytes, Doc: "largest sum of a request's headers",
 			set: size(1<<10, 1<<20, func(e *Entry) *int64 { return &e.maxHeader })},
-		{Path: "requests.max_connections", Default: "4096", Unit: unitCount, Doc: "most connections of callers",
+		{Path: "requests.max_connections", Default: "4096", ValueKind: kindCount, Doc: "most connections of callers",
 			set: count(1, 1<<20, func(e *Entry) *int { return &e.maxConnections })},
-		{Path: "requests.max_in_flight", Default: "512", Unit: unitCount, Doc: "most requests in flight at this entry",
+		{Path: "requests.max_in_flight", Default: "512", ValueKind: kindCount, Doc: "most requests in flight at this entry",
 			set: count(1, 1<<16, func(e *Entry) *int { return &e.maxInFlight })},
-		{Path: "requests.default_deadline", Default: "60s", Unit: unitDuration, Doc: "deadline of a request that names none",
+		{Path: "requests.default_deadline", Default: "60s", ValueKind: kindDuration, Doc: "deadline of a request that names none",
 			set: duration(10*time.Millisecond, 30*time.Minute, func(e *Entry) *time.Duration { return &e.defaultDeadline })},
-		{Path: "requests.max_deadline", Default: "10m", Unit: unitDuration, Doc: "latest deadline that a request may name",
+		{Path: "requests.max_deadline", Default: "10m", ValueKind: kindDuration, Doc: "latest deadline that a request may name",
 			set: duration(10*time.Millisecond, 30*time.Minute, func(e *Entry) *time.Duration { return &e.maxDeadline })},
-		{Path: "requests.retry_budget", Default: "10", Unit: unitCount, Doc: "retries that a hundred requests may cause",
+		{Path: "requests.retry_budget", Default: "10", ValueKind: kindCount, Doc: "retries that a hundred requests may cause",
 			set: count(0, 100, func(e *Entry) *int { return &e.retryBudget })},
-		{Path: "drain.notice", Default: "5s", Unit: unitDuration, Doc: "how long callers are still taken after /readyz has turned",
+		{Path: "drain.notice", Default: "5s", ValueKind: kindDuration, Doc: "how long callers are still taken after /readyz has turned",
 			set: duration(0, 10*time.Minute, func(e *Entry) *time.Duration { return &e.drainNotice })},
-		{Path: "drain.limit", Default: "2m", Unit: unitDuration, Doc: "how long requests in flight may take to end",
+		{Path: "drain.limit", Default: "2m", ValueKind: kindDuration, Doc: "how long requests in flight may take to end",
 			set: duration(0, time.Hour, func(e *Entry) *time.Duration { return &e.drainLimit })},
-		{Path: "agents.timeout", Default: "6s", Unit: unitDuration, Doc: "age of a heartbeat after which an agent gets no new work",
+		{Path: "agents.timeout", Default: "6s", ValueKind: kindDuration, Doc: "age of a heartbeat after which an agent gets no new work",
 			set: duration(500*time.Millisecond, time.Minute, func(e *Entry) *time.Duration { return &e.agentTimeout })},
-		{Path: "platform.url", Unit: unitURL, Doc: "the platform's list of live and leaving VMs",
+		{Path: "platform.url", ValueKind: kindURL, Doc: "the platform's list of live and leaving VMs",
 			set: text(func(e *Entry) *string { return &e.platformURL })},
-		{Path: "spread.origin_draws", Default: "32", Unit: unitCount, Doc: "chunks that all failure domains together draw from the origin at one time",
-			set: count(1, 1024, func(e *Entry) *int { return &e.originDraws })},
+		{Path: "spread.origin_draws", Default: "32", ValueKind: kindCount, Doc: "chunks that all failure domains together draw from the origin at one time",
+			set: count(1, 1024, func(e *Entry) *int { return &e.maxOriginFetches })},
 	}...)
 }
 
--- a/pkg/settings/gateway.go
+++ b/pkg/settings/gateway.go
@@ -30,8 +30,8 @@
 	retryReserve float64
 	// retryWindow is the time over which repeats are counted.
 	retryWindow time.Duration
-	// weightsWithin is the time within which new weights are to be in force.
-	weightsWithin time.Duration
+	// rolloutLimit is the time within which new weights are to be in force.
+	rolloutLimit time.Duration
 	// memory is what the process may use, in bytes.
 	memory int64
 	// maxConnections bounds the callers' connections.
@@ -43,27 +43,27 @@
 // GatewayKeys is the table of a gateway's settings.
 func GatewayKeys() []Key[Gateway] {
 	return append(commonKeys(gatewayCommon), []Key[Gateway]{
-		{Path: "protocol", Default: "own", Unit: unitProtocol, Doc: "protocol that callers and backend servers speak",
+		{Path: "protocol", Default: "own", ValueKind: kindProtocol, Doc: "protocol that callers and backend servers speak",
 			set: text(func(s *Gateway) *string { return &s.protocol })},
-		{Path: "callers.listen", Required: true, Unit: unitAddress, Doc: "where callers send requests",
+		{Path: "callers.listen", Required: true, ValueKind: kindAddress, Doc: "where callers send requests",
 			set: address(func(s *Gateway) *string { return &s.listen })},
-		{Path: "ready.listen", Required: true, Unit: unitAddress, Doc: "where the balancer asks whether to send callers here",
+		{Path: "ready.listen", Required: true, ValueKind: kindAddress, Doc: "where the balancer asks whether to send callers here",
 			set: address(func(s *Gateway) *string { return &s.readyListen })},
-		{Path: "control.seeds", Required: true, Unit: unitList, Doc: "addresses of control nodes; links go to the port of peers.listen there",
+		{Path: "control.seeds", Required: true, ValueKind: kindAddressList, Doc: "addresses of control nodes; links go to the port of peers.listen there",
 			set: addresses(func(s *Gateway) *[]string { return &s.seeds })},
-		{Path: "drain.notice", Default: "3s", Unit: unitDuration, Doc: "how long callers are still taken after readiness has turned",
+		{Path: "drain.notice", Default: "3s", ValueKind: kindDuration, Doc: "how long callers are still taken after readiness has turned",
 			set: duration(0, 10*time.Minute, func(s *Gateway) *time.Duration { return &s.drainNotice })},
-		{Path: "drain.limit", Default: "8s", Unit: unitDuration, Doc: "how long a planned stop may take in all",
+		{Path: "drain.limit", Default: "8s", ValueKind: kindDuration, Doc: "how long a planned stop may take in all",
 			set: duration(time.Second, time.Hour, func(s *Gateway) *time.Duration { return &s.drainLimit })},
-		{Path: "retries.ratio", Default: "20", Unit: unitCount, Doc: "repeats that a hundred requests of a service may cause",
+		{Path: "retries.ratio", Default: "20", ValueKind: kindCount, Doc: "repeats that a hundred requests of a service may cause",
 			set: count(0, 100, func(s *Gateway) *int { return &s.retryRatio })},
-		{Path: "retries.reserve", Default: "20", Unit: unitNumber, Doc: "repeats that all gateways together may cause besides, in a window",
+		{Path: "retries.reserve", Default: "20", ValueKind: kindNumber, Doc: "repeats that all gateways together may cause besides, in a window",
 			set: number(0, 1<<20, func(s *Gateway) *float64 { return &s.retryReserve })},
-		{Path: "retries.window", Default: "10s", Unit: unitDuration, Doc: "time over which repeats are counted",
+		{Path: "retries.window", Default: "10s", ValueKind: kindDuration, Doc: "time over which repeats are counted",
 			set: duration(time.Second, 10*time.Minute, func(s *Gateway) *time.Duration { return &s.retryWindow })},
-		{Path: "weights.within", Default: "1m", Unit: unitDuration, Doc: "time after a version's acknowledgement from which older weights get no requests",
-			set: duration(time.Second, LongestWithin, func(s *Gateway) *time.Duration { return &s.weightsWithin })},
-		{Path: "requests.max_connections", Default: "2048", Unit: unitCount, Doc: "most connections of callers",
+		{Path: "weights.within", Default: "1m", ValueKind: kindDuration, Doc: "time after a version's acknowledgement from which older weights get no requests",
+			set: duration(time.Second, MaxRolloutLimit, func(s *Gateway) *time.Duration { return &s.rolloutLimit })},
+		{Path: "requests.max_connections", Default: "2048", ValueKind: kindCount, Doc: "most connections of callers",
 			set: count(1, 1<<20, func(s *Gateway) *int { return &s.maxConnections })},
 		memoryKey(func(s *Gateway) *int64 { return &s.memory }),
 	}...)
@@ -78,11 +78,11 @@
 	if err := s.common.check(path); err != nil {
 		return s, err
 	}
-	return s, distinct(path, s.listen, s.readyListen, s.common.peersListen, s.common.observeListen)
+	return s, checkDistinctListeners(path, s.listen, s.readyListen, s.common.peersListen, s.common.observeListen)
 }
 
 // memoryKey is the key of the memory that a process may use.
 func memoryKey[T any](field func(*T) *int64) Key[T] {
-	return Key[T]{Path: "limits.memory", Default: "128MiB", Unit: unitBytes, Doc: "memory that the process may use; the collector keeps below it",
+	return Key[T]{Path: "limits.memory", Default: "128MiB", ValueKind: kindBytes, Doc: "memory that the process may use; the collector keeps below it",
 		set: size(16<<20, 1<<40, field)}
 }
--- a/pkg/settings/key.go
+++ b/pkg/settings/key.go
@@ -35,8 +35,8 @@
 	Default string
 	// Required refuses a file without the key.
 	Required bool
-	// Unit says what kind of value it takes, for the reference page.
-	Unit string
+	// ValueKind says what kind of value it takes, for the reference page.
+	ValueKind string
 	// Doc says what it does.
 	Doc string
 	// set puts the value into the settings; its error is the reason only.
@@ -64,7 +64,7 @@
 }
 
 func parse[T any](path string, raw []byte, keys []Key[T], t *T) error {
-	found, err := flatten(path, raw, pathSet(keys))
+	found, err := flatten(path, raw, keyPaths(keys))
 	if err != nil {
 		return err
 	}
@@ -72,20 +72,20 @@
 		v, ok := found[k.Path]
 		switch {
 		case !ok && k.Required:
-			return failure.New(failure.BadSettings, "%s: key %s is missing (%s: %s)", path, k.Path, k.Unit, k.Doc)
+			return failure.New(failure.BadSettings, "%s: key %s is missing (%s: %s)", path, k.Path, k.ValueKind, k.Doc)
 		case !ok && k.Default == "":
 			continue
 		case !ok:
 			v = value{text: k.Default, items: []string{k.Default}}
 		}
 		if err := k.set(t, v); err != nil {
-			return failure.New(failure.BadSettings, "%s, line %d: %s: %v; it takes %s", path, v.line, k.Path, err, k.Unit)
+			return failure.New(failure.BadSettings, "%s, line %d: %s: %v; it takes %s", path, v.line, k.Path, err, k.ValueKind)
 		}
 	}
 	return nil
 }
 
-func pathSet[T any](keys []Key[T]) map[string]bool {
+func keyPaths[T any](keys []Key[T]) map[string]bool {
 	paths := map[string]bool{}
 	for _, k := range keys {
 		paths[k.Path] = true
@@ -118,7 +118,7 @@
 	for i := 0; i+1 < len(n.Content); i += 2 {
 		key, child := n.Content[i], n.Content[i+1]
 		path := strings.TrimPrefix(prefix+"."+key.Value, ".")
-		if _, twice := found[path]; twice {
+		if _, duplicate := found[path]; duplicate {
 			return fmt.Errorf("line %d: key %s stands twice", key.Line, path)
 		}
 		if known[path] {
@@ -130,7 +130,7 @@
 			continue
 		}
 		if child.Kind != yaml.MappingNode || !hasPrefix(known, path+".") {
-			return fmt.Errorf("line %d: key %s is unknown; %s", key.Line, path, nearest(known, path))
+			return fmt.Errorf("line %d: key %s is unknown; %s", key.Line, path, knownInSection(known, path))
 		}
 		if err := flattenInto(found, known, path, child); err != nil {
 			return err
@@ -163,21 +163,21 @@
 	return false
 }
 
-// nearest names the known keys of the same section.
-func nearest(known map[string]bool, path string) string {
+// knownInSection names the known keys of the same section.
+func knownInSection(known map[string]bool, path string) string {
 	section := ""
 	if i := strings.LastIndex(path, "."); i >= 0 {
 		section = path[:i+1]
 	}
-	var near []string
+	var siblings []string
 	for k := range known {
 		if strings.HasPrefix(k, section) {
-			near = append(near, k)
+			siblings = append(siblings, k)
 		}
 	}
-	if len(near) == 0 {
+	if len(siblings) == 0 {
 		return "see docs/SETTINGS.md"
 	}
-	sort.Strings(near)
-	return "known are " + strings.Join(near, ", ")
+	sort.Strings(siblings)
+	return "known are " + strings.Join(siblings, ", ")
 }
--- a/pkg/settings/values.go
+++ b/pkg/settings/values.go
@@ -16,20 +16,20 @@
 
 // Units, as docs/SETTINGS.md shows them.
 const (
-	unitText     = "a text"
-	unitAddress  = "an address IP:PORT"
-	unitList     = "a list of addresses IP:PORT"
-	unitDuration = "a duration such as 250ms, 2s or 5m"
-	unitBytes    = "a size such as 64KiB or 1MiB"
-	unitCount    = "a whole number above 0"
-	unitNumber   = "a number of 0 or more"
-	unitFile     = "the path of a file"
-	unitFolder   = "the path of a folder"
-	unitLabels   = "a mapping of label to value"
-	unitFlag     = "true or false"
-	unitURL      = "an address http://IP:PORT"
-	unitProtocol = "own, or the name of an adapter"
-	unitServices = "a mapping of service name to http://IP:PORT"
+	kindText        = "a text"
+	kindAddress     = "an address IP:PORT"
+	kindAddressList = "a list of addresses IP:PORT"
+	kindDuration    = "a duration such as 250ms, 2s or 5m"
+	kindBytes       = "a size such as 64KiB or 1MiB"
+	kindCount       = "a whole number above 0"
+	kindNumber      = "a number of 0 or more"
+	kindFile        = "the path of a file"
+	kindFolder      = "the path of a folder"
+	kindLabels      = "a mapping of label to value"
+	kindFlag        = "true or false"
+	kindURL         = "an address http://IP:PORT"
+	kindProtocol    = "own, or the name of an adapter"
+	kindServices    = "a mapping of service name to http://IP:PORT"
 )
 
 func text[T any](field func(*T) *string) func(*T, value) error {
@@ -78,9 +78,9 @@
 	}
 }
 
-// LongestWithin is the longest time that may be agreed on for new weights to be in
+// MaxRolloutLimit is the longest time that may be agreed on for new weights to be in
 // force. Control nodes tell a version for as long as somebody can wait for it.
-const LongestWithin = time.Hour
+const MaxRolloutLimit = time.Hour
 
 func duration[T any](least, most time.Duration, field func(*T) *time.Duration) func(*T, value) error {
 	return func(t *T, v value) error {
--- a/pkg/settings/wire_generated.go
+++ b/pkg/settings/wire_generated.go
@@ -18,8 +18,8 @@
 // EngineURL is where the model engine listens; may be empty.
 func (a Agent) EngineURL() string { return a.engineURL }
 
-// EngineFences says that the engine checks who gives it an order.
-func (a Agent) EngineFences() bool { return a.engineFences }
+// EngineChecksFences says that the engine checks who gives it an order.
+func (a Agent) EngineChecksFences() bool { return a.engineChecksFences }
 
 // OrderLimit is the longest that an engine may take for an order.
 func (a Agent) OrderLimit() time.Duration { return a.orderLimit }
@@ -33,8 +33,8 @@
 // ChunkRate bounds the chunk traffic in bytes a second, each way.
 func (a Agent) ChunkRate() int64 { return a.chunkRate }
 
-// Uploads bounds the chunks sent at one time.
-func (a Agent) Uploads() int { return a.uploads }
+// MaxUploads bounds the chunks sent at one time.
+func (a Agent) MaxUploads() int { return a.maxUploads }
 
 // MaxInFlight bounds the requests in flight.
 func (a Agent) MaxInFlight() int { return a.maxInFlight }
@@ -97,8 +97,8 @@
 // Bootstrap allows forming a new cluster on an empty folder.
 func (c Control) Bootstrap() bool { return c.bootstrap }
 
-// Tolerate is how many control nodes may be lost at one time.
-func (c Control) Tolerate() int { return c.tolerate }
+// ToleratedFailures is how many control nodes may be lost at one time.
+func (c Control) ToleratedFailures() int { return c.toleratedFailures }
 
 // Heartbeat is the time between two heartbeats of a backend server.
 func (c Control) Heartbeat() time.Duration { return c.heartbeat }
@@ -154,9 +154,9 @@
 // PlatformURL is where the platform's list of VMs is read; may be empty.
 func (e Entry) PlatformURL() string { return e.platformURL }
 
-// OriginDraws bounds the draws of one copy from the origin at one time,
+// MaxOriginFetches bounds the draws of one copy from the origin at one time,
 // over all failure domains.
-func (e Entry) OriginDraws() int { return e.originDraws }
+func (e Entry) MaxOriginFetches() int { return e.maxOriginFetches }
 
 // Common are the settings that all daemons have.
 func (g Gateway) Common() Common { return g.common }
@@ -188,8 +188,8 @@
 // RetryWindow is the time over which repeats are counted.
 func (g Gateway) RetryWindow() time.Duration { return g.retryWindow }
 
-// WeightsWithin is the time within which new weights are to be in force.
-func (g Gateway) WeightsWithin() time.Duration { return g.weightsWithin }
+// RolloutLimit is the time within which new weights are to be in force.
+func (g Gateway) RolloutLimit() time.Duration { return g.rolloutLimit }
 
 // Memory is what the process may use, in bytes.
 func (g Gateway) Memory() int64 { return g.memory }
@@ -198,22 +198,22 @@
 func (g Gateway) MaxConnections() int { return g.maxConnections }
 
 // Common are the settings that all daemons have.
-func (s Staging) Common() Common { return s.common }
+func (s Stager) Common() Common { return s.common }
 
 // Protocol names the protocol that the engine and the origin speak.
-func (s Staging) Protocol() string { return s.protocol }
+func (s Stager) Protocol() string { return s.protocol }
 
 // Seeds are addresses of control nodes.
-func (s Staging) Seeds() []string { return s.seeds }
+func (s Stager) Seeds() []string { return s.seeds }
 
 // Engine is the address of the engine on this VM.
-func (s Staging) Engine() string { return s.engine }
+func (s Stager) Engine() string { return s.engine }
 
 // Service is the service that the engine belongs to; may be empty.
-func (s Staging) Service() string { return s.service }
+func (s Stager) Service() string { return s.service }
 
-// Within is the time within which new weights are to be in force.
-func (s Staging) Within() time.Duration { return s.within }
+// RolloutLimit is the time within which new weights are to be in force.
+func (s Stager) RolloutLimit() time.Duration { return s.rolloutLimit }
 
 // Memory is what the process may use, in bytes.
-func (s Staging) Memory() int64 { return s.memory }
+func (s Stager) Memory() int64 { return s.memory }
--- a/pkg/staging/activate.go
+++ b/pkg/staging/activate.go
@@ -138,7 +138,7 @@
 	}
 	order := s.rolloutOrder(c.manifest.model)
 	position := slices.Index(order, s.process.Identity.Address())
-	return orderTimeAt(position, len(order), due.Since(), s.settings.Within(), c.completedAt())
+	return orderTimeAt(position, len(order), due.Since(), s.settings.RolloutLimit(), c.completedAt())
 }
 
 // orderTimeAt returns the order time of the engine at a position among several.
--- a/pkg/staging/due_test.go
+++ b/pkg/staging/due_test.go
@@ -30,7 +30,7 @@
 // While the origin is down, no chunk of the newest version arrives. A cache then downloads the
 // previous version for engines that wait for it, but no version that requests may no longer use.
 func TestRestartedCacheSkipsObsoleteVersions(t *testing.T) {
-	process, err := daemon.New(settings.Common{}, 1, daemon.Seams{Log: io.Discard})
+	process, err := daemon.New(settings.Common{}, 1, daemon.Hooks{Log: io.Discard})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -50,7 +50,7 @@
 // A member is woken by a version that it did not know, also by an earlier one that arrives late,
 // but not by a change of age. It sends its ages to restarted nodes.
 func TestMemberKeepsTheAgesOfAllNamedVersions(t *testing.T) {
-	process, err := daemon.New(settings.Common{}, 1, daemon.Seams{Log: io.Discard})
+	process, err := daemon.New(settings.Common{}, 1, daemon.Hooks{Log: io.Discard})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/pkg/staging/protocol.go
+++ b/pkg/staging/protocol.go
@@ -74,5 +74,5 @@
 	FetchChunk func(ctx context.Context, origin, model string, version uint64, number int) ([]byte, error)
 }
 
-// Called returns the protocol's name.
-func (p Protocol) Called() string { return p.Name }
+// ProtocolName returns the protocol's name.
+func (p Protocol) ProtocolName() string { return p.Name }
--- a/pkg/staging/stager.go
+++ b/pkg/staging/stager.go
@@ -44,8 +44,8 @@
 // Stager is one stager process: a member whose VM runs an engine.
 type Stager struct {
 	*Member
-	settings      settings.Staging
-	seeds         *daemon.Reloaded[[]string]
+	settings      settings.Stager
+	seeds         *daemon.Reloadable[[]string]
 	servedVersion atomic.Uint64 // the version that the engine served at the last check
 	// ready is the newest complete copy, downloading the version that is being downloaded, and
 	// staged the copy whose chunks are in the engine's staging area. Only the control loop uses
@@ -66,18 +66,18 @@
 
 // New returns a stager that is not running yet. path is its settings file, which is read again on a
 // reload; it may be empty.
-func New(c settings.Staging, path string, protocol Protocol, seams daemon.Seams) (*Stager, error) {
+func New(c settings.Stager, path string, protocol Protocol, seams daemon.Hooks) (*Stager, error) {
 	debug.SetMemoryLimit(int64(float64(c.Memory()) * goMemoryShare))
 	process, err := daemon.New(c.Common(), vm.NewIncarnation(), seams)
 	if err != nil {
 		return nil, err
 	}
 	s := &Stager{settings: c, loadChanged: make(chan struct{}, 1), suspension: suspension.New()}
-	s.seeds = daemon.NewSeeds(path, c, settings.LoadStaging, process.Logger)
+	s.seeds = daemon.NewSeeds(path, c, settings.LoadStager, process.Logger)
 	hello := feed.NewHello(feed.RoleStager, process.Identity, c.Service(), c.Engine(), nil, false)
 	seeds := func() []string { return link.WithPortOf(s.seeds.Get(), process.Identity.Address()) }
 	s.Member = newMember(process, protocol, hello, seeds, maxStagerUploads)
-	s.rolloutLimit = c.Within()
+	s.rolloutLimit = c.RolloutLimit()
 	s.suspension.OnResume(s.versions.AddSuspension)
 	s.suspension.OnResume(process.LogSuspension)
 	process.Endpoint.Handle(link.KindReserve, s.serveReservation)
@@ -105,7 +105,7 @@
 	add(func(ctx context.Context) error {
 		return s.process.ServeLinks(ctx, s.settings.Common().PeersListen())
 	})
-	add(s.process.ServeObserve)
+	add(s.process.ServeMetrics)
 	add(s.follower.Run)
 	add(s.seeds.Run)
 	add(s.suspension.Run)
--- a/pkg/upstream/acknowledged_test.go
+++ b/pkg/upstream/acknowledged_test.go
@@ -14,13 +14,13 @@
 func TestNothingIsAcknowledgedOnLostConnections(t *testing.T) {
 	const silence = 50 * time.Millisecond
 	for name, c := range map[string]struct {
-		manner  faultproxy.Manner
+		manner  faultproxy.SilenceOptions
 		silent  bool
 		nothing bool
 	}{
-		"lost":         {faultproxy.Manner{}, true, true},
-		"acknowledged": {faultproxy.Manner{Acknowledged: true}, true, false},
-		"works":        {faultproxy.Manner{}, false, false},
+		"lost":         {faultproxy.SilenceOptions{}, true, true},
+		"acknowledged": {faultproxy.SilenceOptions{Acknowledged: true}, true, false},
+		"works":        {faultproxy.SilenceOptions{}, false, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			proxy, err := faultproxy.Listen(faultproxy.Config{Listen: "127.0.0.1:0", Target: serveOK(t), Label: func([]byte) string { return "" }})
@@ -36,7 +36,7 @@
 				t.Fatal(err)
 			}
 			if c.silent {
-				proxy.Silence(faultproxy.Every, c.manner)
+				proxy.Silence(faultproxy.AllLabels, c.manner)
 			}
 			ctx, cancel := context.WithTimeout(t.Context(), silence)
 			defer cancel()
--- a/prove/cluster_test.go
+++ b/prove/cluster_test.go
@@ -182,8 +182,8 @@
 	return path
 }
 
-func (cl *cluster) seams(name string) daemon.Seams {
-	return daemon.Seams{Listen: cl.network.Listen(name), Dial: cl.network.Dial(name), Log: io.Discard}
+func (cl *cluster) seams(name string) daemon.Hooks {
+	return daemon.Hooks{Listen: cl.network.Listen(name), Dial: cl.network.Dial(name), Log: io.Discard}
 }
 
 func (cl *cluster) startEntry(name string) {
@@ -206,7 +206,7 @@
 	s, err := settings.LoadEntry(path)
 	cl.must(err)
 	e, err := entry.New(s, entry.Hooks{
-		Seams: cl.seams(name), Manifest: cl.origin.manifest, Faults: cl.entryFaults,
+		Hooks: cl.seams(name), Manifest: cl.origin.manifest, Faults: cl.entryFaults,
 		BeforeSend: func(attempt string) { cl.beforeSend(attempt) },
 	})
 	cl.must(err)
@@ -238,7 +238,7 @@
 		cl.engines[name] = newModelEngine(cl.record)
 	}
 	cl.mu.Unlock()
-	seams := agent.Hooks{Seams: cl.seams(name), Engine: cl.engines[name].engine(), FetchFromSource: cl.origin.fetchChunk, SendAnswer: cl.sendAnswer, Faults: cl.agentFaults}
+	seams := agent.Hooks{Hooks: cl.seams(name), Engine: cl.engines[name].engine(), FetchFromSource: cl.origin.fetchChunk, SendAnswer: cl.sendAnswer, Faults: cl.agentFaults}
 	if name == "agent-5" || name == "agent-1" {
 		seams.Services = map[string]*engine.Engine{"ordering": cl.service.engine()}
 	}
--- a/soak/aim_test.go
+++ b/soak/aim_test.go
@@ -89,11 +89,11 @@
 // silenceModes are the ways in which connections may go silent.
 var silenceModes = []struct {
 	name string
-	mode faultproxy.Manner
+	mode faultproxy.SilenceOptions
 }{
-	{"lost", faultproxy.Manner{}},
-	{"acknowledged", faultproxy.Manner{Acknowledged: true}},
-	{"lost midway", faultproxy.Manner{Midway: true}},
+	{"lost", faultproxy.SilenceOptions{}},
+	{"acknowledged", faultproxy.SilenceOptions{Acknowledged: true}},
+	{"lost midway", faultproxy.SilenceOptions{Midway: true}},
 }
 
 // TestSilenceCostsLittle guards against losing more than the target allows when all kinds
@@ -107,7 +107,7 @@
 	}
 }
 
-func measureSilence(t *testing.T, m faultproxy.Manner) {
+func measureSilence(t *testing.T, m faultproxy.SilenceOptions) {
 	loadBefore := machineLoad()
 	cl := startCluster(t, clusterConfig{control: 3, gateways: 3, engines: 6, plain: 3, plainServiceTime: 20 * time.Millisecond, rolloutDeadline: longRolloutDeadline}, logFolder(t))
 	l := newLoad(cl, seed(t), callerTimeout)
@@ -180,7 +180,7 @@
 
 // run makes the connections go silent after the baseline period, and waits until the
 // requests of the following window have finished.
-func (s scenario) run(cl *cluster, l *load, m faultproxy.Manner, version uint64) row {
+func (s scenario) run(cl *cluster, l *load, m faultproxy.SilenceOptions, version uint64) row {
 	time.Sleep(baselinePeriod)
 	if s.rollsOut {
 		cl.nameVersion(cl.t.Context(), version)
@@ -397,7 +397,7 @@
 // reconnectTime returns how long the dialer took to open a new connection, and false if it
 // had opened none by the deadline.
 func (s silencedDialer) reconnectTime(deadline time.Time) (time.Duration, bool) {
-	for _, o := range s.proxy.Openings() {
+	for _, o := range s.proxy.AcceptedConns() {
 		if o.Label == s.label && o.At.After(s.at) && o.At.Before(deadline) {
 			return o.At.Sub(s.at), true
 		}
--- a/soak/connections_test.go
+++ b/soak/connections_test.go
@@ -48,7 +48,7 @@
 }
 
 // silence makes the open connections of some kinds silent, and returns their dialers.
-func (cl *cluster) silence(kinds []connectionKind, m faultproxy.Manner) []silencedDialer {
+func (cl *cluster) silence(kinds []connectionKind, m faultproxy.SilenceOptions) []silencedDialer {
 	var dialers []silencedDialer
 	for _, k := range kinds {
 		for _, p := range k.proxies(cl) {
--- a/soak/limits_series_test.go
+++ b/soak/limits_series_test.go
@@ -227,7 +227,7 @@
 func (f *faultInjector) silenceGatewayLinks(ctx context.Context) {
 	f.repeat(ctx, "hush", partitionPause, func(*rand.Rand) {
 		for _, p := range f.cluster.links[gatewayVMs] {
-			p.Silence(faultproxy.Every, faultproxy.Manner{})
+			p.Silence(faultproxy.AllLabels, faultproxy.SilenceOptions{})
 		}
 	})
 }
--- a/soak/silence_test.go
+++ b/soak/silence_test.go
@@ -54,10 +54,10 @@
 	// Some requests run at a server when the connections go silent: the answers to those
 	// that must not run again are lost.
 	l.sendUnsafe(ctx, inFlightRequests)
-	silenced := cl.silence(connectionKinds, faultproxy.Manner{})
+	silenced := cl.silence(connectionKinds, faultproxy.SilenceOptions{})
 	l.send(ctx, requestsPerPhase)
 	l.sendUnsafe(ctx, inFlightRequests)
-	silenced = append(silenced, cl.silence(connectionKinds, faultproxy.Manner{Midway: true})...)
+	silenced = append(silenced, cl.silence(connectionKinds, faultproxy.SilenceOptions{Midway: true})...)
 	l.send(ctx, requestsPerPhase)
 	l.inFlight.Wait()
 	cl.awaitVersionServed(next)
