--- a/pkg/daemon/cgo.go
+++ b/pkg/daemon/cgo.go
@@ -1,6 +1,5 @@
 package daemon
 
-// The daemons are linked against the system's C library, as the VMs that they
-// run on expect of every program.
+// The daemons are linked against the system's C library, which the VMs require of every program.
 
 import "C"
--- a/pkg/daemon/daemon.go
+++ b/pkg/daemon/daemon.go
@@ -1,9 +1,9 @@
 // ================================================================
-// What every daemon has: a logger of JSON lines, metrics, a time line, a
-// message bus, an endpoint for links and an orderly end on a signal.
+// The parts that all daemons share: a logger of JSON lines, metrics, the event timeline, a message
+// bus, an endpoint for links, HTTP servers and signal handling.
 // ================================================================
 
-// Package daemon holds the parts that every daemon is built on.
+// Package daemon provides the parts that all daemons are built on.
 package daemon
 
 import (
@@ -41,7 +41,7 @@
 	readHeaderTimeout = 5 * time.Second
 )
 
-// Process is what a daemon is built on.
+// Process holds the parts that a daemon is built on.
 type Process struct {
 	Logger   log.Logger
 	Registry *prometheus.Registry
@@ -54,17 +54,17 @@
 	Listen func(address string) (net.Listener, error)
 
 	observeListen string
-	lineWriter    *LineWriter // nil where a test takes the log
+	lineWriter    *LineWriter // nil if Hooks.Log replaces standard output
 }
 
-// Hooks are where a test puts its own network and log in place of the
-// machine's. The zero value is the machine's.
+// Hooks replaces the network and the log output of a process in tests. The zero value uses the
+// operating system's network and standard output.
 type Hooks struct {
 	// Listen opens a listener.
 	Listen func(address string) (net.Listener, error)
 	// Dial opens a connection.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
-	// Log is where log lines go; standard output by way of a queue when nil.
+	// Log receives the log lines. If it is nil, they go to standard output through a LineWriter.
 	Log io.Writer
 }
 
@@ -75,7 +75,8 @@
 	return s
 }
 
-// New returns the parts of a daemon, with the given incarnation of its VM.
+// New creates the parts of a daemon on a VM with the given incarnation. It opens the timeline file
+// in the data folder, if one is set, and reads the key and TLS files.
 func New(c settings.Common, incarnation uint64, seams Hooks) (*Process, error) {
 	ownProcess := seams.Log == nil
 	seams = seams.withDefaults()
@@ -121,14 +122,16 @@
 		observeListen: c.ObserveListen(),
 	}
 	if ownProcess {
-		// Several daemons in one process, as in tests, share the listener.
+		// invariant.Listen is global to the operating system process. Tests that run several
+		// daemons in one process set Hooks.Log and do not install it.
 		invariant.Listen(func(name, detail string) { recorder.Record(event.InvariantReported, name, detail) })
 	}
 	p.Endpoint.Handle(link.KindTimeline, p.serveTimeline)
 	return p, nil
 }
 
-// NewLogger returns a logger of JSON lines from a level up.
+// NewLogger returns a logger that writes JSON lines of at least minLevel to w. A minLevel that is
+// not a known level counts as info.
 func NewLogger(w io.Writer, minLevel, process string) log.Logger {
 	logger := log.NewJSONLogger(log.NewSyncWriter(w))
 	logger = log.With(logger, "ts", log.DefaultTimestampUTC, "process", process)
@@ -167,7 +170,7 @@
 // ----------------------------------------------------------------
 // Listening
 
-// ServeLinks serves links on an address until the context ends.
+// ServeLinks accepts links on an address until the context ends.
 func (p *Process) ServeLinks(ctx context.Context, address string) error {
 	l, err := p.Listen(address)
 	if err != nil {
@@ -178,7 +181,7 @@
 	return p.Endpoint.Serve(ctx, l)
 }
 
-// ServeHTTP serves a handler on an address until the context ends.
+// ServeHTTP runs an HTTP server on a listener until the context ends.
 func ServeHTTP(ctx context.Context, server *http.Server, l net.Listener) error {
 	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
 	defer stop()
@@ -188,7 +191,8 @@
 	return nil
 }
 
-// ServeMetrics serves /metrics and /healthz where the settings say.
+// ServeMetrics serves /metrics and /healthz on the address in the setting observe.listen until the
+// context ends. Without that setting it only waits.
 func (p *Process) ServeMetrics(ctx context.Context) error {
 	if p.observeListen == "" {
 		<-ctx.Done()
@@ -204,13 +208,13 @@
 	return ServeHTTP(ctx, &http.Server{Handler: router, ReadHeaderTimeout: readHeaderTimeout}, l)
 }
 
-// Healthy answers that the process runs.
+// Healthy is an HTTP handler that always answers 200: it shows that the process runs.
 func Healthy(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok\n") }
 
 // ----------------------------------------------------------------
-// Ending
+// Signals
 
-// Signals returns a channel that gets SIGTERM and SIGINT.
+// Signals returns a channel that receives SIGTERM and SIGINT.
 func Signals() <-chan os.Signal {
 	c := make(chan os.Signal, 2)
 	signal.Notify(c, syscall.SIGTERM, syscall.SIGINT)
--- a/pkg/daemon/drain.go
+++ b/pkg/daemon/drain.go
@@ -1,6 +1,6 @@
 // ================================================================
-// The word that a process is to drain, by a signal or from an operator: recorded
-// once, and waited for in one place, whatever a process does until it goes.
+// The start of a drain, requested by a signal or by an operator. It is recorded in one place for
+// all daemons.
 // ================================================================
 
 package daemon
@@ -14,16 +14,16 @@
 	"github.com/tidepost/tidepost/pkg/event"
 )
 
-// Drain is the word that a process is to drain.
+// Drain records and signals that a process starts to drain.
 type Drain struct {
 	process *Process
 	started chan struct{}
 }
 
-// NewDrain returns a drain that has not begun.
+// NewDrain returns a drain that has not started.
 func (p *Process) NewDrain() *Drain { return &Drain{process: p, started: make(chan struct{}, 1)} }
 
-// Begin records why the process drains. It is to be called once.
+// Begin records the reason of the drain and unblocks Await. Call it at most once.
 func (d *Drain) Begin(reason string) {
 	p := d.process
 	p.Recorder.Record(event.ProcessDraining, string(p.Identity.ID()), reason)
@@ -31,8 +31,9 @@
 	d.started <- struct{}{}
 }
 
-// Await waits until the process drains, and returns false when it is to go at once
-// instead. begin is called for a signal.
+// Await blocks until the drain starts and returns true. It returns false if the process should stop
+// without draining: the context ended or os.Kill arrived on signals. On any other signal it calls
+// begin, which should call Begin.
 func (d *Drain) Await(ctx context.Context, signals <-chan os.Signal, begin func(reason string)) bool {
 	select {
 	case <-ctx.Done():
--- a/pkg/daemon/every.go
+++ b/pkg/daemon/every.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Every calls do after each pause until the context ends.
+// Every calls do at intervals of pause until the context ends. It does not call do at once.
 func Every(ctx context.Context, pause time.Duration, do func()) error {
 	ticker := time.NewTicker(pause)
 	defer ticker.Stop()
--- a/pkg/daemon/lifecycle.go
+++ b/pkg/daemon/lifecycle.go
@@ -1,6 +1,5 @@
 // ================================================================
-// The lines that every process writes at its start and stop, and the end on a
-// signal.
+// Log lines and events for the start, suspension and stop of a process, and the log of HTTP servers.
 // ================================================================
 
 package daemon
@@ -18,33 +17,34 @@
 	"github.com/tidepost/tidepost/pkg/event"
 )
 
-// LogStart notes that the process runs.
+// LogStart records and logs that the process has started.
 func (p *Process) LogStart() {
 	id := p.Identity
 	p.Recorder.Record(event.ProcessStarted, string(id.ID()), id.Address())
 	_ = level.Info(p.Logger).Log("msg", "started", "address", id.Address(), "failure_domain", id.Domain(), "region", id.Region())
 }
 
-// LogSuspension notes that the VM goes on after it was suspended.
+// LogSuspension logs that the VM resumed after it was suspended for the given time.
 func (p *Process) LogSuspension(suspended time.Duration) {
 	_ = level.Warn(p.Logger).Log("msg", "the VM was suspended", "suspended_ms", suspended.Milliseconds())
 }
 
-// LogStop notes that the process ends.
+// LogStop records and logs that the process stops, with the error that caused it or nil, and closes
+// the log.
 func (p *Process) LogStop(err error) {
 	p.Recorder.Record(event.ProcessStopped, string(p.Identity.ID()), "")
 	_ = level.Info(p.Logger).Log("msg", "stopped", "err", err)
 	p.CloseLog()
 }
 
-// CloseLog writes the last log lines.
+// CloseLog flushes queued log lines to standard output. Lines logged later are lost.
 func (p *Process) CloseLog() {
 	if p.lineWriter != nil {
 		p.lineWriter.Close()
 	}
 }
 
-// WaitSignal returns on a signal or when the context ends.
+// WaitSignal blocks until a signal arrives or the context ends. It returns nil.
 func WaitSignal(ctx context.Context, signals <-chan os.Signal) error {
 	select {
 	case <-ctx.Done():
@@ -53,14 +53,15 @@
 	return nil
 }
 
-// HTTPLog is the log of an HTTP server. A handler's panic closes its connection, so it is
-// told; what else servers write is about clients that break off, and is no news.
+// HTTPLog returns the error log of an HTTP server. It passes on panics of handlers, since net/http
+// recovers them and only closes the connection. It drops all other lines, which report clients that
+// disconnect.
 func HTTPLog(logger log.Logger) *stdlog.Logger { return stdlog.New(panicWriter{logger}, "", 0) }
 
-// panicWriter passes on what a server writes of panics.
+// panicWriter logs the panics that an HTTP server reports and drops everything else.
 type panicWriter struct{ logger log.Logger }
 
-// Write takes one line, or the several of a panic.
+// Write takes one log entry: a line, or the lines of a panic with its stack.
 func (l panicWriter) Write(lines []byte) (int, error) {
 	if bytes.Contains(lines, []byte("panic")) {
 		_ = level.Error(l.logger).Log("msg", "panic", "cause", string(lines))
--- a/pkg/daemon/logs.go
+++ b/pkg/daemon/line_writer.go
@@ -1,10 +1,6 @@
 // ================================================================
-// Where log lines go: standard output, by way of a bounded queue. Whoever logs
-// never waits: when the reader of the output is too slow, lines are dropped and
-// counted, and the count is told once lines get through again.
-//
-// Lines are written together after a short pause: each write costs the process
-// a call of the kernel.
+// A bounded queue between the logger and standard output, so that logging never blocks. If the
+// reader of the output is too slow, lines are dropped and counted; the next write reports the count.
 // ================================================================
 
 package daemon
@@ -20,15 +16,15 @@
 )
 
 const (
-	// maxQueuedBytes bounds the bytes of log lines that wait.
+	// maxQueuedBytes bounds the log lines that wait to be written.
 	maxQueuedBytes = 1 << 20
-	// flushDelay is how long lines wait for others to be written with them.
+	// flushDelay is how long lines wait so that several share one write system call.
 	flushDelay = 20 * time.Millisecond
-	// closeTimeout bounds the wait for the last lines at the end of a process.
+	// closeTimeout bounds how long Close waits for the last write.
 	closeTimeout = 300 * time.Millisecond
 )
 
-// LineWriter writes lines to an output that may be slow. It is safe for
+// LineWriter writes lines to an output that may be slow, without blocking the caller. It is safe for
 // concurrent use.
 type LineWriter struct {
 	output  io.Writer
@@ -42,14 +38,15 @@
 	done            chan struct{}
 }
 
-// NewLineWriter returns a writer that counts dropped lines.
+// NewLineWriter returns a writer to output that counts dropped lines in dropped. Close ends its
+// goroutine.
 func NewLineWriter(output io.Writer, dropped prometheus.Counter) *LineWriter {
 	w := &LineWriter{output: output, dropped: dropped, wake: make(chan struct{}, 1), done: make(chan struct{})}
 	go w.run()
 	return w
 }
 
-// Write queues a line, or drops it when too much waits. It never fails.
+// Write queues a line, or drops it if the queue is full. It never returns an error.
 func (w *LineWriter) Write(line []byte) (int, error) {
 	w.mu.Lock()
 	if w.queued.Len()+len(line) > maxQueuedBytes {
@@ -66,8 +63,8 @@
 func (w *LineWriter) run() {
 	defer close(w.done)
 	for range w.wake {
-		// Asked before the lines are taken: Close wakes once more after it is set,
-		// so what was queued meanwhile is written too.
+		// closing is read before the lines are taken: Close wakes this loop after it sets
+		// closing, so lines that were queued in between are written too.
 		closing := w.isClosing()
 		if !closing {
 			time.Sleep(flushDelay)
@@ -79,7 +76,8 @@
 	}
 }
 
-// takeQueued returns what is queued, with a line about those that were dropped.
+// takeQueued empties the queue and returns its lines, followed by a line that reports dropped lines,
+// if any.
 func (w *LineWriter) takeQueued() []byte {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -98,7 +96,8 @@
 	return w.closing
 }
 
-// Close writes what is queued, and gives up on an output that takes too long.
+// Close writes the queued lines and ends the goroutine. It returns after closeTimeout if the output
+// blocks.
 func (w *LineWriter) Close() {
 	w.mu.Lock()
 	w.closing = true
--- a/pkg/daemon/logs_test.go
+++ b/pkg/daemon/line_writer_test.go
@@ -11,10 +11,10 @@
 	dto "github.com/prometheus/client_model/go"
 )
 
-// blockedOutput is an output whose reader has stopped until released.
+// blockedOutput is an output whose writes block until release is closed.
 type blockedOutput struct {
 	release chan struct{}
-	entered chan struct{} // gets a word at the first write; may be nil
+	entered chan struct{} // receives a value when a write begins; may be nil
 	mu      sync.Mutex
 	written bytes.Buffer
 }
@@ -30,7 +30,8 @@
 	return o.written.Write(p)
 }
 
-// A reader that stops costs dropped lines, counted and told, and nobody waits.
+// If the reader of the output stops, lines are dropped, counted and reported, and Write does not
+// block.
 func TestLineWriterDropsLinesInsteadOfBlocking(t *testing.T) {
 	output := &blockedOutput{release: make(chan struct{})}
 	dropped := prometheus.NewCounter(prometheus.CounterOpts{Name: "dropped"})
@@ -49,11 +50,11 @@
 	}
 	close(output.release)
 	w.Close()
-	<-w.done // Close gives up on a slow output, and a busy machine is one
+	<-w.done // Close may time out on a busy machine
 	output.mu.Lock()
 	defer output.mu.Unlock()
 	if !strings.Contains(output.written.String(), `"msg":"log lines dropped"`) {
-		t.Fatal("the output does not tell of the dropped lines")
+		t.Fatal("the output does not report the dropped lines")
 	}
 }
 
@@ -61,23 +62,23 @@
 	output := &blockedOutput{release: make(chan struct{})}
 	close(output.release)
 	w := NewLineWriter(output, prometheus.NewCounter(prometheus.CounterOpts{Name: "dropped"}))
-	_, _ = w.Write([]byte("last words\n"))
+	_, _ = w.Write([]byte("last line\n"))
 	w.Close()
 	output.mu.Lock()
 	defer output.mu.Unlock()
-	if output.written.String() != "last words\n" {
+	if output.written.String() != "last line\n" {
 		t.Fatalf("written: %q", output.written.String())
 	}
 }
 
-// What is queued while the output is stuck was lost when the end came before the
-// output went on.
+// Lines that are queued while a write blocks were lost if Close was called before that write
+// returned.
 func TestCloseWritesLinesQueuedDuringABlockedWrite(t *testing.T) {
 	output := &blockedOutput{release: make(chan struct{}), entered: make(chan struct{}, 1)}
 	w := NewLineWriter(output, prometheus.NewCounter(prometheus.CounterOpts{Name: "dropped"}))
-	_, _ = w.Write([]byte("first words\n"))
+	_, _ = w.Write([]byte("first line\n"))
 	<-output.entered
-	_, _ = w.Write([]byte("last words\n"))
+	_, _ = w.Write([]byte("last line\n"))
 	go w.Close()
 	for !w.isClosing() {
 		runtime.Gosched()
@@ -86,7 +87,7 @@
 	<-w.done
 	output.mu.Lock()
 	defer output.mu.Unlock()
-	if output.written.String() != "first words\nlast words\n" {
+	if output.written.String() != "first line\nlast line\n" {
 		t.Fatalf("written: %q", output.written.String())
 	}
 }
--- a/pkg/daemon/main.go
+++ b/pkg/daemon/main.go
@@ -1,5 +1,5 @@
 // ================================================================
-// The command line of a daemon: a settings file, or a check of one.
+// The command line of a daemon: it runs with a settings file or only checks the file.
 // ================================================================
 
 package daemon
@@ -15,20 +15,20 @@
 	"github.com/tidepost/tidepost/pkg/failure"
 )
 
-// SettingsVariable names the settings file where --settings does not.
+// SettingsVariable is the environment variable that gives the settings file if --settings does not.
 const SettingsVariable = "TIDEPOST_CONFIG"
 
-// Main runs a daemon and returns its exit code: 0 after an orderly end, 1 on a
-// failure, 2 when the command line or the settings are wrong.
+// Main loads the settings, runs a daemon and returns its exit code: 0 after an orderly stop, 1 after
+// a failure, 2 for an invalid command line or invalid settings.
 func Main[T any](name string, load func(path string) (T, error), run func(T, <-chan os.Signal) error) int {
 	return MainWithPath(name, load, func(_ string, s T, signals <-chan os.Signal) error { return run(s, signals) })
 }
 
-// MainWithPath is Main for a daemon that reads its settings file again while it
-// runs.
+// MainWithPath is Main for a daemon that reloads its settings file while it runs: run also gets the
+// path.
 func MainWithPath[T any](name string, load func(path string) (T, error), run func(path string, s T, signals <-chan os.Signal) error) int {
-	// A reload asked for while the process starts or ends must not end it: without a
-	// taker SIGHUP does.
+	// The default action of SIGHUP ends the process. This handler ignores a SIGHUP that arrives
+	// during start or stop, while no Reloadable handles it.
 	signal.Notify(make(chan os.Signal, 1), syscall.SIGHUP)
 	var path string
 	var checkOnly bool
@@ -41,11 +41,11 @@
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
-	c.Flags().StringVar(&path, "settings", os.Getenv(SettingsVariable), "settings file; see docs/SETTINGS.md; "+SettingsVariable+" names it too")
-	c.Flags().BoolVar(&checkOnly, "check", false, "check the settings file and end")
+	c.Flags().StringVar(&path, "settings", os.Getenv(SettingsVariable), "path of the settings file, described in docs/SETTINGS.md; "+SettingsVariable+" sets the default")
+	c.Flags().BoolVar(&checkOnly, "check", false, "check the settings file and exit")
 	c.RunE = func(*cobra.Command, []string) error {
 		if path == "" {
-			return failure.New(failure.BadSettings, "no settings file: name one with --settings or %s", SettingsVariable)
+			return failure.New(failure.BadSettings, "no settings file: set --settings or %s", SettingsVariable)
 		}
 		s, err := load(path)
 		if err != nil {
@@ -65,10 +65,11 @@
 	return 0
 }
 
-// NamedProtocol is something that settings choose by name.
+// NamedProtocol is a protocol that the setting protocol selects by its name.
 type NamedProtocol interface{ ProtocolName() string }
 
-// ChooseProtocol returns the one of several that the settings name.
+// ChooseProtocol returns the known protocol with the given name, or a BadSettings failure that lists
+// the known names.
 func ChooseProtocol[T NamedProtocol](name string, known ...T) (T, error) {
 	var names []string
 	for _, k := range known {
@@ -78,5 +79,5 @@
 		names = append(names, k.ProtocolName())
 	}
 	var none T
-	return none, failure.New(failure.BadSettings, "protocol %q is not known; known are %v", name, names)
+	return none, failure.New(failure.BadSettings, "protocol %q is unknown; known protocols: %v", name, names)
 }
--- a/pkg/daemon/reload.go
+++ b/pkg/daemon/reload.go
@@ -1,7 +1,6 @@
 // ================================================================
-// Settings that may change while a process runs: the file is read again on
-// SIGHUP, and when it is found changed. A file that is wrong is logged and the
-// old value stays.
+// Settings that may change while a process runs. The file is reloaded on SIGHUP and when its
+// modification time changes. If the file is invalid, the error is logged and the old value stays.
 // ================================================================
 
 package daemon
@@ -18,10 +17,11 @@
 	"github.com/go-kit/log/level"
 )
 
-// filePollInterval is the time between looks at the file.
+// filePollInterval is the time between checks of the file's modification time.
 const filePollInterval = 2 * time.Second
 
-// Reloadable is a value of a settings file that may change.
+// Reloadable is a value from a settings file that is reloaded while the process runs. Get is safe
+// for concurrent use.
 type Reloadable[T any] struct {
 	path   string
 	read   func(path string) (T, error)
@@ -30,8 +30,9 @@
 	hangup chan os.Signal
 }
 
-// NewReloadable returns a value read from path; an empty path never changes. From now on
-// SIGHUP is taken: one that came before Run would end the process.
+// NewReloadable returns a value that starts as first and is reloaded from path by read; with an
+// empty path it never changes. It handles SIGHUP from now on, since a SIGHUP before Run would
+// otherwise end the process or be missed.
 func NewReloadable[T any](path string, first T, read func(path string) (T, error), logger log.Logger) *Reloadable[T] {
 	r := &Reloadable[T]{path: path, read: read, logger: logger, hangup: make(chan os.Signal, 1)}
 	r.value.Store(&first)
@@ -39,10 +40,11 @@
 	return r
 }
 
-// Get returns the newest value.
+// Get returns the current value.
 func (r *Reloadable[T]) Get() T { return *r.value.Load() }
 
-// Run reads the file again when it is to be, until the context ends.
+// Run reloads the file on SIGHUP and when its modification time changes, until the context ends. It
+// returns nil.
 func (r *Reloadable[T]) Run(ctx context.Context) error {
 	defer signal.Stop(r.hangup)
 	ticker := time.NewTicker(filePollInterval)
@@ -87,7 +89,8 @@
 	_ = level.Info(r.logger).Log("msg", "reloaded", "settings", r.path)
 }
 
-// NewSeeds returns the seeds that settings name, read again with them.
+// NewSeeds returns the addresses of the control nodes in the settings. They are reloaded with the
+// settings file.
 func NewSeeds[T interface{ Seeds() []string }](path string, first T, load func(path string) (T, error), logger log.Logger) *Reloadable[[]string] {
 	return NewReloadable(path, first.Seeds(), func(path string) ([]string, error) {
 		reloaded, err := load(path)
--- a/pkg/daemon/reload_test.go
+++ b/pkg/daemon/reload_test.go
@@ -10,10 +10,9 @@
 	"github.com/go-kit/log"
 )
 
-// What was seen: a gateway that was told to read its settings again while it started was
-// gone, with all connections that it had. How it comes about: nobody takes SIGHUP between
-// the start of the process and the loop that waits for it, and then it ends the process.
-// What proved it: without the mend this test ends the test's own process.
+// A SIGHUP that arrives after NewReloadable and before Run causes a reload. While nothing handled
+// the signal in that window, a gateway that was told to reload during its start was terminated with
+// all its connections. Without the handler this test ends its own process.
 func TestSIGHUPBeforeRunReloads(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "settings")
 	write := func(text string) {
@@ -37,6 +36,6 @@
 		t.Fatal(err)
 	}
 	if got := r.Get(); got != "second" {
-		t.Errorf("the value is %q", got)
+		t.Errorf("the value is %q, want second", got)
 	}
 }
--- a/pkg/daemon/wake.go
+++ b/pkg/daemon/wake.go
@@ -1,7 +1,7 @@
 package daemon
 
-// Wake wakes whoever waits for a channel of one place. It never waits: who has
-// been woken and has not looked yet is not woken twice.
+// Wake sends on a channel with a buffer of one without blocking. If a value is already pending, it
+// does nothing: the receiver will wake up anyway.
 func Wake(c chan<- struct{}) {
 	select {
 	case c <- struct{}{}:
--- a/pkg/fake/command.go
+++ b/pkg/fake/command.go
@@ -1,5 +1,5 @@
 // ================================================================
-// The command line of tidepost-fake: one subcommand a stand-in.
+// The command line of tidepost-fake, with a subcommand for each fake.
 // ================================================================
 
 package fake
@@ -15,11 +15,11 @@
 	"github.com/spf13/cobra"
 )
 
-// NewCommand returns the command of tidepost-fake.
+// NewCommand returns the root command of tidepost-fake.
 func NewCommand() *cobra.Command {
 	root := &cobra.Command{
 		Use:           "tidepost-fake",
-		Short:         "Stand-ins for the demo and for tests: engine, service, origin, platform",
+		Short:         "Fake engine, service, origin and platform for the demo and tests",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
@@ -41,12 +41,12 @@
 }
 
 func newEngineCommand() *cobra.Command {
-	c := &cobra.Command{Use: "engine", Short: "A model engine"}
+	c := &cobra.Command{Use: "engine", Short: "Run a fake model engine"}
 	listen := listenFlag(c)
-	batch := c.Flags().Int("batch", 8, "requests in one batch step")
-	step := c.Flags().Duration("step", defaultStep, "time of one batch step")
-	load := c.Flags().Duration("load", 100*time.Millisecond, "time of one load")
-	fences := c.Flags().Bool("fences", false, "refuse orders with an earlier fence")
+	batch := c.Flags().Int("batch", 8, "maximum number of requests in one batch step")
+	step := c.Flags().Duration("step", defaultStep, "duration of one batch step")
+	load := c.Flags().Duration("load", 100*time.Millisecond, "duration of one load of weights")
+	fences := c.Flags().Bool("fences", false, "reject orders with a fencing token that is not newer")
 	c.RunE = func(*cobra.Command, []string) error {
 		e := NewEngine(*batch)
 		e.Step, e.LoadTime, e.ChecksFences = *step, *load, *fences
@@ -56,9 +56,9 @@
 }
 
 func newServiceCommand() *cobra.Command {
-	c := &cobra.Command{Use: "service", Short: "A plain service whose calls may not be repeated"}
+	c := &cobra.Command{Use: "service", Short: "Run a fake plain service whose calls may not be repeated"}
 	listen := listenFlag(c)
-	delay := c.Flags().Duration("delay", 0, "time of one call")
+	delay := c.Flags().Duration("delay", 0, "duration of one call")
 	c.RunE = func(*cobra.Command, []string) error {
 		s := NewService()
 		s.Delay = *delay
@@ -68,12 +68,12 @@
 }
 
 func newOriginCommand() *cobra.Command {
-	c := &cobra.Command{Use: "origin", Short: "An origin of weights", Example: "tidepost-fake origin --listen 127.0.0.1:7700 --model menu@v7 --size 8MiB --chunk 256KiB"}
+	c := &cobra.Command{Use: "origin", Short: "Run a fake origin of weights", Example: "tidepost-fake origin --listen 127.0.0.1:7700 --model menu@v7 --size 8MiB --chunk 256KiB"}
 	listen := listenFlag(c)
-	models := c.Flags().StringSlice("model", nil, "model@version to publish; may be repeated")
+	models := c.Flags().StringSlice("model", nil, "model@version to publish; the flag may be repeated")
 	size := c.Flags().String("size", "8MiB", "size of each version")
 	chunk := c.Flags().String("chunk", "256KiB", "size of a chunk")
-	perSecond := c.Flags().String("rate", "0", "bytes sent a second; 0 is no bound")
+	perSecond := c.Flags().String("rate", "0", "maximum bytes sent per second; 0 means no limit")
 	c.RunE = func(*cobra.Command, []string) error {
 		sizes, err := parseSizes(*size, *chunk, *perSecond)
 		if err != nil {
@@ -105,9 +105,9 @@
 }
 
 func newPlatformCommand() *cobra.Command {
-	c := &cobra.Command{Use: "platform", Short: "The platform's list of VMs"}
+	c := &cobra.Command{Use: "platform", Short: "Run a fake of the platform's list of VMs"}
 	listen := listenFlag(c)
-	lag := c.Flags().Duration("lag", 0, "time until a withdrawal shows in the list")
+	lag := c.Flags().Duration("lag", 0, "time until a withdrawal appears in the list")
 	c.RunE = func(*cobra.Command, []string) error { return serve(*listen, NewPlatform(*lag).Handler()) }
 	return c
 }
--- a/pkg/fake/engine.go
+++ b/pkg/fake/engine.go
@@ -1,7 +1,7 @@
 // ================================================================
-// A stand-in for a model engine: it loads weights only when every chunk is
-// there, batches continuously at a fixed step, streams, and can check fences.
-// Its tokens name the digest and the request, so that a test sees any mix.
+// A fake model engine. It loads weights only if they are complete, batches requests continuously at
+// a fixed step, streams responses, and can check fencing tokens. Each output token contains the
+// weights' digest and a hash of the request, so that a test detects mixed-up responses.
 // ================================================================
 
 package fake
@@ -30,27 +30,27 @@
 	maxRequestBytes = 16 << 20
 )
 
-// Engine is the stand-in.
+// Engine is a fake model engine. Its exported fields must not change while Handler serves requests.
 type Engine struct {
-	// Step is the time of one batch step, a token for each request in it.
+	// Step is the duration of a batch step, which produces one token for each request in it.
 	Step time.Duration
-	// Batch bounds the requests in one step; others wait.
+	// Batch is the maximum number of requests in one step, as passed to NewEngine; others wait.
 	Batch int
-	// LoadTime is how long a load takes.
+	// LoadTime is the duration of a load.
 	LoadTime time.Duration
-	// ChecksFences refuses orders with an earlier fence.
+	// ChecksFences makes the engine reject an order whose fencing token is not above the last one.
 	ChecksFences bool
 
 	mu       sync.Mutex
 	instance string
 	fence    uint64
-	models   map[string]string // digest to model
+	models   map[string]string // model names by digest
 	running  int
 	queued   int
 	slots    chan struct{}
 }
 
-// NewEngine returns an engine that serves nothing yet.
+// NewEngine returns an engine without loaded models.
 func NewEngine(batch int) *Engine {
 	return &Engine{
 		Step: defaultStep, Batch: batch,
@@ -111,19 +111,19 @@
 	writeJSON(w, e.state())
 }
 
-// verifyWeights refuses partial weights, as loading them would show.
+// verifyWeights returns an error unless the file holds the complete weights with the order's digest.
 func verifyWeights(o engine.Order) error {
 	data, err := os.ReadFile(o.Path)
 	if err != nil {
 		return err
 	}
 	if got := contract.ManifestOf(data, o.ChunkSize).Digest().String(); got != o.Digest {
-		return fmt.Errorf("weights have digest %s, not %s", got, o.Digest)
+		return fmt.Errorf("weights have digest %s, want %s", got, o.Digest)
 	}
 	return nil
 }
 
-// chatRequest are the parts of a chat request that the stand-in reads.
+// chatRequest holds the fields of a chat request that the fake engine uses.
 type chatRequest struct {
 	Model     string `json:"model"`
 	Stream    bool   `json:"stream"`
@@ -134,12 +134,12 @@
 	raw, err := io.ReadAll(io.LimitReader(r.Body, maxRequestBytes))
 	var q chatRequest
 	if err != nil || json.Unmarshal(raw, &q) != nil {
-		writeError(w, http.StatusBadRequest, "not a chat request")
+		writeError(w, http.StatusBadRequest, "the body is not a chat request")
 		return
 	}
 	digest, ok := e.digestOf(q.Model, r.Header.Get(engine.DigestHeader))
 	if !ok {
-		writeError(w, http.StatusNotFound, "model is not loaded")
+		writeError(w, http.StatusNotFound, "the model is not loaded")
 		return
 	}
 	if !e.acquireSlot(r) {
@@ -213,7 +213,7 @@
 	_, _ = io.WriteString(w, "data: [DONE]\n\n")
 }
 
-// completion is an answer, or a part of one, in the customary shape.
+// completion returns a chat completion, or a chunk of a streamed one, in the OpenAI format.
 func completion(model, field, content string) map[string]any {
 	return map[string]any{
 		"object": "chat.completion",
--- a/pkg/fake/fake.go
+++ b/pkg/fake/fake.go
@@ -1,11 +1,9 @@
 // ================================================================
-// Small stand-ins for what stands around the system: an engine, a plain
-// service, an origin of weights, the platform's list. Tests and the demo use
-// them; nothing else does.
+// Small fakes of the systems around tidepost. Only tests and the demo use them.
 // ================================================================
 
-// Package fake holds small stand-ins for engines, services, the origin of
-// weights and the platform.
+// Package fake provides fakes of a model engine, a plain service, the origin of weights and the
+// platform's list of VMs.
 package fake
 
 import (
--- a/pkg/fake/origin.go
+++ b/pkg/fake/origin.go
@@ -1,6 +1,6 @@
 // ================================================================
-// A stand-in for the origin of weights, and with a rate for the weight store.
-// Its bytes are made from a seed, so that two of them can differ or agree.
+// A fake origin of weights; with a rate limit it also serves as a fake weight store. Weights are
+// generated from a seed, so that versions can be made equal or different.
 // ================================================================
 
 package fake
@@ -23,7 +23,7 @@
 	"github.com/tidepost/tidepost/pkg/source"
 )
 
-// Origin is the stand-in.
+// Origin is a fake origin of weights. It is safe for concurrent use.
 type Origin struct {
 	chunkSize int64
 	limiter   *rate.Limiter
@@ -33,11 +33,11 @@
 	versions map[string][]byte
 }
 
-// originBurst is what passes the origin's rate at once, in bytes.
+// originBurst is the burst size of the rate limit in bytes.
 const originBurst = 64 << 10
 
-// NewOrigin returns an origin without models. A bytesPerSecond of 0 is no
-// bound.
+// NewOrigin returns an origin without models that splits weights into chunks of chunkSize bytes. A
+// bytesPerSecond of 0 means no limit.
 func NewOrigin(chunkSize int64, bytesPerSecond float64) *Origin {
 	limit := rate.Inf
 	if bytesPerSecond > 0 {
@@ -46,7 +46,7 @@
 	return &Origin{chunkSize: chunkSize, limiter: rate.NewLimiter(limit, originBurst), versions: map[string][]byte{}}
 }
 
-// Put publishes size bytes made from a seed as a version of a model.
+// Put publishes size bytes generated from a seed as a version of a model, or replaces that version.
 func (o *Origin) Put(model, version string, size int64, seed uint64) contract.Manifest {
 	data := Weights(size, seed)
 	o.mu.Lock()
@@ -55,7 +55,7 @@
 	return contract.ManifestOf(data, o.chunkSize)
 }
 
-// Weights returns size bytes made from a seed.
+// Weights returns size bytes generated from a seed.
 func Weights(size int64, seed uint64) []byte {
 	var key [32]byte
 	copy(key[:], strconv.FormatUint(seed, 10))
@@ -64,7 +64,7 @@
 	return data
 }
 
-// Sent returns the bytes of weights sent so far.
+// Sent returns the number of bytes of weights sent so far.
 func (o *Origin) Sent() int64 { return o.sent.Load() }
 
 // Handler returns the origin's HTTP interface.
@@ -104,19 +104,19 @@
 	http.ServeContent(&rateLimitedWriter{ResponseWriter: w, origin: o, ctx: r.Context()}, r, "", time.Time{}, bytes.NewReader(data))
 }
 
-// servePut changes a version: ?size=1048576&seed=7
+// servePut publishes or replaces a version, with query parameters such as ?size=1048576&seed=7.
 func (o *Origin) servePut(w http.ResponseWriter, r *http.Request) {
 	size, sizeErr := strconv.ParseInt(r.URL.Query().Get("size"), 10, 64)
 	seed, seedErr := strconv.ParseUint(r.URL.Query().Get("seed"), 10, 64)
 	if sizeErr != nil || seedErr != nil || size <= 0 {
-		writeError(w, http.StatusBadRequest, "size and seed are whole numbers")
+		writeError(w, http.StatusBadRequest, "size must be a whole number above 0 and seed a whole number of 0 or more")
 		return
 	}
 	m := o.Put(chi.URLParam(r, "model"), chi.URLParam(r, "version"), size, seed)
 	_, _ = io.WriteString(w, m.Digest().String()+"\n")
 }
 
-// rateLimitedWriter sends at the origin's rate and counts.
+// rateLimitedWriter writes at the origin's rate and counts the bytes.
 type rateLimitedWriter struct {
 	http.ResponseWriter
 	origin *Origin
--- a/pkg/fake/platform.go
+++ b/pkg/fake/platform.go
@@ -1,5 +1,5 @@
 // ================================================================
-// A stand-in for the platform's list of VMs, which lags by a set time.
+// A fake of the platform's list of VMs, which shows withdrawals after a configured lag.
 // ================================================================
 
 package fake
@@ -13,9 +13,9 @@
 	"github.com/go-chi/chi/v5"
 )
 
-// Platform is the stand-in.
+// Platform is a fake of the platform's list of VMs. It is safe for concurrent use.
 type Platform struct {
-	// Lag is how long a withdrawal takes to show in the list.
+	// Lag is the time until a withdrawal appears in the list.
 	Lag time.Duration
 
 	mu          sync.Mutex
@@ -27,14 +27,14 @@
 	return &Platform{Lag: lag, withdrawnAt: map[string]time.Time{}}
 }
 
-// Withdraw takes a VM away; the list shows it after the lag.
+// Withdraw marks a VM as leaving; the list shows it after the lag.
 func (p *Platform) Withdraw(name string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.withdrawnAt[name] = time.Now()
 }
 
-// listedVM is a line of the list.
+// listedVM is an entry of the list.
 type listedVM struct {
 	Name    string `json:"name"`
 	Leaving bool   `json:"leaving"`
--- a/pkg/fake/service.go
+++ b/pkg/fake/service.go
@@ -1,6 +1,5 @@
 // ================================================================
-// A stand-in for a plain service whose calls may not be repeated: it counts
-// how often each order ran.
+// A fake plain service whose calls may not be repeated. It counts how often each order ran.
 // ================================================================
 
 package fake
@@ -14,16 +13,16 @@
 	"github.com/go-chi/chi/v5"
 )
 
-// Service is the stand-in.
+// Service is a fake plain service. It is safe for concurrent use.
 type Service struct {
-	// Delay is how long a call takes.
+	// Delay is the duration of a call.
 	Delay time.Duration
 
 	mu   sync.Mutex
 	runs map[string]int
 }
 
-// NewService returns a service that has run nothing.
+// NewService returns a service that has run no orders.
 func NewService() *Service { return &Service{runs: map[string]int{}} }
 
 // Runs returns how often an order ran.
@@ -33,7 +32,7 @@
 	return s.runs[order]
 }
 
-// AllRuns returns how often each order ran.
+// AllRuns returns how often each order ran, by order.
 func (s *Service) AllRuns() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -44,14 +43,14 @@
 	return runs
 }
 
-// orderAnswer is the answer to an order.
+// orderAnswer is the response to an order.
 type orderAnswer struct {
 	Order string `json:"order"`
 	Runs  int    `json:"runs"`
 }
 
-// Handler returns the service's HTTP interface: POST /orders runs the body,
-// GET /runs counts.
+// Handler returns the service's HTTP interface: POST /orders runs the order in the body, and
+// GET /runs returns how often each order ran.
 func (s *Service) Handler() http.Handler {
 	r := chi.NewRouter()
 	r.Post("/orders", s.serveOrder)
--- a/pkg/faultproxy/faults.go
+++ b/pkg/faultproxy/faults.go
@@ -1,13 +1,13 @@
 // ================================================================
-// The other faults: connections are reset, and pieces held up.
+// Faults other than silence: resets and delays.
 // ================================================================
 
 package faultproxy
 
 import "time"
 
-// Reset breaks the open connections with a label that which names, at both ends,
-// and returns how many there were by label.
+// Reset resets both ends of the open connections whose label matches, and returns their number by
+// label. Silent connections are left alone.
 func (p *Proxy) Reset(match func(label string) bool) map[string]int {
 	matched, count := p.matching(match)
 	for _, c := range matched {
@@ -16,17 +16,17 @@
 	return count
 }
 
-// Delay has every piece of the connections with a label held up for as long as
-// delay says, from now on and on new connections too; nil holds up nothing. A piece
-// waits for the one before, as on a link that is narrow rather than long.
+// Delay delays every block of data by delay(label) from now on, on open and new connections; nil
+// removes the delay. A block waits for the one before it, as on a link with low bandwidth rather
+// than one with high latency.
 func (p *Proxy) Delay(delay func(label string) time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.delay = delay
 }
 
-// matching returns the open connections with a label that which names, but for those
-// that are silent already, and counts them by label.
+// matching returns the open connections whose label matches, without those that are already silent,
+// and their number by label.
 func (p *Proxy) matching(match func(label string) bool) (matched []*proxiedConn, count map[string]int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -40,7 +40,7 @@
 	return matched, count
 }
 
-// delayOf returns how long a piece of a connection is held up now.
+// delayOf returns the current delay of a block on a connection.
 func (p *Proxy) delayOf(c *proxiedConn) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/pkg/faultproxy/proxy.go
+++ b/pkg/faultproxy/proxy.go
@@ -1,19 +1,14 @@
 // ================================================================
-// A proxy on loopback that stands before one address and does to the connections
-// through it what networks do: it silences those that are open while new ones
-// pass, resets them or holds them up. It is for tests of whole programs.
+// A TCP proxy on loopback in front of one address that injects network faults, for tests of whole
+// programs. It silences open connections while new ones pass, resets them or delays their data.
 //
 //	gateway --> 127.0.0.9:7700 (proxy) --> 127.0.0.9:7701 (stager)
 //
-// Whoever dials shows in the first bytes that it sends, since on loopback all
-// dialers have one source address: Label reads who it is from them, so that the
-// connections of one kind of dialer are silenced by themselves.
-//
-// Rejected: one proxy for each pair of processes. Processes tell each other one
-// address each, so all who dial a process go to the same place.
+// There is one proxy per target, not one per pair of processes, since a process advertises a single
+// address to all others.
 // ================================================================
 
-// Package faultproxy is a proxy for tests that brings faults on connections.
+// Package faultproxy provides a TCP proxy for tests that injects faults into connections.
 package faultproxy
 
 import (
@@ -23,22 +18,23 @@
 	"time"
 )
 
-// Config says what a proxy stands before.
+// Config configures a proxy.
 type Config struct {
-	// Listen is the address of the proxy, and Target the one behind it.
+	// Listen is the address of the proxy, and Target the address that it connects to.
 	Listen, Target string
-	// Label names a connection by the first bytes that its dialer sends; all
-	// connections have the empty label when nil.
+	// Label returns the label of a connection, by which faults select connections, from the first
+	// bytes that the dialer sends. The source address would not do: on loopback it is the same for
+	// all dialers. If Label is nil, all connections have the empty label.
 	Label func(first []byte) string
 }
 
-// AcceptedConn is a connection that came: its label and when it was accepted.
+// AcceptedConn is the label of an accepted connection and the time when it was accepted.
 type AcceptedConn struct {
 	Label string
 	At    time.Time
 }
 
-// Proxy is a running proxy.
+// Proxy is a running proxy. It is safe for concurrent use.
 type Proxy struct {
 	config   Config
 	listener net.Listener
@@ -51,7 +47,7 @@
 	closed   bool
 }
 
-// Listen returns a proxy that takes connections until Close.
+// Listen starts a proxy that accepts connections until Close.
 func Listen(c Config) (*Proxy, error) {
 	if c.Label == nil {
 		c.Label = func([]byte) string { return "" }
@@ -66,18 +62,18 @@
 	return p, nil
 }
 
-// Address returns where the proxy listens.
+// Address returns the address that the proxy listens on.
 func (p *Proxy) Address() string { return p.listener.Addr().String() }
 
-// AcceptedConns returns the connections that showed their label so far, in the order
-// in which they did.
+// AcceptedConns returns the connections whose label is known, in the order in which the labels
+// became known. A connection has no label until its dialer sends data.
 func (p *Proxy) AcceptedConns() []AcceptedConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.Clone(p.accepted)
 }
 
-// Close ends the proxy and all connections, silent ones too.
+// Close stops the proxy and closes all connections, including silent ones.
 func (p *Proxy) Close() {
 	p.mu.Lock()
 	p.closed = true
@@ -101,8 +97,8 @@
 	}
 }
 
-// serve connects a dialer with the target. One that cannot be reached resets the
-// dialer's connection, as a port without a listener does.
+// serve connects a dialer to the target. If the target is unreachable, it resets the dialer's
+// connection, as a port without a listener does.
 func (p *Proxy) serve(dialer *net.TCPConn, at time.Time) {
 	defer p.running.Done()
 	conn, err := net.Dial("tcp", p.config.Target)
@@ -117,13 +113,14 @@
 	}
 	c.forward(func(first []byte) { p.setLabel(c, first, at) }, func() time.Duration { return p.delayOf(c) })
 	if c.isSilent() {
-		// It stays open until Close: its ends must not hear that it is over.
+		// A silent connection stays open until Close, so that neither end sees it closed.
 		return
 	}
 	c.close()
 	p.remove(c)
 }
 
+// add registers a connection. It returns false if the proxy is closed.
 func (p *Proxy) add(c *proxiedConn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -140,6 +137,8 @@
 	delete(p.conns, c)
 }
 
+// setLabel labels a connection by the dialer's first bytes and records it as accepted at the given
+// time.
 func (p *Proxy) setLabel(c *proxiedConn, first []byte, at time.Time) {
 	label := p.config.Label(first)
 	p.mu.Lock()
--- a/pkg/faultproxy/proxy_test.go
+++ b/pkg/faultproxy/proxy_test.go
@@ -13,7 +13,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// startEchoServer is a server that sends back every line that comes.
+// startEchoServer starts a server that sends back all data and returns its address.
 func startEchoServer(t *testing.T) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -35,7 +35,7 @@
 	return l.Addr().String()
 }
 
-// firstWord labels a connection by its first word.
+// firstWord labels a connection by the first word that its dialer sends.
 func firstWord(first []byte) string {
 	word, _, _ := strings.Cut(string(first), " ")
 	return word
@@ -50,7 +50,7 @@
 	return p
 }
 
-// lineConn is a connection that speaks in lines.
+// lineConn is a connection with a buffered reader for lines.
 type lineConn struct {
 	*net.TCPConn
 	reader *bufio.Reader
@@ -65,18 +65,18 @@
 	return lineConn{conn.(*net.TCPConn), bufio.NewReader(conn)}
 }
 
-// mustEcho sends a line and waits for it to come back.
+// mustEcho sends a line and fails the test unless the same line comes back.
 func (l lineConn) mustEcho(t *testing.T, text string) {
 	t.Helper()
 	if _, err := io.WriteString(l, text+"\n"); err != nil {
 		t.Fatal(err)
 	}
 	if got, err := l.reader.ReadString('\n'); err != nil || got != text+"\n" {
-		t.Fatalf("%q came back, %v", got, err)
+		t.Fatalf("echo %q, %v", got, err)
 	}
 }
 
-// mustBeSilent checks that nothing comes within a moment: neither bytes nor an end.
+// mustBeSilent fails the test if data, an end of stream or a reset arrives within a short time.
 func (l lineConn) mustBeSilent(t *testing.T) {
 	t.Helper()
 	const window = 50 * time.Millisecond
@@ -84,7 +84,7 @@
 	rest, err := l.reader.ReadString('\n')
 	var timeout net.Error
 	if rest != "" || !errors.As(err, &timeout) || !timeout.Timeout() {
-		t.Fatalf("%q came, %v", rest, err)
+		t.Fatalf("received %q, %v; want a timeout", rest, err)
 	}
 	_ = l.SetReadDeadline(time.Time{})
 }
@@ -106,7 +106,7 @@
 			fresh.mustEcho(t, "fresh one")
 			old.mustBeSilent(t)
 			if n := p.Silence(AllLabels, m); n["old"] != 0 || n["fresh"] != 1 {
-				t.Fatalf("the second time silenced %v", n)
+				t.Fatalf("second call silenced %v", n)
 			}
 			fresh.mustBeSilent(t)
 			dial(t, p).mustEcho(t, "third one")
@@ -128,13 +128,13 @@
 	b.mustEcho(t, "b three")
 }
 
-// A connection may go silent before its dialer has said anything.
+// A connection can go silent before its dialer has sent data; its label is empty then.
 func TestSilenceBeforeTheFirstByte(t *testing.T) {
 	p := listen(t, startEchoServer(t))
 	early := dial(t, p)
 	dial(t, p).mustEcho(t, "later one") // the proxy accepts in order
 	for p.Silence(func(label string) bool { return label == "" }, SilenceOptions{})[""] == 0 {
-		// The target is being dialed for it.
+		// The proxy has accepted the connection but may still be connecting to the target.
 	}
 	if _, err := io.WriteString(early, "early one\n"); err != nil {
 		t.Fatal(err)
@@ -150,12 +150,12 @@
 	if _, err := io.WriteString(l, "l 23456789\n"); err != nil {
 		t.Fatal(err)
 	}
-	// Half goes to the server, and the half that it echoes is lost.
+	// The server gets half of the line, and its echo is lost.
 	l.mustBeSilent(t)
 }
 
-// Lost packets are not acknowledged: the writer's own limit on that tells it, and
-// nothing else does. Where they are acknowledged it hears of nothing.
+// Data on a silent connection is not acknowledged, so TCP_USER_TIMEOUT ends the connection. With
+// Acknowledged, the data is acknowledged and the writer gets no error.
 func TestLostPacketsAreNotAcknowledged(t *testing.T) {
 	for name, m := range map[string]SilenceOptions{"lost": {}, "acknowledged": {Acknowledged: true}} {
 		t.Run(name, func(t *testing.T) {
@@ -183,13 +183,13 @@
 				return
 			}
 			if _, err := l.reader.ReadString('\n'); !errors.Is(err, syscall.ETIMEDOUT) {
-				t.Fatalf("not acknowledged for %d ms: %v", limitMs, err)
+				t.Fatalf("read after %d ms without acknowledgement: %v, want ETIMEDOUT", limitMs, err)
 			}
 		})
 	}
 }
 
-// unsent returns the bytes that the other side has not acknowledged.
+// unsent returns the number of bytes that the peer has not acknowledged.
 func unsent(t *testing.T, l lineConn) (n int) {
 	raw, err := l.SyscallConn()
 	if err != nil {
@@ -202,7 +202,7 @@
 	return n
 }
 
-// A writer to a silent connection waits in the end: nobody takes what it sends.
+// A writer to a silent connection blocks once the socket buffers are full.
 func TestWriterToSilentConnectionBlocks(t *testing.T) {
 	for name, m := range map[string]SilenceOptions{"lost": {}, "acknowledged": {Acknowledged: true}} {
 		t.Run(name, func(t *testing.T) {
@@ -241,7 +241,7 @@
 	}
 	target := unused.Addr().String()
 	_ = unused.Close()
-	// The reset may come while the connection is being made or after it.
+	// The reset may arrive during or after the handshake.
 	conn, err := net.Dial("tcp", listen(t, target).Address())
 	if err == nil {
 		defer conn.Close()
@@ -263,7 +263,7 @@
 	}
 }
 
-// One way goes silent and the other one does not.
+// Silence in one direction leaves the other direction working.
 func TestSilenceInOneDirection(t *testing.T) {
 	t.Run("to the target", func(t *testing.T) {
 		p := listen(t, startEchoServer(t))
@@ -309,16 +309,16 @@
 func mustRead(t *testing.T, from *bufio.Reader, want string) {
 	t.Helper()
 	if got, err := from.ReadString('\n'); err != nil || got != want {
-		t.Fatalf("%q came, %v", got, err)
+		t.Fatalf("received %q, %v", got, err)
 	}
 }
 
-// startSinkServer is a server that hands on what comes and answers nothing.
+// startSinkServer starts a server that copies received data to a writer and sends nothing.
 func startSinkServer(t *testing.T, to io.Writer) string {
 	return startSingleConnServer(t, func(conn net.Conn) { _, _ = io.Copy(to, conn) })
 }
 
-// startGreetingServer is a server that sends what it is given.
+// startGreetingServer starts a server that sends each text that it receives from a channel.
 func startGreetingServer(t *testing.T, greeting <-chan string) string {
 	return startSingleConnServer(t, func(conn net.Conn) {
 		for {
@@ -332,7 +332,8 @@
 	})
 }
 
-// startSingleConnServer serves the first connection that comes.
+// startSingleConnServer starts a server that serves only the first connection, and returns its
+// address.
 func startSingleConnServer(t *testing.T, serve func(net.Conn)) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -363,7 +364,7 @@
 	dial(t, p).mustEcho(t, "fresh one")
 }
 
-// A piece comes no sooner than it is held up, there and back.
+// Each direction delays a block, so an echo takes at least twice the delay.
 func TestDelayAppliesInBothDirections(t *testing.T) {
 	const delay = 20 * time.Millisecond
 	p := listen(t, startEchoServer(t))
@@ -378,6 +379,6 @@
 	started := time.Now()
 	slow.mustEcho(t, "slow one")
 	if took := time.Since(started); took < 2*delay {
-		t.Fatalf("there and back in %s", took)
+		t.Fatalf("echo in %s", took)
 	}
 }
--- a/pkg/faultproxy/silence.go
+++ b/pkg/faultproxy/silence.go
@@ -1,20 +1,6 @@
 // ================================================================
-// Silence: a connection that stays open at both ends and carries nothing any
-// more, as behind a router that has forgotten it.
-//
-// On loopback the kernel of the proxy's end goes on to acknowledge what comes,
-// also where nobody reads it; a network that loses packets acknowledges nothing,
-// and the writer's own limits (TCP_USER_TIMEOUT, keep-alive probes) tell it so in
-// the end. So the packets that come to a silent socket are dropped before TCP
-// sees them, by a filter on that socket, which needs no privilege. The writer
-// gets no error but the one that it would get from such a network.
-//
-// Nothing is read either. To read and throw away would let a writer send for
-// ever; with a lost network its buffer fills up and it waits.
-//
-// Some networks have a middle box that acknowledges for the other side and then
-// loses what it holds: Manner.Acknowledged. There the limits of TCP tell nothing,
-// and only who expects an answer notices.
+// Silent connections: both ends stay open, but no data passes any more, as behind a router that has
+// dropped the connection from its table.
 // ================================================================
 
 package faultproxy
@@ -25,67 +11,74 @@
 	"golang.org/x/sys/unix"
 )
 
-// SilenceOptions says how connections go silent. The zero value loses every packet from
-// now on.
+// SilenceOptions defines how connections go silent. The zero value drops every packet in both
+// directions from now on.
 type SilenceOptions struct {
-	// Acknowledged says that what is sent is still acknowledged, as far as the
-	// buffers of the kernel go.
+	// Acknowledged makes the proxy's kernel acknowledge data until its buffers are full, as a
+	// middlebox does that acknowledges for the peer and then loses the data. TCP_USER_TIMEOUT and
+	// keep-alive probes do not detect this; only a missing response shows it.
 	Acknowledged bool
-	// Midway passes half of the next piece that comes either way, and is silent
-	// only then: the silence falls into the middle of a message.
+	// Midway forwards half of the next block from either end and starts the silence then, so that
+	// it begins in the middle of a message.
 	Midway bool
-	// Direction is the way that goes silent; both when it is not set. What comes the
-	// other way still arrives, but for the acknowledgements of the silent one.
+	// Direction is the direction that goes silent; 0 means both. Data in the other direction still
+	// arrives, but the acknowledgements for the silent direction do not.
 	Direction Direction
 }
 
 // Direction is a direction of a connection.
 type Direction int
 
-// The ways.
+// The directions.
 const (
 	ToTarget Direction = iota + 1
 	ToDialer
 )
 
-func (m SilenceOptions) affects(toTarget bool) bool {
-	return m.Direction == 0 || (m.Direction == ToTarget) == toTarget
+// affects reports whether the options silence the direction to the target or the one to the dialer.
+func (o SilenceOptions) affects(toTarget bool) bool {
+	return o.Direction == 0 || (o.Direction == ToTarget) == toTarget
 }
 
-// Silence makes the open connections with a label that which names silent for
-// good, and returns how many there were by label. New ones pass. But for
-// Manner.Midway, nothing is passed on any more once it returns.
-func (p *Proxy) Silence(match func(label string) bool, m SilenceOptions) map[string]int {
+// Silence makes the open connections whose label matches silent for good, and returns their number
+// by label. New connections are not affected. After it returns, no more data passes in the affected
+// directions, except with SilenceOptions.Midway, where the silence begins with the next block.
+//
+// A silent connection is not read: reading and discarding would let a writer send for ever, while
+// on a broken network its buffer fills up and it blocks.
+func (p *Proxy) Silence(match func(label string) bool, o SilenceOptions) map[string]int {
 	matched, count := p.matching(match)
 	for _, c := range matched {
-		if m.Midway {
-			c.midway.Store(&m)
+		if o.Midway {
+			c.midway.Store(&o)
 		} else {
-			c.silence(m)
+			c.silence(o)
 		}
 	}
-	if m.Midway {
+	if o.Midway {
 		return count
 	}
 	for _, c := range matched {
-		for _, w := range c.pipes(m) {
-			<-w.done
+		for _, d := range c.pipes(o) {
+			<-d.done
 		}
 	}
 	return count
 }
 
-// AllLabels chooses the connections of all labels.
+// AllLabels matches every label.
 func AllLabels(string) bool { return true }
 
-// dropPackets drops every packet that comes to a socket. Where the kernel has no
-// such filter, what is sent is acknowledged.
+// dropPackets drops every packet that arrives at a socket before TCP processes it, with a socket
+// filter, which needs no privilege. Without it the kernel would acknowledge data that nobody reads,
+// while on a network that loses packets the writer notices the loss by TCP_USER_TIMEOUT or keep-alive
+// probes. If the kernel does not support the filter, data is still acknowledged.
 func dropPackets(conn *net.TCPConn) {
 	raw, err := conn.SyscallConn()
 	if err != nil {
 		return
 	}
-	// One instruction: pass on nothing of a packet.
+	// A filter of one instruction: accept 0 bytes of the packet.
 	dropAll := []unix.SockFilter{{Code: unix.BPF_RET | unix.BPF_K}}
 	_ = raw.Control(func(fd uintptr) {
 		_ = unix.SetsockoptSockFprog(int(fd), unix.SOL_SOCKET, unix.SO_ATTACH_FILTER, &unix.SockFprog{Len: 1, Filter: &dropAll[0]})
--- a/pkg/settings/gateway.go
+++ b/pkg/settings/gateway.go
@@ -6,64 +6,65 @@
 
 import "time"
 
-// Gateway are the settings of a gateway.
+// Gateway holds the settings of a gateway.
 //
 //wire:accessors
 type Gateway struct {
-	// common are the settings that all daemons have.
+	// common holds the settings that all daemons share.
 	common Common
-	// protocol names the protocol that callers and backend servers speak.
+	// protocol is the name of the protocol that callers and backend servers use.
 	protocol string
-	// listen is where callers send requests.
+	// listen is the address for callers' requests.
 	listen string
-	// readyListen is where the balancer asks whether to send callers here.
+	// readyListen is the address of the readiness check for the load balancer.
 	readyListen string
-	// seeds are addresses of control nodes.
+	// seeds are addresses of control nodes to contact first.
 	seeds []string
-	// drainNotice is how long callers are still taken after readiness turned.
+	// drainNotice is how long new requests are accepted after the readiness check fails.
 	drainNotice time.Duration
-	// drainLimit is how long a planned stop may take in all.
+	// drainLimit is the maximum total time of a planned stop.
 	drainLimit time.Duration
-	// retryRatio is how many repeats a hundred requests may cause.
+	// retryRatio is the number of retries allowed per 100 requests of a service.
 	retryRatio int
-	// retryReserve is how many more all gateways together may cause.
+	// retryReserve is the number of further retries that all gateways together may make per window.
 	retryReserve float64
-	// retryWindow is the time over which repeats are counted.
+	// retryWindow is the time window over which retries are counted.
 	retryWindow time.Duration
-	// rolloutLimit is the time within which new weights are to be in force.
+	// rolloutLimit is the time after a version's acknowledgement at which older versions stop
+	// receiving requests.
 	rolloutLimit time.Duration
-	// memory is what the process may use, in bytes.
+	// memory is the memory limit of the process in bytes.
 	memory int64
-	// maxConnections bounds the callers' connections.
+	// maxConnections is the maximum number of callers' connections.
 	maxConnections int
 }
 
 func gatewayCommon(s *Gateway) *Common { return &s.common }
 
-// GatewayKeys is the table of a gateway's settings.
+// GatewayKeys returns the keys of a gateway's settings file.
 func GatewayKeys() []Key[Gateway] {
 	return append(commonKeys(gatewayCommon), []Key[Gateway]{
-		{Path: "protocol", Default: "own", ValueKind: kindProtocol, Doc: "protocol that callers and backend servers speak",
+		{Path: "protocol", Default: "own", ValueKind: kindProtocol, Doc: "protocol that callers and backend servers use",
 			set: text(func(s *Gateway) *string { return &s.protocol })},
-		{Path: "callers.listen", Required: true, ValueKind: kindAddress, Doc: "where callers send requests",
+		{Path: "callers.listen", Required: true, ValueKind: kindAddress, Doc: "address for callers' requests",
 			set: address(func(s *Gateway) *string { return &s.listen })},
-		{Path: "ready.listen", Required: true, ValueKind: kindAddress, Doc: "where the balancer asks whether to send callers here",
+		{Path: "ready.listen", Required: true, ValueKind: kindAddress, Doc: "address of the readiness check for the load balancer",
 			set: address(func(s *Gateway) *string { return &s.readyListen })},
-		{Path: "control.seeds", Required: true, ValueKind: kindAddressList, Doc: "addresses of control nodes; links go to the port of peers.listen there",
+		{Path: "control.seeds", Required: true, ValueKind: kindAddressList, Doc: "addresses of control nodes; links use the port of this process's peers.advertise there",
 			set: addresses(func(s *Gateway) *[]string { return &s.seeds })},
-		{Path: "drain.notice", Default: "3s", ValueKind: kindDuration, Doc: "how long callers are still taken after readiness has turned",
+		{Path: "drain.notice", Default: "3s", ValueKind: kindDuration, Doc: "how long new requests are accepted after the readiness check fails",
 			set: duration(0, 10*time.Minute, func(s *Gateway) *time.Duration { return &s.drainNotice })},
-		{Path: "drain.limit", Default: "8s", ValueKind: kindDuration, Doc: "how long a planned stop may take in all",
+		{Path: "drain.limit", Default: "8s", ValueKind: kindDuration, Doc: "maximum total time of a planned stop",
 			set: duration(time.Second, time.Hour, func(s *Gateway) *time.Duration { return &s.drainLimit })},
-		{Path: "retries.ratio", Default: "20", ValueKind: kindCount, Doc: "repeats that a hundred requests of a service may cause",
+		{Path: "retries.ratio", Default: "20", ValueKind: kindCount, Doc: "number of retries allowed per 100 requests of a service",
 			set: count(0, 100, func(s *Gateway) *int { return &s.retryRatio })},
-		{Path: "retries.reserve", Default: "20", ValueKind: kindNumber, Doc: "repeats that all gateways together may cause besides, in a window",
+		{Path: "retries.reserve", Default: "20", ValueKind: kindNumber, Doc: "number of further retries that all gateways together may make per window",
 			set: number(0, 1<<20, func(s *Gateway) *float64 { return &s.retryReserve })},
-		{Path: "retries.window", Default: "10s", ValueKind: kindDuration, Doc: "time over which repeats are counted",
+		{Path: "retries.window", Default: "10s", ValueKind: kindDuration, Doc: "time window over which retries are counted",
 			set: duration(time.Second, 10*time.Minute, func(s *Gateway) *time.Duration { return &s.retryWindow })},
-		{Path: "weights.within", Default: "1m", ValueKind: kindDuration, Doc: "time after a version's acknowledgement from which older weights get no requests",
+		{Path: "weights.within", Default: "1m", ValueKind: kindDuration, Doc: "time after a version's acknowledgement at which older versions stop receiving requests",
 			set: duration(time.Second, MaxRolloutLimit, func(s *Gateway) *time.Duration { return &s.rolloutLimit })},
-		{Path: "requests.max_connections", Default: "2048", ValueKind: kindCount, Doc: "most connections of callers",
+		{Path: "requests.max_connections", Default: "2048", ValueKind: kindCount, Doc: "maximum number of callers' connections",
 			set: count(1, 1<<20, func(s *Gateway) *int { return &s.maxConnections })},
 		memoryKey(func(s *Gateway) *int64 { return &s.memory }),
 	}...)
@@ -81,8 +82,8 @@
 	return s, checkDistinctListeners(path, s.listen, s.readyListen, s.common.peersListen, s.common.observeListen)
 }
 
-// memoryKey is the key of the memory that a process may use.
+// memoryKey returns the key of a process's memory limit.
 func memoryKey[T any](field func(*T) *int64) Key[T] {
-	return Key[T]{Path: "limits.memory", Default: "128MiB", ValueKind: kindBytes, Doc: "memory that the process may use; the collector keeps below it",
+	return Key[T]{Path: "limits.memory", Default: "128MiB", ValueKind: kindBytes, Doc: "memory limit of the process; the garbage collector keeps memory use below it",
 		set: size(16<<20, 1<<40, field)}
 }
--- a/pkg/settings/key.go
+++ b/pkg/settings/key.go
@@ -1,17 +1,15 @@
 // ================================================================
-// A settings file is YAML; a table of keys says what may stand in it. The
-// table drives reading, checking, defaults and docs/SETTINGS.md, so that these
-// cannot differ.
+// Parsing of settings files: YAML, flattened to dotted keys that a table defines.
 //
 //	requests:
 //	  max_body: 1MiB        <- key requests.max_body, line 2
 //
-// The file is flattened to dotted keys first. A struct with YAML tags would be
-// shorter, but its errors name Go types, and it can tell neither the line of a
-// bad unit nor which required key is missing.
+// One table drives parsing, checks, defaults and docs/SETTINGS.md, so that they agree. Decoding into
+// a struct with YAML tags would not do: its errors name Go types and give neither the line of an
+// invalid unit nor the missing required key.
 // ================================================================
 
-// Package settings reads and checks the settings files of the daemons.
+// Package settings parses and checks the settings files of the daemons.
 package settings
 
 //go:generate go run github.com/tidepost/tidepost/tools/wiregen
@@ -27,34 +25,36 @@
 	"github.com/tidepost/tidepost/pkg/failure"
 )
 
-// Key describes one key of a settings file that fills a T.
+// Key describes one key of a settings file for settings T.
 type Key[T any] struct {
-	// Path is the dotted name of the key.
+	// Path is the dotted name of the key, such as requests.max_body.
 	Path string
-	// Default is the text used when the key is missing; empty is none.
+	// Default is the value of a missing key, as text; if it is empty, there is no default.
 	Default string
-	// Required refuses a file without the key.
+	// Required is set if a file without the key is rejected.
 	Required bool
-	// ValueKind says what kind of value it takes, for the reference page.
+	// ValueKind describes the values that the key takes, for the reference page and errors.
 	ValueKind string
-	// Doc says what it does.
+	// Doc describes the effect of the key.
 	Doc string
-	// set puts the value into the settings; its error is the reason only.
+	// set parses a value into the settings. Its error holds only the reason; parse adds the file,
+	// line and key.
 	set func(t *T, v value) error
 }
 
-// value is the value of one key with its place in the file.
+// value is the value of one key. The field that matches its YAML kind is set: text and items for a
+// scalar, items for a sequence, pairs for a mapping.
 type value struct {
 	text  string
 	items []string
 	pairs map[string]string
-	line  int
+	line  int // 0 for a default
 }
 
 // ----------------------------------------------------------------
-// Reading
+// Parsing
 
-// load fills t from a file by a table of keys.
+// load parses the settings file at path into t.
 func load[T any](path string, keys []Key[T], t *T) error {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -93,8 +93,8 @@
 	return paths
 }
 
-// flatten returns the values by dotted key, and refuses keys that are unknown
-// or that stand twice.
+// flatten returns the values of a settings file by dotted key. It rejects unknown and duplicate
+// keys.
 func flatten(path string, raw []byte, known map[string]bool) (map[string]value, error) {
 	var document yaml.Node
 	if err := yaml.Unmarshal(raw, &document); err != nil {
@@ -119,7 +119,7 @@
 		key, child := n.Content[i], n.Content[i+1]
 		path := strings.TrimPrefix(prefix+"."+key.Value, ".")
 		if _, duplicate := found[path]; duplicate {
-			return fmt.Errorf("line %d: key %s stands twice", key.Line, path)
+			return fmt.Errorf("line %d: duplicate key %s", key.Line, path)
 		}
 		if known[path] {
 			v, err := readValue(child)
@@ -130,7 +130,7 @@
 			continue
 		}
 		if child.Kind != yaml.MappingNode || !hasPrefix(known, path+".") {
-			return fmt.Errorf("line %d: key %s is unknown; %s", key.Line, path, knownInSection(known, path))
+			return fmt.Errorf("line %d: unknown key %s; %s", key.Line, path, knownInSection(known, path))
 		}
 		if err := flattenInto(found, known, path, child); err != nil {
 			return err
@@ -150,7 +150,7 @@
 	case yaml.MappingNode:
 		return v, n.Decode(&v.pairs)
 	default:
-		return v, fmt.Errorf("aliases are not read")
+		return v, fmt.Errorf("YAML aliases are not supported")
 	}
 }
 
@@ -163,7 +163,7 @@
 	return false
 }
 
-// knownInSection names the known keys of the same section.
+// knownInSection returns a hint that lists the known keys in the section of path.
 func knownInSection(known map[string]bool, path string) string {
 	section := ""
 	if i := strings.LastIndex(path, "."); i >= 0 {
@@ -179,5 +179,5 @@
 		return "see docs/SETTINGS.md"
 	}
 	sort.Strings(siblings)
-	return "known are " + strings.Join(siblings, ", ")
+	return "known keys: " + strings.Join(siblings, ", ")
 }
--- a/pkg/settings/settings_test.go
+++ b/pkg/settings/settings_test.go
@@ -2,8 +2,7 @@
 
 import "testing"
 
-// FuzzEntrySettings feeds the reader with anything: it must return settings or
-// an error, and never panic.
+// FuzzEntrySettings checks that parsing any input returns settings or an error and never panics.
 func FuzzEntrySettings(f *testing.F) {
 	f.Add([]byte("vm: {name: entry-1, region: north, failure_domain: north-a}\npeers: {listen: \"127.0.0.1:7001\"}\ncallers: {listen: \"127.0.0.1:7011\"}"))
 	f.Add([]byte("vm: &a {name: *a}"))
--- a/pkg/settings/values.go
+++ b/pkg/settings/values.go
@@ -1,5 +1,6 @@
 // ================================================================
-// The kinds of values: one function each that reads a value into a field.
+// The kinds of values. Each kind has a function that returns a setter for Key: it parses a value,
+// checks it and stores it in a field.
 // ================================================================
 
 package settings
@@ -14,7 +15,7 @@
 	"github.com/pkg/errors"
 )
 
-// Units, as docs/SETTINGS.md shows them.
+// Descriptions of the kinds of values, as docs/SETTINGS.md and errors show them.
 const (
 	kindText        = "a text"
 	kindAddress     = "an address IP:PORT"
@@ -58,10 +59,10 @@
 		return err
 	}
 	if net.ParseIP(host) == nil {
-		return fmt.Errorf("%q is not an IP number", host)
+		return fmt.Errorf("%q is not an IP address", host)
 	}
 	if n, err := strconv.ParseUint(port, 10, 16); err != nil || n == 0 {
-		return fmt.Errorf("%q is not a port", port)
+		return fmt.Errorf("%q is not a port number", port)
 	}
 	return nil
 }
@@ -78,8 +79,8 @@
 	}
 }
 
-// MaxRolloutLimit is the longest time that may be agreed on for new weights to be in
-// force. Control nodes tell a version for as long as somebody can wait for it.
+// MaxRolloutLimit is the upper bound of the setting weights.within. Control nodes keep publishing a
+// version for as long as a process may wait for it, which this bound limits.
 const MaxRolloutLimit = time.Hour
 
 func duration[T any](least, most time.Duration, field func(*T) *time.Duration) func(*T, value) error {
@@ -124,14 +125,14 @@
 	}
 }
 
-// number reads a number that may be a fraction.
+// number parses a number that may have a fraction.
 func number[T any](least, most float64, field func(*T) *float64) func(*T, value) error {
 	return func(t *T, v value) error {
 		n, err := strconv.ParseFloat(v.text, 64)
 		if err != nil {
 			return errors.Errorf("%q is not a number", v.text)
 		}
-		// Written so that a value that is no number is refused too.
+		// The negated form also rejects NaN.
 		if !(n >= least && n <= most) {
 			return errors.Errorf("%v is not between %v and %v", n, least, most)
 		}
--- a/pkg/settings/wire_generated.go
+++ b/pkg/settings/wire_generated.go
@@ -6,43 +6,43 @@
 	"time"
 )
 
-// Common are the settings that both daemons have.
+// Common holds the settings that all daemons share.
 func (a Agent) Common() Common { return a.common }
 
 // Entries are the link addresses of the failure domain's entries.
 func (a Agent) Entries() []string { return a.entries }
 
-// Labels are the VM's own labels.
+// Labels are the labels of the VM.
 func (a Agent) Labels() map[string]string { return a.labels }
 
-// EngineURL is where the model engine listens; may be empty.
+// EngineURL is the URL of the model engine; it may be empty.
 func (a Agent) EngineURL() string { return a.engineURL }
 
-// EngineChecksFences says that the engine checks who gives it an order.
+// EngineChecksFences is set if the engine rejects orders with an older fencing token.
 func (a Agent) EngineChecksFences() bool { return a.engineChecksFences }
 
-// OrderLimit is the longest that an engine may take for an order.
+// OrderLimit is the maximum time for an order to the engine.
 func (a Agent) OrderLimit() time.Duration { return a.orderLimit }
 
-// Services are the plain services, name to URL.
+// Services maps the names of the plain services on this VM to their URLs.
 func (a Agent) Services() map[string]string { return a.services }
 
-// Heartbeat is the time between heartbeats.
+// Heartbeat is the time between heartbeats to each entry.
 func (a Agent) Heartbeat() time.Duration { return a.heartbeat }
 
-// ChunkRate bounds the chunk traffic in bytes a second, each way.
+// ChunkRate is the limit of the chunk traffic in bytes per second, in each direction.
 func (a Agent) ChunkRate() int64 { return a.chunkRate }
 
-// MaxUploads bounds the chunks sent at one time.
+// MaxUploads is the maximum number of chunks sent at the same time.
 func (a Agent) MaxUploads() int { return a.maxUploads }
 
-// MaxInFlight bounds the requests in flight.
+// MaxInFlight is the maximum number of requests in flight.
 func (a Agent) MaxInFlight() int { return a.maxInFlight }
 
-// DrainLimit is how long requests in flight may take to end.
+// DrainLimit is the maximum time for requests in flight to complete during a drain.
 func (a Agent) DrainLimit() time.Duration { return a.drainLimit }
 
-// Name is the VM's name, unique among those that live.
+// Name is the VM's name, unique among running VMs.
 func (c Common) Name() string { return c.name }
 
 // Region is the VM's region.
@@ -51,169 +51,170 @@
 // Domain is the VM's failure domain.
 func (c Common) Domain() string { return c.domain }
 
-// PeersListen is where other processes and operators reach it.
+// PeersListen is the address on which other processes and operators reach this process.
 func (c Common) PeersListen() string { return c.peersListen }
 
-// PeersAdvertise is the address that others are told; the listen address
-// unless it differs.
+// PeersAdvertise is the address that this process gives to others; it defaults to the listen
+// address.
 func (c Common) PeersAdvertise() string { return c.peersAdvertise }
 
-// KeyFile holds the key that all processes share; may be empty.
+// KeyFile is the path of the file with the key that all processes share; it may be empty.
 func (c Common) KeyFile() string { return c.keyFile }
 
-// TlsCertificate tlsCertificate, tlsKey and tlsAuthority are the files of mutual TLS.
+// TlsCertificate is the path of the certificate for mutual TLS; it may be empty.
 func (c Common) TlsCertificate() string { return c.tlsCertificate }
 
-// TlsKey returns the field of that name.
+// TlsKey is the path of the certificate's private key.
 func (c Common) TlsKey() string { return c.tlsKey }
 
-// TlsAuthority returns the field of that name.
+// TlsAuthority is the path of the authority's certificate.
 func (c Common) TlsAuthority() string { return c.tlsAuthority }
 
-// Unsecured says that whoever reaches the peers' address is trusted.
+// Unsecured is set if every host that reaches the peers' address is trusted.
 func (c Common) Unsecured() bool { return c.unsecured }
 
-// ObserveListen is where /metrics and /healthz are served; may be empty.
+// ObserveListen is the address of /metrics and /healthz; it may be empty.
 func (c Common) ObserveListen() string { return c.observeListen }
 
-// DataFolder is where state and weights lie; may be empty on an entry.
+// DataFolder is the folder for state and weights; it may be empty on an entry.
 func (c Common) DataFolder() string { return c.dataFolder }
 
-// LogLevel is debug, info, warn or error.
+// LogLevel is the lowest level that is logged: debug, info, warn or error.
 func (c Common) LogLevel() string { return c.logLevel }
 
-// Common are the settings that all daemons have.
+// Common holds the settings that all daemons share.
 func (c Control) Common() Common { return c.common }
 
-// Protocol names the protocol that operators and backend servers speak.
+// Protocol is the name of the protocol that operators and backend servers use.
 func (c Control) Protocol() string { return c.protocol }
 
-// Listen is where operators and backend servers call.
+// Listen is the address for operators and backend servers.
 func (c Control) Listen() string { return c.listen }
 
-// Seeds are addresses of control nodes.
+// Seeds are addresses of control nodes to contact first.
 func (c Control) Seeds() []string { return c.seeds }
 
-// Bootstrap allows forming a new cluster on an empty folder.
+// Bootstrap allows the node to form a new cluster if its data folder is empty.
 func (c Control) Bootstrap() bool { return c.bootstrap }
 
-// ToleratedFailures is how many control nodes may be lost at one time.
+// ToleratedFailures is the number of control nodes that may fail at the same time.
 func (c Control) ToleratedFailures() int { return c.toleratedFailures }
 
 // Heartbeat is the time between two heartbeats of a backend server.
 func (c Control) Heartbeat() time.Duration { return c.heartbeat }
 
-// Cache has the node keep the newest weights for the stagers.
+// Cache is set if the node keeps the newest weights for the stagers.
 func (c Control) Cache() bool { return c.cache }
 
-// Memory is what the process may use, in bytes.
+// Memory is the memory limit of the process in bytes.
 func (c Control) Memory() int64 { return c.memory }
 
-// Common are the settings that both daemons have.
+// Common holds the settings that all daemons share.
 func (e Entry) Common() Common { return e.common }
 
-// CallersListen is where callers send requests.
+// CallersListen is the address for callers' requests.
 func (e Entry) CallersListen() string { return e.callersListen }
 
 // Entries are the link addresses of the other entries.
 func (e Entry) Entries() []string { return e.entries }
 
-// Voter says that this entry keeps the control log.
+// Voter is set if this entry stores the control log and votes in it.
 func (e Entry) Voter() bool { return e.voter }
 
-// MaxBody bounds a request body, in bytes.
+// MaxBody is the maximum size of a request body in bytes.
 func (e Entry) MaxBody() int64 { return e.maxBody }
 
-// MaxHeader bounds a request's headers, in bytes.
+// MaxHeader is the maximum total size of a request's headers in bytes.
 func (e Entry) MaxHeader() int64 { return e.maxHeader }
 
-// MaxConnections bounds the callers' connections.
+// MaxConnections is the maximum number of callers' connections.
 func (e Entry) MaxConnections() int { return e.maxConnections }
 
-// MaxInFlight bounds the requests in flight.
+// MaxInFlight is the maximum number of requests in flight.
 func (e Entry) MaxInFlight() int { return e.maxInFlight }
 
-// DefaultDeadline is for requests that name none.
+// DefaultDeadline is the deadline of requests that set none.
 func (e Entry) DefaultDeadline() time.Duration { return e.defaultDeadline }
 
-// MaxDeadline bounds what a request may name.
+// MaxDeadline is the longest deadline that a request may set.
 func (e Entry) MaxDeadline() time.Duration { return e.maxDeadline }
 
-// RetryBudget is how many retries a hundred requests may cause.
+// RetryBudget is the number of retries allowed per 100 requests.
 func (e Entry) RetryBudget() int { return e.retryBudget }
 
-// DrainNotice is how long callers are still taken after readyz turned.
+// DrainNotice is how long new requests are accepted after /readyz reports not ready.
 func (e Entry) DrainNotice() time.Duration { return e.drainNotice }
 
-// DrainLimit is how long requests in flight may take to end.
+// DrainLimit is the maximum time for requests in flight to complete during a drain.
 func (e Entry) DrainLimit() time.Duration { return e.drainLimit }
 
-// AgentTimeout is how old a heartbeat may be.
+// AgentTimeout is the maximum age of an agent's last heartbeat.
 func (e Entry) AgentTimeout() time.Duration { return e.agentTimeout }
 
-// PlatformURL is where the platform's list of VMs is read; may be empty.
+// PlatformURL is the URL of the platform's list of VMs; it may be empty.
 func (e Entry) PlatformURL() string { return e.platformURL }
 
-// MaxOriginFetches bounds the draws of one copy from the origin at one time,
-// over all failure domains.
+// MaxOriginFetches is the maximum number of chunks of one version that all failure domains
+// together fetch from the origin at the same time.
 func (e Entry) MaxOriginFetches() int { return e.maxOriginFetches }
 
-// Common are the settings that all daemons have.
+// Common holds the settings that all daemons share.
 func (g Gateway) Common() Common { return g.common }
 
-// Protocol names the protocol that callers and backend servers speak.
+// Protocol is the name of the protocol that callers and backend servers use.
 func (g Gateway) Protocol() string { return g.protocol }
 
-// Listen is where callers send requests.
+// Listen is the address for callers' requests.
 func (g Gateway) Listen() string { return g.listen }
 
-// ReadyListen is where the balancer asks whether to send callers here.
+// ReadyListen is the address of the readiness check for the load balancer.
 func (g Gateway) ReadyListen() string { return g.readyListen }
 
-// Seeds are addresses of control nodes.
+// Seeds are addresses of control nodes to contact first.
 func (g Gateway) Seeds() []string { return g.seeds }
 
-// DrainNotice is how long callers are still taken after readiness turned.
+// DrainNotice is how long new requests are accepted after the readiness check fails.
 func (g Gateway) DrainNotice() time.Duration { return g.drainNotice }
 
-// DrainLimit is how long a planned stop may take in all.
+// DrainLimit is the maximum total time of a planned stop.
 func (g Gateway) DrainLimit() time.Duration { return g.drainLimit }
 
-// RetryRatio is how many repeats a hundred requests may cause.
+// RetryRatio is the number of retries allowed per 100 requests of a service.
 func (g Gateway) RetryRatio() int { return g.retryRatio }
 
-// RetryReserve is how many more all gateways together may cause.
+// RetryReserve is the number of further retries that all gateways together may make per window.
 func (g Gateway) RetryReserve() float64 { return g.retryReserve }
 
-// RetryWindow is the time over which repeats are counted.
+// RetryWindow is the time window over which retries are counted.
 func (g Gateway) RetryWindow() time.Duration { return g.retryWindow }
 
-// RolloutLimit is the time within which new weights are to be in force.
+// RolloutLimit is the time after a version's acknowledgement at which older versions stop
+// receiving requests.
 func (g Gateway) RolloutLimit() time.Duration { return g.rolloutLimit }
 
-// Memory is what the process may use, in bytes.
+// Memory is the memory limit of the process in bytes.
 func (g Gateway) Memory() int64 { return g.memory }
 
-// MaxConnections bounds the callers' connections.
+// MaxConnections is the maximum number of callers' connections.
 func (g Gateway) MaxConnections() int { return g.maxConnections }
 
-// Common are the settings that all daemons have.
+// Common holds the settings that all daemons share.
 func (s Stager) Common() Common { return s.common }
 
-// Protocol names the protocol that the engine and the origin speak.
+// Protocol is the name of the protocol that the engine and the origin use.
 func (s Stager) Protocol() string { return s.protocol }
 
-// Seeds are addresses of control nodes.
+// Seeds are addresses of control nodes to contact first.
 func (s Stager) Seeds() []string { return s.seeds }
 
 // Engine is the address of the engine on this VM.
 func (s Stager) Engine() string { return s.engine }
 
-// Service is the service that the engine belongs to; may be empty.
+// Service is the name of the service that the engine belongs to; it may be empty.
 func (s Stager) Service() string { return s.service }
 
-// RolloutLimit is the time within which new weights are to be in force.
+// RolloutLimit is the time after a version's acknowledgement within which it must be in force.
 func (s Stager) RolloutLimit() time.Duration { return s.rolloutLimit }
 
-// Memory is what the process may use, in bytes.
+// Memory is the memory limit of the process in bytes.
 func (s Stager) Memory() int64 { return s.memory }
