--- a/pkg/gateway/always_answered_test.go
+++ b/pkg/gateway/always_answered_test.go
@@ -258,9 +258,9 @@
 		writeEvents(w, r, 1, 2)
 		return false
 	})
-	var asked atomic.Int32
+	var attempts atomic.Int32
 	second := newFakeBackend(t, "i-2", func(w *bufio.Writer, r *http.Request) bool {
-		if asked.Add(1) == 1 {
+		if attempts.Add(1) == 1 {
 			writeResponse(w, r, "503 Service Unavailable", headerNotRun+": 1\r\n", "")
 			return true
 		}
--- a/pkg/gateway/budget_handover_test.go
+++ b/pkg/gateway/budget_handover_test.go
@@ -59,7 +59,7 @@
 }
 
 // The successor of a gateway that spent nothing has its whole share immediately.
-func TestSuccessorHasItsShareAtOnce(t *testing.T) {
+func TestSuccessorHasItsShareImmediately(t *testing.T) {
 	f := newBudgetFleet()
 	for step := range 150 {
 		f.step(step, 3, false)
@@ -73,12 +73,12 @@
 		t.Errorf("%d retries just after a start; its share of the reserve is %d", got, want)
 	}
 	f.restart(1)
-	alone := 0
+	uninherited := 0
 	for f.gateways[1].takeRetry("menu", fleetSize) {
-		alone++
+		uninherited++
 	}
-	if alone >= want {
-		t.Errorf("%d retries without inherited usage", alone)
+	if uninherited >= want {
+		t.Errorf("%d retries without inherited usage", uninherited)
 	}
 }
 
--- a/pkg/gateway/budget_lending_test.go
+++ b/pkg/gateway/budget_lending_test.go
@@ -16,12 +16,12 @@
 // have retries left. The budget covers all gateways, but one had spent its part on 30 attempts
 // within 10 s.
 func TestStreamResumesWithBorrowedRetry(t *testing.T) {
-	cut := newFakeBackend(t, "i-cut", func(w *bufio.Writer, r *http.Request) bool {
+	breaking := newFakeBackend(t, "i-cut", func(w *bufio.Writer, r *http.Request) bool {
 		writeEvents(w, r, 1, 1)
 		return false
 	})
 	next := newFakeBackend(t, "i-next", streamAfter(1))
-	f := newFixture(t, serviceconfig.Stream, true, cut, next)
+	f := newFixture(t, serviceconfig.Stream, true, breaking, next)
 	lender := newGateway(t, testSettings)
 	f.gateway.budget = fullWindowBudget(0, 0, 10*time.Second)
 	f.gateway.limitOwners.listed = func() map[string]feed.Peer {
--- a/pkg/gateway/budget_test.go
+++ b/pkg/gateway/budget_test.go
@@ -53,7 +53,7 @@
 	f := newFixture(t, serviceconfig.Stream, true)
 	f.gateway.budget = fullWindowBudget(0, 1.5*float64(f.gateway.countGateways()), time.Hour)
 	service, _ := f.gateway.index.Load().Service("menu")
-	has := func() bool {
+	hasRetry := func() bool {
 		if !f.gateway.budget.takeRetry("menu", f.gateway.countGateways()) {
 			return false
 		}
@@ -66,14 +66,14 @@
 			t.Fatal("no retry is left")
 		}
 		f.gateway.uncountAttempt(q)
-		if !has() {
+		if !hasRetry() {
 			t.Errorf("%s: the budget has no retry left", name)
 		}
-		if !f.gateway.ensureRetry(q) || !has() {
+		if !f.gateway.ensureRetry(q) || !hasRetry() {
 			t.Errorf("%s: the next attempt took a retry", name)
 		}
 		f.gateway.returnRetry(q)
-		if f.gateway.budget.takeRetry("menu", f.gateway.countGateways()); has() {
+		if f.gateway.budget.takeRetry("menu", f.gateway.countGateways()); hasRetry() {
 			t.Errorf("%s: a retry was put back that was not taken", name)
 		}
 		f.gateway.budget.refund("menu")
--- a/pkg/gateway/crashing_request_test.go
+++ b/pkg/gateway/crashing_request_test.go
@@ -123,8 +123,8 @@
 	}
 }
 
-// try sends an attempt of a request with a body and returns the status.
-func (f *fixture) try(t *testing.T, id, body string, change func(*http.Request)) int {
+// sendAttempt sends an attempt of a request with a body and returns the status.
+func (f *fixture) sendAttempt(t *testing.T, id, body string, change func(*http.Request)) int {
 	t.Helper()
 	r := f.request(t, http.MethodPost, id, body)
 	if change != nil {
@@ -137,12 +137,12 @@
 // quarantineRequest sends attempts of a request that crashes servers until it is quarantined.
 func (f *fixture) quarantineRequest(t *testing.T, servers *crashingServers) {
 	t.Helper()
-	const tries = 20
-	for i := range tries {
-		f.try(t, fmt.Sprintf("ending-%d", i), crashingBody, nil)
+	const attempts = 20
+	for i := range attempts {
+		f.sendAttempt(t, fmt.Sprintf("ending-%d", i), crashingBody, nil)
 	}
 	if n := servers.count(); n != maxCrashesPerRequest {
-		t.Fatalf("%d attempts of one request crashed %d servers; %d may crash", tries, n, maxCrashesPerRequest)
+		t.Fatalf("%d attempts of one request crashed %d servers; %d may crash", attempts, n, maxCrashesPerRequest)
 	}
 }
 
@@ -152,16 +152,16 @@
 			servers := newCrashingServers(t, 8)
 			f := newFixture(t, kind, false, servers.list()...)
 			f.quarantineRequest(t, servers)
-			if status := f.try(t, "more", crashingBody, nil); status != http.StatusServiceUnavailable {
+			if status := f.sendAttempt(t, "more", crashingBody, nil); status != http.StatusServiceUnavailable {
 				t.Errorf("status %d for a quarantined request", status)
 			}
-			if status := f.try(t, "other", "another order", nil); status != http.StatusOK {
+			if status := f.sendAttempt(t, "other", "another order", nil); status != http.StatusOK {
 				t.Errorf("status %d for another request", status)
 			}
 		})
 	}
 	t.Run("of another organisation", testOtherOrganisation)
-	t.Run("whose attempts carry the last event id", testTryWithOtherHeaders)
+	t.Run("whose attempts carry the last event id", testAttemptWithOtherHeaders)
 	for _, status := range []string{"200 OK", "404 Not Found", "500 Internal Server Error"} {
 		t.Run("next to a popular request, answered with "+status, func(t *testing.T) { testPopularRequestIsServed(t, status) })
 	}
@@ -173,18 +173,18 @@
 	servers := newCrashingServers(t, 8)
 	f := newFixture(t, serviceconfig.Repeatable, false, servers.list()...)
 	f.quarantineRequest(t, servers)
-	f.try(t, "theirs", crashingBody, func(r *http.Request) { r.Header.Set(headerKey, "k2") })
+	f.sendAttempt(t, "theirs", crashingBody, func(r *http.Request) { r.Header.Set(headerKey, "k2") })
 	if servers.count() == maxCrashesPerRequest {
 		t.Error("the request of another organisation was quarantined")
 	}
 }
 
 // An attempt with another deadline and last event id is still the same request.
-func testTryWithOtherHeaders(t *testing.T) {
+func testAttemptWithOtherHeaders(t *testing.T) {
 	servers := newCrashingServers(t, 8)
 	f := newFixture(t, serviceconfig.Repeatable, false, servers.list()...)
 	f.quarantineRequest(t, servers)
-	f.try(t, "again", crashingBody, func(r *http.Request) {
+	f.sendAttempt(t, "again", crashingBody, func(r *http.Request) {
 		r.Header.Set(headerLastEvent, "7")
 		r.Header.Set(headerDeadline, "900")
 	})
@@ -206,7 +206,7 @@
 		if i%(runs/crashes) == 1 {
 			servers.crashOnNext()
 		}
-		if got := f.try(t, fmt.Sprintf("popular-%d", i), popularBody, nil); !strings.HasPrefix(status, fmt.Sprint(got)) {
+		if got := f.sendAttempt(t, fmt.Sprintf("popular-%d", i), popularBody, nil); !strings.HasPrefix(status, fmt.Sprint(got)) {
 			t.Errorf("attempt %d: status %d", i, got)
 		}
 	}
@@ -224,12 +224,12 @@
 
 // Servers that abort an answer and keep running give no reason to quarantine a request.
 func testAbortedAnswerIsNoCrash(t *testing.T) {
-	breaks := 6
+	abortsLeft := 6
 	var mu sync.Mutex
 	script := func(w *bufio.Writer, r *http.Request) bool {
 		mu.Lock()
 		defer mu.Unlock()
-		if breaks--; breaks >= 0 {
+		if abortsLeft--; abortsLeft >= 0 {
 			_, _ = w.WriteString("HTTP/1.1 200 OK\r\nContent-Le")
 			return false
 		}
@@ -243,7 +243,7 @@
 	f := newFixture(t, serviceconfig.Repeatable, false, servers...)
 	var last int
 	for i := 0; i < 10 && last != http.StatusOK; i++ {
-		last = f.try(t, fmt.Sprintf("a-%d", i), strings.Repeat("x", 9), nil)
+		last = f.sendAttempt(t, fmt.Sprintf("a-%d", i), strings.Repeat("x", 9), nil)
 	}
 	if last != http.StatusOK {
 		t.Errorf("status %d after servers aborted answers", last)
--- a/pkg/gateway/fake_backend_test.go
+++ b/pkg/gateway/fake_backend_test.go
@@ -31,9 +31,9 @@
 	script      responseScript
 	onAccept    func(net.Conn) // called with each connection; may be nil
 
-	mu   sync.Mutex
-	seen []string // ids of the received requests
-	gone chan string
+	mu          sync.Mutex
+	receivedIDs []string // ids of the received requests
+	gone        chan string
 }
 
 func newFakeBackend(t testing.TB, incarnation string, script responseScript) *fakeBackend {
@@ -78,7 +78,7 @@
 		}
 		_, _ = io.Copy(io.Discard, r.Body)
 		s.mu.Lock()
-		s.seen = append(s.seen, r.Header.Get(headerID))
+		s.receivedIDs = append(s.receivedIDs, r.Header.Get(headerID))
 		s.mu.Unlock()
 		w := bufio.NewWriter(conn)
 		keep := s.script(w, r)
@@ -92,7 +92,7 @@
 func (s *fakeBackend) requests() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]string(nil), s.seen...)
+	return append([]string(nil), s.receivedIDs...)
 }
 
 // respondWith returns a script that answers every request completely.
--- a/pkg/gateway/forward_test.go
+++ b/pkg/gateway/forward_test.go
@@ -52,12 +52,12 @@
 }
 
 func TestRepeatableRequestIsRetriedOnAnotherServer(t *testing.T) {
-	cut := func(w *bufio.Writer, r *http.Request) bool {
+	halfResponse := func(w *bufio.Writer, r *http.Request) bool {
 		_, _ = w.WriteString("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf")
 		return false
 	}
 	for name, script := range map[string]responseScript{
-		"no response": closeWithoutResponse, "half a response": cut, "failure response": respondWith("500 Internal Server Error", "oops"),
+		"no response": closeWithoutResponse, "half a response": halfResponse, "failure response": respondWith("500 Internal Server Error", "oops"),
 		"no HTTP": func(w *bufio.Writer, _ *http.Request) bool { _, _ = w.WriteString("garbage\r\n\r\n"); return false },
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/pkg/gateway/limit_fleet_test.go
+++ b/pkg/gateway/limit_fleet_test.go
@@ -62,15 +62,15 @@
 	randomMu sync.Mutex
 	random   *rand.Rand
 
-	mu          sync.Mutex
-	members     []*fleetMember
-	listed      map[string]feed.Peer
-	arrivals    []time.Time // requests at the server that count against the limit
-	sent        int         // requests sent after warmUp
-	runStart    time.Time
-	duration    time.Duration
-	ended       bool // the server advertises no limit any more
-	unpermitted int  // requests without a permit since ended
+	mu                sync.Mutex
+	members           []*fleetMember
+	listed            map[string]feed.Peer
+	arrivals          []time.Time // requests at the server that count against the limit
+	sent              int         // requests sent after warmUp
+	runStart          time.Time
+	duration          time.Duration
+	limitEnded        bool // the server advertises no limit any more
+	sentWithoutPermit int  // requests without a permit since ended
 }
 
 var errUnreachable = errors.New("connection refused")
@@ -140,9 +140,9 @@
 		if err != nil {
 			return serverlimit.PermitResponse{}, err
 		}
-		answer := to.answerPermit(ctx, a)
+		response := to.answerPermit(ctx, a)
 		_, err = f.connect(ctx, m, address)
-		return answer, err
+		return response, err
 	}
 	o.report = func(ctx context.Context, address string, r serverlimit.PermitReport) error {
 		to, err := f.connect(ctx, m, address)
@@ -184,9 +184,9 @@
 	for ctx.Err() == nil {
 		time.Sleep(time.Duration(f.draw((*rand.Rand).ExpFloat64) / f.demand * float64(time.Second)))
 		f.mu.Lock()
-		g, b, stopped := m.gateway, m.backend, m.down || m.frozen
+		g, b, notRunning := m.gateway, m.backend, m.down || m.frozen
 		f.mu.Unlock()
-		if !stopped {
+		if !notRunning {
 			f.sendRequest(ctx, m, g, b)
 		}
 	}
@@ -212,23 +212,23 @@
 	if time.Since(f.runStart) > warmUp {
 		f.sent++
 	}
-	if f.ended && p == nil {
-		f.unpermitted++
+	if f.limitEnded && p == nil {
+		f.sentWithoutPermit++
 	}
 	b.mu.Lock()
 	known := b.limit.active
 	b.mu.Unlock()
-	if known && time.Since(m.startedAt) > minKnownFor && !f.ended {
+	if known && time.Since(m.startedAt) > minKnownFor && !f.limitEnded {
 		f.arrivals = append(f.arrivals, time.Now())
 	}
-	ended := f.ended
+	limitEnded := f.limitEnded
 	f.mu.Unlock()
 	x := &exchange{gateway: g, request: q, backend: b, permit: p, started: sent}
-	answer := ResponseHead{FromBackend: true, Limit: serverlimit.ParseHeader([]string{fmt.Sprint(f.perSecond)})}
-	if ended {
-		answer.Limit = serverlimit.ParseHeader(nil)
+	response := ResponseHead{FromBackend: true, Limit: serverlimit.ParseHeader([]string{fmt.Sprint(f.perSecond)})}
+	if limitEnded {
+		response.Limit = serverlimit.ParseHeader(nil)
 	}
-	x.updateLimit(answer)
+	x.updateLimit(response)
 }
 
 // maxInWindow returns the most arrivals in any limitWindow.
@@ -253,11 +253,11 @@
 // fleetFaults are the faults that the gateways undergo.
 var fleetFaults = []struct {
 	name string
-	// used is the least share of the limit to be used: the normal aim where all gateways reach the
+	// minUsed is the least share of the limit to be used: the normal aim where all gateways reach the
 	// owner, less where a backup takes over late, and the share of a partial backup where most
 	// answers are lost together with their permits.
-	used float64
-	do   func(f *limitFleet, ctx context.Context)
+	minUsed float64
+	inject  func(f *limitFleet, ctx context.Context)
 }{
 	{"none", 0.8, func(*limitFleet, context.Context) {}},
 	{"the owner is killed every 1.5 s", 0.4, func(f *limitFleet, ctx context.Context) {
@@ -386,13 +386,13 @@
 					t.Parallel()
 					f := newLimitFleet(t, gateways, perSecond, max(10*perSecond/float64(gateways), 2))
 					synctest.Test(t, func(t *testing.T) {
-						f.run(fault.do, duration)
+						f.run(fault.inject, duration)
 						allowed := int(allowedFactor*limitWindow.Seconds()*perSecond) + allowedSlack
 						if most := f.maxInWindow(); most > allowed {
 							t.Errorf("%d requests in %s, %d allowed", most, limitWindow, allowed)
 						}
-						if used := f.used(); used < fault.used && perSecond > 0 {
-							t.Errorf("%.2f of the limit was used, %.2f is the aim", used, fault.used)
+						if used := f.used(); used < fault.minUsed && perSecond > 0 {
+							t.Errorf("%.2f of the limit was used, %.2f is the aim", used, fault.minUsed)
 						}
 					})
 				})
@@ -410,10 +410,10 @@
 		synctest.Test(t, func(t *testing.T) {
 			f.run(func(f *limitFleet, ctx context.Context) {
 				time.Sleep(largeFleetDuration / 2)
-				f.locked(func() { f.ended = true })
+				f.locked(func() { f.limitEnded = true })
 			}, largeFleetDuration)
-			if possible := gateways * demand * largeFleetDuration.Seconds() / 2; float64(f.unpermitted) < possible/2 {
-				t.Errorf("%d requests without a permit after the end of a limit of %g per second; %.0f were possible", f.unpermitted, perSecond, possible)
+			if possible := gateways * demand * largeFleetDuration.Seconds() / 2; float64(f.sentWithoutPermit) < possible/2 {
+				t.Errorf("%d requests without a permit after the end of a limit of %g per second; %.0f were possible", f.sentWithoutPermit, perSecond, possible)
 			}
 		})
 	}
--- a/pkg/gateway/limit_test.go
+++ b/pkg/gateway/limit_test.go
@@ -84,7 +84,7 @@
 
 // Where limits keep a request from all servers, it is refused at once with the time of the next
 // permit.
-func TestExhaustedLimitsAreRefusedAtOnce(t *testing.T) {
+func TestExhaustedLimitsAreRefusedImmediately(t *testing.T) {
 	for _, status := range []string{"200 OK", "503 Service Unavailable", "421 Misdirected Request"} {
 		limited := newFakeBackend(t, "s-1", limitScript(headerText("0.5"), status))
 		f := newFixture(t, serviceconfig.Repeatable, false, limited).ownsAll()
--- a/pkg/gateway/order_cut_test.go
+++ b/pkg/gateway/order_cut_test.go
@@ -15,8 +15,8 @@
 // its own order yet, was cut there too, and had no attempt or retry left. The choice of a server
 // knew when a version expires, but not that the order comes before. Up to 14 streams of a run
 // were lost while a version went out and gateways were stopped.
-func TestStreamCutByAnOrderResumesWhereNoOrderIsDue(t *testing.T) {
-	cut := newFakeBackend(t, "i-cut", func(w *bufio.Writer, r *http.Request) bool {
+func TestStreamBrokenByAnOrderResumesWhereNoOrderIsDue(t *testing.T) {
+	breaking := newFakeBackend(t, "i-cut", func(w *bufio.Writer, r *http.Request) bool {
 		writeEvents(w, r, 1, 1)
 		return false
 	})
@@ -24,16 +24,16 @@
 	after := newFakeBackend(t, "i-after-its-order", streamAfter(1))
 	f := newFixture(t, serviceconfig.Stream, true)
 	f.gateway.index.Advance(engineDocument(t))
-	f.registerVersion(cut, 1)
+	f.registerVersion(breaking, 1)
 	f.registerVersion(before, 1)
 	f.registerVersion(after, 2)
-	f.prefer(cut, before, after)
+	f.prefer(breaking, before, after)
 	f.setNamedVersion(f.gateway.settings.RolloutLimit())
 	status, _, body, err := f.do(t, f.draftRequest(t))
 	if status != http.StatusOK || body != events(1, 3) || err != nil {
 		t.Fatalf("%d %q %v", status, body, err)
 	}
-	if came := before.requests(); len(came) > 0 {
+	if received := before.requests(); len(received) > 0 {
 		t.Error("it resumed on an engine whose order is still to come")
 	}
 }
@@ -51,7 +51,7 @@
 // whose caller has part of the answer from an earlier attempt: the stream had been cut by an
 // order and could not be retried again. The engine here begins after the longest allowed silence.
 func TestSilentLastAttemptOfAStreamIsNotInterrupted(t *testing.T) {
-	cut := newFakeBackend(t, "i-cut", func(w *bufio.Writer, r *http.Request) bool {
+	breaking := newFakeBackend(t, "i-cut", func(w *bufio.Writer, r *http.Request) bool {
 		writeEvents(w, r, 1, 1)
 		return false
 	})
@@ -59,7 +59,7 @@
 		<-time.After(maxAttemptSilence + 2*watchdogInterval)
 		return streamAfter(1)(w, r)
 	})
-	f := newExpiringFixtureOf(t, cut, slow)
+	f := newExpiringFixtureOf(t, breaking, slow)
 	status, _, body, err := f.do(t, f.draftRequest(t))
 	if status != http.StatusOK || body != events(1, 3) || err != nil {
 		t.Fatalf("%d %q %v", status, body, err)
@@ -69,7 +69,7 @@
 // An engine carries out its order while the stream that it cut is cut by the order of the next
 // engine as well. The stream returns to the first: a route bounds the number of servers that a
 // request is sent to, not the number of attempts.
-func TestStreamCutByTwoOrdersReturnsToItsFirstServer(t *testing.T) {
+func TestStreamBrokenByTwoOrdersReturnsToItsFirstServer(t *testing.T) {
 	var f *fixture
 	var old, next *fakeBackend
 	reportLoad := func(s *fakeBackend, version uint64, busy bool) {
@@ -101,16 +101,16 @@
 // it. The version of the other engines was about to expire, and the first engine was ready again
 // half a second later, but whether the stream may return to it was decided by reports from before
 // the cut; the stream was lost 2.6 s later. Here the server is alive and sends no reports.
-func TestStreamBrokenByALiveServerRetriesIt(t *testing.T) {
-	var alone *fakeBackend
-	alone = newFakeBackend(t, "i-alone", func(w *bufio.Writer, r *http.Request) bool {
-		if len(alone.requests()) > 1 {
+func TestStreamBrokenByARunningServerReturnsToIt(t *testing.T) {
+	var only *fakeBackend
+	only = newFakeBackend(t, "i-alone", func(w *bufio.Writer, r *http.Request) bool {
+		if len(only.requests()) > 1 {
 			return streamAfter(1)(w, r)
 		}
 		writeEvents(w, r, 1, 1)
 		return false
 	})
-	f := newFixture(t, serviceconfig.Stream, true, alone)
+	f := newFixture(t, serviceconfig.Stream, true, only)
 	status, _, body, err := f.do(t, f.draftRequest(t))
 	if status != http.StatusOK || body != events(1, 3) || err != nil {
 		t.Fatalf("%d %q %v", status, body, err)
@@ -118,18 +118,18 @@
 }
 
 // A stream does not return to a server that broke it off and has ended.
-func TestStreamDoesNotRetryAnEndedServer(t *testing.T) {
-	var alone *fakeBackend
-	alone = newFakeBackend(t, "i-alone", func(w *bufio.Writer, r *http.Request) bool {
+func TestStreamDoesNotReturnToACrashedServer(t *testing.T) {
+	var only *fakeBackend
+	only = newFakeBackend(t, "i-alone", func(w *bufio.Writer, r *http.Request) bool {
 		writeEvents(w, r, 1, 1)
-		_ = alone.listener.Close()
+		_ = only.listener.Close()
 		return false
 	})
-	f := newFixture(t, serviceconfig.Stream, true, alone)
+	f := newFixture(t, serviceconfig.Stream, true, only)
 	if _, _, body, err := f.do(t, f.draftRequest(t)); err == nil || body != events(1, 1) {
 		t.Fatalf("%q %v", body, err)
 	}
-	if came := alone.requests(); len(came) != 1 {
-		t.Errorf("the request was sent %d times", len(came))
+	if received := only.requests(); len(received) != 1 {
+		t.Errorf("the request was sent %d times", len(received))
 	}
 }
--- a/pkg/gateway/quarantine_test.go
+++ b/pkg/gateway/quarantine_test.go
@@ -43,13 +43,13 @@
 	fixed := &crashingServer{}
 	fixed.fakeBackend = newFakeBackend(t, "i-new", respondWith("200 OK", "whole"))
 	f.register(fixed, "v2")
-	if status := f.try(t, "early", crashingBody, nil); status != http.StatusServiceUnavailable {
+	if status := f.sendAttempt(t, "early", crashingBody, nil); status != http.StatusServiceUnavailable {
 		t.Fatalf("status %d before a trial is due", status)
 	}
 	advance(time.Minute)
 	statuses := map[int]int{}
 	for i := range 6 {
-		statuses[f.try(t, fmt.Sprintf("a-%d", i), crashingBody, nil)]++
+		statuses[f.sendAttempt(t, fmt.Sprintf("a-%d", i), crashingBody, nil)]++
 	}
 	if statuses[http.StatusOK] != 5 || statuses[http.StatusServiceUnavailable] != 1 {
 		t.Errorf("statuses %v; only the first request, which asks for the trial, should be refused", statuses)
@@ -70,7 +70,7 @@
 	}
 	for i := range 40 {
 		advance(5 * time.Minute)
-		f.try(t, fmt.Sprintf("a-%d", i), crashingBody, nil)
+		f.sendAttempt(t, fmt.Sprintf("a-%d", i), crashingBody, nil)
 		f.gateway.trialLimiter.SetBurst(i + 2)
 	}
 	if n := servers.count(); n > 2 {
@@ -85,7 +85,7 @@
 	servers := newCrashingServers(t, 2)
 	other := newFixture(t, serviceconfig.Repeatable, false, servers.list()...)
 	other.gateway.mergeRecords(f.gateway.quarantine.Records())
-	if status := other.try(t, "a", crashingBody, nil); status != http.StatusServiceUnavailable || servers.count() > 0 {
+	if status := other.sendAttempt(t, "a", crashingBody, nil); status != http.StatusServiceUnavailable || servers.count() > 0 {
 		t.Errorf("status %d, %d servers crashed", status, servers.count())
 	}
 }
--- a/pkg/gateway/reachability_test.go
+++ b/pkg/gateway/reachability_test.go
@@ -15,17 +15,17 @@
 // A request that waits at a backend server that becomes unreachable goes to another one, and the
 // next request is not sent there.
 func TestRequestsLeaveUnreachableBackend(t *testing.T) {
-	came, hold := make(chan struct{}), make(chan struct{})
+	received, release := make(chan struct{}), make(chan struct{})
 	silent := func(*bufio.Writer, *http.Request) bool {
-		close(came)
-		<-hold
+		close(received)
+		<-release
 		return false
 	}
 	first, second := newFakeBackend(t, "i-1", silent), newFakeBackend(t, "i-2", respondWith("200 OK", "second"))
-	defer close(hold)
+	defer close(release)
 	f := newFixture(t, serviceconfig.Repeatable, false, first, second)
 	go func() {
-		<-came
+		<-received
 		for _, b := range f.gateway.backends.forService("menu") {
 			if b.latestRegistration().Incarnation() == "i-1" {
 				b.setUnreachable(true)
@@ -38,8 +38,8 @@
 			t.Fatalf("%s: %d %q %v", id, status, body, err)
 		}
 	}
-	if seen := first.requests(); len(seen) != 1 {
-		t.Fatalf("the unreachable server got %v", seen)
+	if received := first.requests(); len(received) != 1 {
+		t.Fatalf("the unreachable server got %v", received)
 	}
 }
 
@@ -47,7 +47,7 @@
 func TestNonIdempotentRequestIsNotCanceled(t *testing.T) {
 	var w waitingRequests
 	w.add(time.Now(), nil)
-	if back := w.cancelFuncs(); len(back) != 0 {
+	if cancels := w.cancelFuncs(); len(cancels) != 0 {
 		t.Fatal("a request that is not idempotent would be canceled")
 	}
 }
--- a/pkg/gateway/reserve_test.go
+++ b/pkg/gateway/reserve_test.go
@@ -14,15 +14,15 @@
 
 // fakeStager answers reservation requests from its fields.
 type fakeStager struct {
-	delays    map[string]time.Duration // until a request starts, by link address; a missing entry means no answer
-	idleDelay time.Duration            // up to this delay a slot counts as idle
-	asked     []string
-	within    []time.Duration
+	delays        map[string]time.Duration // until a request starts, by link address; a missing entry means no answer
+	idleDelay     time.Duration            // up to this delay a slot counts as idle
+	requestedFrom []string
+	startBounds   []time.Duration
 }
 
 func (s *fakeStager) ask(_ context.Context, address string, a reservation.Request) (reservation.Response, error) {
-	s.asked = append(s.asked, address)
-	s.within = append(s.within, a.MaxTimeToFirstEvent())
+	s.requestedFrom = append(s.requestedFrom, address)
+	s.startBounds = append(s.startBounds, a.MaxTimeToFirstEvent())
 	delay, found := s.delays[address]
 	if !found {
 		return reservation.Response{}, errors.New("no answer")
@@ -58,7 +58,7 @@
 	g, q := newReservingGateway(t, s)
 	b, refused := g.pick(q)
 	if b == nil || b.address != "127.0.0.13:9" {
-		t.Fatalf("picked %v, refused with %v, asked %v", b, refused, s.asked)
+		t.Fatalf("picked %v, refused with %v, asked %v", b, refused, s.requestedFrom)
 	}
 }
 
@@ -69,7 +69,7 @@
 	g, q := newReservingGateway(t, s)
 	b, refused := g.pick(q)
 	if b == nil || b.address != "127.0.0.12:9" {
-		t.Fatalf("picked %v, refused with %v, asked %v", b, refused, s.asked)
+		t.Fatalf("picked %v, refused with %v, asked %v", b, refused, s.requestedFrom)
 	}
 	for address := range s.delays {
 		s.delays[address] = 500 * time.Millisecond
@@ -107,8 +107,8 @@
 			t.Fatalf("refused with %v while engines have free slots", refused)
 		}
 	}
-	for i, address := range s.asked {
-		for _, other := range s.asked[:i] {
+	for i, address := range s.requestedFrom {
+		for _, other := range s.requestedFrom[:i] {
 			if address == other {
 				t.Fatalf("%s was asked again immediately", address)
 			}
@@ -120,14 +120,14 @@
 // starts in time is preferred to an idle remote one.
 func TestLocalEngineInTimePrecedesIdleRemoteEngine(t *testing.T) {
 	s := &fakeStager{idleDelay: idleStartDelay, delays: map[string]time.Duration{"127.0.0.21:1": idleStartDelay}}
-	for _, near := range []string{"127.0.0.11:1", "127.0.0.12:1", "127.0.0.13:1"} {
-		s.delays[near] = 250 * time.Millisecond
+	for _, local := range []string{"127.0.0.11:1", "127.0.0.12:1", "127.0.0.13:1"} {
+		s.delays[local] = 250 * time.Millisecond
 	}
 	g, q := newReservingGateway(t, s)
 	f := fixture{gateway: g}
 	f.addEngineAt("127.0.0.21:9", "hall-b", 0)
 	if b, refused := g.pick(q); b == nil || !g.isSameDomain(b) {
-		t.Fatalf("picked %v, refused with %v, asked %v", b, refused, s.asked)
+		t.Fatalf("picked %v, refused with %v, asked %v", b, refused, s.requestedFrom)
 	}
 	for address := range s.delays {
 		if address != "127.0.0.21:1" {
@@ -173,7 +173,7 @@
 	}
 	route := serviceconfig.NewRoute("r", "h", "/", serviceconfig.Stream, time.Minute, reserveTimeout, 0, 1, nil, 2, false, true)
 	q.route = &route
-	if b, refused := g.pick(q); b != nil || refused == nil || len(s.asked) != 1 {
-		t.Fatalf("picked %v, refused with %v, asked %v", b, refused, s.asked)
+	if b, refused := g.pick(q); b != nil || refused == nil || len(s.requestedFrom) != 1 {
+		t.Fatalf("picked %v, refused with %v, asked %v", b, refused, s.requestedFrom)
 	}
 }
--- a/pkg/gateway/returning_callers_test.go
+++ b/pkg/gateway/returning_callers_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// trainedReturningCallers has learned from callers with 5.1 to 6 s left, without refusals.
-func trainedReturningCallers(now time.Time) *returningCallers {
+// returningCallersWithSamples has learned from callers with 5.1 to 6 s left, without refusals.
+func returningCallersWithSamples(now time.Time) *returningCallers {
 	r := &returningCallers{}
 	for i := range 2 * minTimeSamples {
 		r.isReturning(time.Minute, 5100*time.Millisecond+time.Duration(i)*900*time.Millisecond/(2*minTimeSamples), now)
@@ -16,7 +16,7 @@
 
 func TestReturningCallersHaveLessTimeLeft(t *testing.T) {
 	now := time.Now()
-	r := trainedReturningCallers(now)
+	r := returningCallersWithSamples(now)
 	r.recordRefusal(now)
 	for timeLeft, want := range map[time.Duration]bool{4400 * time.Millisecond: true, 5300 * time.Millisecond: false, 5900 * time.Millisecond: false, 0: false} {
 		if got := r.isReturning(time.Minute, timeLeft, now); got != want {
@@ -32,7 +32,7 @@
 // times are learned.
 func TestNoCallerIsReturningInCalmPeriod(t *testing.T) {
 	now := time.Now()
-	r := trainedReturningCallers(now)
+	r := returningCallersWithSamples(now)
 	r.recordRefusal(now)
 	now = now.Add(calmPeriod + time.Second)
 	for range maxTimeSamples {
--- a/pkg/gateway/silence_test.go
+++ b/pkg/gateway/silence_test.go
@@ -153,13 +153,13 @@
 			events := 0
 			started := sync.OnceFunc(began.Done)
 			defer started()
-			answer, err := http.DefaultTransport.RoundTrip(r)
+			response, err := http.DefaultTransport.RoundTrip(r)
 			if err != nil {
 				got[i].err = err
 				return
 			}
-			defer answer.Body.Close()
-			reader := bufio.NewReader(answer.Body)
+			defer response.Body.Close()
+			reader := bufio.NewReader(response.Body)
 			for {
 				line, err := reader.ReadString('\n')
 				got[i].body += line
@@ -210,18 +210,18 @@
 	for i := range requests {
 		r := f.request(t, http.MethodPost, fmt.Sprintf("f-%d", i), "")
 		all.Go(func() {
-			answer, err := http.DefaultTransport.RoundTrip(r)
+			response, err := http.DefaultTransport.RoundTrip(r)
 			if err == nil {
-				_, _ = io.Copy(io.Discard, answer.Body)
-				_ = answer.Body.Close()
+				_, _ = io.Copy(io.Discard, response.Body)
+				_ = response.Body.Close()
 			}
 		})
 	}
 	all.Wait()
 }
 
-// answerTogether is a script that answers once a number of requests have come.
-func answerTogether(requests int) responseScript {
+// respondTogether is a script that answers once a number of requests have come.
+func respondTogether(requests int) responseScript {
 	var all sync.WaitGroup
 	all.Add(requests)
 	var mu sync.Mutex
@@ -246,22 +246,22 @@
 // idle connections are never used.
 func TestSilentIdleConnectionsAreNotReused(t *testing.T) {
 	const requests = 16
-	f := newSilencedFixture(t, serviceconfig.Repeatable, repeatScript(silencedServerCount, answerTogether(requests))...)
+	f := newSilencedFixture(t, serviceconfig.Repeatable, repeatScript(silencedServerCount, respondTogether(requests))...)
 	f.fillPool(t, requests)
 	f.silence()
 	var all sync.WaitGroup
 	for i := range 2 * silencedServerCount {
 		r := f.request(t, http.MethodPost, fmt.Sprintf("a-%d", i), "")
 		all.Go(func() {
-			answer, err := http.DefaultTransport.RoundTrip(r)
+			response, err := http.DefaultTransport.RoundTrip(r)
 			if err != nil {
 				t.Errorf("request %d: %v", i, err)
 				return
 			}
-			defer answer.Body.Close()
-			body, _ := io.ReadAll(answer.Body)
-			if want := fmt.Sprintf("answer to a-%d", i); answer.StatusCode != 200 || string(body) != want {
-				t.Errorf("request %d: %d %q", i, answer.StatusCode, body)
+			defer response.Body.Close()
+			body, _ := io.ReadAll(response.Body)
+			if want := fmt.Sprintf("answer to a-%d", i); response.StatusCode != 200 || string(body) != want {
+				t.Errorf("request %d: %d %q", i, response.StatusCode, body)
 			}
 		})
 	}
@@ -282,7 +282,7 @@
 // requests use new connections.
 func TestNonIdempotentRequestIsNotResentAfterSilence(t *testing.T) {
 	const requests = 4
-	f := newSilencedFixture(t, serviceconfig.Once, answerTogether(requests))
+	f := newSilencedFixture(t, serviceconfig.Once, respondTogether(requests))
 	f.fillPool(t, requests)
 	f.silence()
 	first := f.request(t, http.MethodPost, "first", "")
@@ -306,7 +306,7 @@
 // requests stay until the watchdog's normal limits.
 func TestStalledServerKeepsItsRequests(t *testing.T) {
 	const callers = 12
-	stop, resume := make(chan struct{}), make(chan struct{})
+	stall, resume := make(chan struct{}), make(chan struct{})
 	defer close(resume)
 	stallingStream := func(w *bufio.Writer, r *http.Request) bool {
 		if r.Header.Get(headerLastEvent) != "" {
@@ -315,7 +315,7 @@
 		writeEvents(w, r, 1, 10)
 		for i := 11; i <= streamEvents; i++ {
 			select {
-			case <-stop:
+			case <-stall:
 				<-resume
 				return false
 			case <-time.After(eventPause):
@@ -327,7 +327,7 @@
 	}
 	f := newSilencedFixture(t, serviceconfig.Stream, append(repeatScript(silencedServerCount-1, splitEventStream), stallingStream)...)
 	f.streams(t, callers, func() {})
-	for i, got := range f.streams(t, callers, func() { close(stop) }) {
+	for i, got := range f.streams(t, callers, func() { close(stall) }) {
 		if got.err != nil || got.body != events(1, streamEvents) {
 			t.Errorf("stream %d: %d lines, %v", i, strings.Count(got.body, "\n"), got.err)
 		}
--- a/pkg/gateway/slot_share_test.go
+++ b/pkg/gateway/slot_share_test.go
@@ -26,9 +26,9 @@
 func sentByAllGateways(gateways, running, queued int, now time.Time) int {
 	sent := 0
 	for i := range gateways {
-		t := reportedLoadOf(running, queued, now, (float64(i)+0.5)/float64(gateways))
-		for t.hasSlot(testEngine(), 1/float64(gateways), now) {
-			t.sent++
+		reported := reportedLoadOf(running, queued, now, (float64(i)+0.5)/float64(gateways))
+		for reported.hasSlot(testEngine(), 1/float64(gateways), now) {
+			reported.sent++
 			sent++
 		}
 	}
--- a/pkg/gateway/stall_test.go
+++ b/pkg/gateway/stall_test.go
@@ -34,7 +34,7 @@
 	const stalled = maxEventGap + watchdogInterval/2
 	for name, c := range map[string]struct {
 		silent, firstEvent time.Duration
-		full               bool
+		othersFull         bool
 		moves              bool
 	}{
 		"a free slot":                         {stalled, 50 * time.Millisecond, false, true},
@@ -47,7 +47,7 @@
 			for range minSamples {
 				f.gateway.silenceDetector.record(timingKey{"menu", timingWait}, time.Now(), c.firstEvent)
 			}
-			if c.full {
+			if c.othersFull {
 				other := f.backend("i-other")
 				f.gateway.backends.applyLoadReport(feed.NewLoad("menu", other.address, "menu", 1, 16, 1, 1, false, false))
 			}
--- a/pkg/gateway/stop_test.go
+++ b/pkg/gateway/stop_test.go
@@ -48,9 +48,9 @@
 	}
 }
 
-// TestLateStopStartsNoStreamItMayCut requests streams late in a stop, with more time left than
+// TestLateStopStartsNoStreamItMayAbort requests streams late in a stop, with more time left than
 // they should take and less than their deadline allows. None may run.
-func TestLateStopStartsNoStreamItMayCut(t *testing.T) {
+func TestLateStopStartsNoStreamItMayAbort(t *testing.T) {
 	const left = 4700 * time.Millisecond
 	late := stopDuration - left
 	t.Run("an engine without recent runs at this gateway", func(t *testing.T) {
@@ -114,7 +114,7 @@
 
 // A request is started early in a stop and breaks before its first event. It must not be
 // retried when less time is left than recent requests took.
-func TestStopRetriesNothingItMayCut(t *testing.T) {
+func TestStopRetriesNothingItMayAbort(t *testing.T) {
 	var f *fixture
 	first := newFakeBackend(t, "i-1", func(*bufio.Writer, *http.Request) bool {
 		f.beginStop(3*time.Second, 300*time.Millisecond)
@@ -138,7 +138,7 @@
 
 // A stream still running at the end of the stop is aborted by the gateway, and the gateway's
 // log must say so.
-func TestLogNamesStreamCutByStop(t *testing.T) {
+func TestLogNamesStreamAbortedByStop(t *testing.T) {
 	received, testEnded := make(chan struct{}, 1), make(chan struct{})
 	t.Cleanup(func() { close(testEnded) })
 	f := newFixture(t, serviceconfig.Stream, true, newFakeBackend(t, "i-1", func(w *bufio.Writer, r *http.Request) bool {
@@ -151,14 +151,14 @@
 	address, stop := f.runLogged(t, time.Second, &log)
 	r := f.request(t, http.MethodPost, "a", "draft")
 	r.URL.Host = address
-	answer, err := http.DefaultTransport.RoundTrip(r)
+	response, err := http.DefaultTransport.RoundTrip(r)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer answer.Body.Close()
+	defer response.Body.Close()
 	<-received
 	stop()
-	if _, err := io.Copy(io.Discard, answer.Body); err == nil {
+	if _, err := io.Copy(io.Discard, response.Body); err == nil {
 		t.Error("an incomplete stream ended like a complete one")
 	}
 	f.awaitExit()
--- a/pkg/gateway/stream_callers_test.go
+++ b/pkg/gateway/stream_callers_test.go
@@ -68,10 +68,10 @@
 func (q *simRequest) deadline() time.Time { return q.sentAt.Add(callerTimeout) }
 
 // caller sends one request after the other to a gateway until the context ends.
-func (s *streamSim) caller(ctx context.Context, member *simGateway, name string) {
+func (s *streamSim) caller(ctx context.Context, m *simGateway, name string) {
 	time.Sleep(s.randomDuration(0, time.Second))
 	for i := 0; ctx.Err() == nil; i++ {
-		s.send(member, fmt.Sprintf("%s-%d", name, i))
+		s.send(m, fmt.Sprintf("%s-%d", name, i))
 		time.Sleep(callerPause)
 	}
 }
@@ -116,18 +116,18 @@
 	q.mu.Unlock()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	v := &s.result
-	v.sent++
+	result := &s.result
+	result.sent++
 	switch {
 	case q.complete:
-		v.complete++
+		result.complete++
 	case !q.endedAt.Before(q.deadline().Add(-deadlineTolerance)):
-		v.late++
+		result.late++
 	case q.status != http.StatusOK:
-		v.refused++
+		result.refused++
 	case q.gateway.stop.isOver():
 	default:
-		v.lost = append(v.lost, s.describe(q))
+		result.lost = append(result.lost, s.describe(q))
 	}
 }
 
--- a/pkg/gateway/stream_engine_test.go
+++ b/pkg/gateway/stream_engine_test.go
@@ -116,11 +116,11 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.dropEnded()
-	var readTime time.Duration
+	var prefillTime time.Duration
 	for len(e.queued) > 0 && len(e.running) < simEngineConfig.Slots() {
 		r := e.queued[0]
 		e.queued = e.queued[1:]
-		readTime += simEngineConfig.PrefillTime(r.prompt)
+		prefillTime += simEngineConfig.PrefillTime(r.prompt)
 		e.running = append(e.running, r)
 		r.started = true
 		e.sim.runStarted(r, e.version)
@@ -129,7 +129,7 @@
 		return 0
 	}
 	step := simEngineConfig.Step() + time.Duration(len(e.running))*simEngineConfig.PerSequence()
-	return time.Duration(e.slowdown * float64(time.Duration(simEngineConfig.Stride())*step+readTime))
+	return time.Duration(e.slowdown * float64(time.Duration(simEngineConfig.Stride())*step+prefillTime))
 }
 
 // endPass writes one event for each running request.
@@ -153,7 +153,7 @@
 // dropEnded drops requests whose caller has left or whose deadline has passed.
 func (e *simEngine) dropEnded() {
 	now := time.Now()
-	kept := func(all []*simRun) (rest []*simRun) {
+	keepActive := func(all []*simRun) (rest []*simRun) {
 		for _, r := range all {
 			if !r.disconnected.Load() && now.Before(r.deadline) {
 				rest = append(rest, r)
@@ -166,7 +166,7 @@
 		}
 		return rest
 	}
-	e.queued, e.running = kept(e.queued), kept(e.running)
+	e.queued, e.running = keepActive(e.queued), keepActive(e.running)
 }
 
 // abortAll aborts all requests.
--- a/pkg/gateway/stream_interrupt_test.go
+++ b/pkg/gateway/stream_interrupt_test.go
@@ -46,12 +46,12 @@
 
 // The last attempt that a stream may make has only its caller's deadline.
 func TestLastAttemptOfAStreamIsNotBoundByItsVersion(t *testing.T) {
-	cut := newFakeBackend(t, "i-cut", func(w *bufio.Writer, r *http.Request) bool {
+	breaking := newFakeBackend(t, "i-cut", func(w *bufio.Writer, r *http.Request) bool {
 		writeEvents(w, r, 1, 1)
 		return false
 	})
 	old := newFakeBackend(t, "i-old", endsAtDeadline(2*time.Second, 2, 3))
-	f := newOldVersionFixture(t, cut, old)
+	f := newOldVersionFixture(t, breaking, old)
 	f.setNamedVersion(1600 * time.Millisecond)
 	status, _, body, err := f.do(t, f.draftRequest(t))
 	if status != http.StatusOK || body != events(1, 3) || err != nil {
@@ -246,13 +246,13 @@
 	f.gateway.index.Advance(engineDocument(t))
 	f.addEngineIn(first, "hall-a")
 	f.addEngineIn(second, "hall-b")
-	over := make(chan bool)
-	defer close(over)
+	done := make(chan bool)
+	defer close(done)
 	go func() {
 		for full := feed.NewLoad("menu", second.listener.Addr().String(), "menu", 1, 16, 32, 1, false, false); ; {
 			f.gateway.backends.applyLoadReport(full)
 			select {
-			case <-over:
+			case <-done:
 				return
 			case <-time.After(watchdogInterval / 4):
 			}
@@ -269,7 +269,7 @@
 
 // An engine that sends load reports but no event to any of its streams is reading prompts: its
 // streams stay longer than those of an engine without any sign of life.
-func TestStreamOfAnEngineReadingPromptsStays(t *testing.T) {
+func TestStreamOfAnEngineBusyWithPrefillStays(t *testing.T) {
 	const pause = maxEventGap + watchdogInterval
 	began := make(chan bool, 1)
 	f := newExpiringFixture(t, func(w *bufio.Writer, r *http.Request) bool {
@@ -330,7 +330,7 @@
 // interrupted, but not the last attempt of a stream that its caller has part of.
 func TestLastAttemptOfAStreamStaysAtAnUnreachableServer(t *testing.T) {
 	var f *fixture
-	cut := newFakeBackend(t, "i-cut", func(w *bufio.Writer, r *http.Request) bool {
+	breaking := newFakeBackend(t, "i-cut", func(w *bufio.Writer, r *http.Request) bool {
 		writeEvents(w, r, 1, 1)
 		return false
 	})
@@ -339,7 +339,7 @@
 		<-time.After(watchdogInterval)
 		return streamAfter(1)(w, r)
 	})
-	f = newExpiringFixtureOf(t, cut, unreachable)
+	f = newExpiringFixtureOf(t, breaking, unreachable)
 	status, _, body, err := f.do(t, f.draftRequest(t))
 	if status != http.StatusOK || body != events(1, 3) || err != nil {
 		t.Fatalf("%d %q %v", status, body, err)
--- a/pkg/gateway/stream_sim_test.go
+++ b/pkg/gateway/stream_sim_test.go
@@ -425,8 +425,8 @@
 
 // runInterrupted records that a gateway closed the connection of a run while the caller still
 // waits, at an engine that has not stalled recently.
-func (s *streamSim) runInterrupted(r *simRun, stoodStill time.Time) {
-	if !r.request.isWaiting() || r.request.gateway.stop.isOver() || time.Since(stoodStill) < maxAttemptSilence {
+func (s *streamSim) runInterrupted(r *simRun, lastStall time.Time) {
+	if !r.request.isWaiting() || r.request.gateway.stop.isOver() || time.Since(lastStall) < maxAttemptSilence {
 		return
 	}
 	s.mu.Lock()
--- a/pkg/gateway/version_expiry_test.go
+++ b/pkg/gateway/version_expiry_test.go
@@ -261,11 +261,11 @@
 // A version update triggers all watchdogs: by their next regular check it may be too late.
 func TestVersionUpdateTriggersAllWatchdogs(t *testing.T) {
 	f := newExpiringFixture(t, closeWithoutResponse, closeWithoutResponse)
-	looked := make(chan bool)
-	f.gateway.watchdogs.add(&watchdog{timer: time.AfterFunc(time.Hour, func() { looked <- true })})
+	checked := make(chan bool)
+	f.gateway.watchdogs.add(&watchdog{timer: time.AfterFunc(time.Hour, func() { checked <- true })})
 	for _, left := range []time.Duration{time.Minute, time.Second} {
 		f.gateway.applyUpdate("10.0.0.9:7700", f.namedUpdate(left))
-		<-looked
+		<-checked
 	}
 }
 
@@ -346,27 +346,27 @@
 	old := f.backend("i-old")
 	const left = (defaultCancelMargin + transferCancelMargin) / 2
 	f.setNamedVersion(left)
-	report := func(exchanging bool) {
-		old.recordLoadReport(feed.NewLoad("menu", old.address, "menu", 1, 1, 0, 1, false, exchanging))
+	report := func(transferring bool) {
+		old.recordLoadReport(feed.NewLoad("menu", old.address, "menu", 1, 1, 0, 1, false, transferring))
 	}
-	wants := requirements{service: "menu", model: "menu", layers: 1, minVersion: func(_, back time.Duration) uint64 {
-		return f.gateway.minUsableVersion("menu", 0, 0, back)
+	required := requirements{service: "menu", model: "menu", layers: 1, minVersion: func(_, margin time.Duration) uint64 {
+		return f.gateway.minUsableVersion("menu", 0, 0, margin)
 	}}
 	for _, c := range []struct {
-		name   string
-		begin  func()
-		sooner bool
+		name    string
+		prepare func()
+		earlier bool
 	}{
 		{"free", func() { report(false) }, false},
 		{"chunks", func() { report(true) }, true},
 		{"free again", func() { report(false) }, false},
 		{"chunks again, in an old report", func() { report(true); old.ageLoadReport(2 * reportTTL) }, true},
 	} {
-		c.begin()
-		if over := f.gateway.versionExpiryOf(q, old, 1).mustCancel(); over != c.sooner {
-			t.Errorf("%s: canceled %s before the expiry: %t", c.name, left, over)
+		c.prepare()
+		if canceled := f.gateway.versionExpiryOf(q, old, 1).mustCancel(); canceled != c.earlier {
+			t.Errorf("%s: canceled %s before the expiry: %t", c.name, left, canceled)
 		}
-		if sent := wants.allows(old, time.Now()); sent == c.sooner {
+		if sent := required.allows(old, time.Now()); sent == c.earlier {
 			t.Errorf("%s: sent %s before the expiry: %t", c.name, left, sent)
 		}
 	}
--- a/pkg/gateway/yield_test.go
+++ b/pkg/gateway/yield_test.go
@@ -14,8 +14,8 @@
 	g, q := newReservingGateway(t, s)
 	q.sent, q.mayHaveRun, q.headWritten, q.maxRun = 1, true, true, 30*time.Second
 	q.runLostAt = time.Now()
-	if b, _ := g.chooseWithReservation(q, requirements{service: "menu", engine: testEngine(), tried: q.tried}); b != nil || len(s.asked) > yieldReservationAttempts {
-		t.Fatalf("a lost stream took a slot that others wait for at %v, asked %v", b, s.asked)
+	if b, _ := g.chooseWithReservation(q, requirements{service: "menu", engine: testEngine(), tried: q.tried}); b != nil || len(s.requestedFrom) > yieldReservationAttempts {
+		t.Fatalf("a lost stream took a slot that others wait for at %v, asked %v", b, s.requestedFrom)
 	}
 	s.delays["127.0.0.11:1"], s.delays["127.0.0.12:1"], s.delays["127.0.0.13:1"] = idleStartDelay, idleStartDelay, idleStartDelay
 	if b, _ := g.pick(q); b == nil {
--- a/pkg/quarantine/record.go
+++ b/pkg/quarantine/record.go
@@ -110,7 +110,7 @@
 	trials, trialsUsed int
 	tester             string
 	lastActivity       time.Time // when it last changed, or arrived while it was quarantined
-	triesInFlight      int       // attempts in flight here
+	attemptsInFlight   int       // attempts in flight here
 }
 
 // record returns the record to share.
@@ -127,14 +127,14 @@
 func (e *entry) addCrash(crash Crash, now time.Time) (changed bool) {
 	at := now.Add(-crash.age)
 	for i := range e.crashes {
-		held := &e.crashes[i]
-		if !held.isSameProcess(crash) {
+		recorded := &e.crashes[i]
+		if !recorded.isSameProcess(crash) {
 			continue
 		}
-		changed = crash.knownCrashes > held.knownCrashes
-		held.knownCrashes = max(held.knownCrashes, crash.knownCrashes)
-		if at.Before(held.at) {
-			held.at = at
+		changed = crash.knownCrashes > recorded.knownCrashes
+		recorded.knownCrashes = max(recorded.knownCrashes, crash.knownCrashes)
+		if at.Before(recorded.at) {
+			recorded.at = at
 		}
 		return changed
 	}
--- a/pkg/quarantine/table.go
+++ b/pkg/quarantine/table.go
@@ -105,7 +105,7 @@
 	v = e.verdict()
 	switch v {
 	case Suspect:
-		e.triesInFlight++
+		e.attemptsInFlight++
 	case Quarantined, Restricted:
 		avoid = e.crashedBuilds()
 	}
@@ -118,13 +118,13 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if e := s.entries[f]; e != nil {
-		e.tryDone()
+		e.attemptDone()
 	}
 }
 
-// tryDone removes an attempt in flight. It may have begun with an earlier entry that has been
+// attemptDone removes an attempt in flight. It may have begun with an earlier entry that has been
 // evicted since, so the count stays at 0 or more.
-func (e *entry) tryDone() { e.triesInFlight = max(e.triesInFlight-1, 0) }
+func (e *entry) attemptDone() { e.attemptsInFlight = max(e.attemptsInFlight-1, 0) }
 
 func (e *entry) verdict() Verdict {
 	switch crashes := e.independentCrashes(); {
@@ -134,7 +134,7 @@
 		return Quarantined
 	case crashes < crashesToSuspect:
 		return Clear
-	case e.triesInFlight > 0:
+	case e.attemptsInFlight > 0:
 		return Busy
 	}
 	return Suspect
@@ -275,7 +275,7 @@
 		s := &t.shards[i]
 		s.mu.Lock()
 		for f, e := range s.entries {
-			if e.triesInFlight == 0 && now.Sub(e.lastActivity) > e.ttl() {
+			if e.attemptsInFlight == 0 && now.Sub(e.lastActivity) > e.ttl() {
 				delete(s.entries, f)
 			}
 		}
--- a/pkg/quarantine/table_test.go
+++ b/pkg/quarantine/table_test.go
@@ -83,7 +83,7 @@
 }
 
 // A suspect has one attempt in flight at a time.
-func TestSuspectHasOneTryInFlight(t *testing.T) {
+func TestSuspectHasOneAttemptInFlight(t *testing.T) {
 	table := NewTable(nil)
 	table.RecordCrash(request, crashOf("a", "x", "v1/0", 0))
 	table.RecordCrash(request, crashOf("b", "y", "v1/0", 0))
@@ -98,8 +98,8 @@
 	}
 }
 
-// overWire returns a record as another process receives it.
-func overWire(t *rapid.T, r Record) (got Record) {
+// decodedCopy returns a record as another process receives it.
+func decodedCopy(t *rapid.T, r Record) (got Record) {
 	raw, err := msgpack.Marshal(r)
 	if err != nil {
 		t.Fatal(err)
@@ -130,11 +130,11 @@
 			table.RecordCrash(request, crashOf(name, name[:1], "v1/0", table.Crashes(request)))
 		}
 		for range len(tables) {
-			order := rapid.Permutation([]int{0, 1, 2}).Draw(t, "order")
-			for _, from := range order {
-				for _, to := range order {
+			sequence := rapid.Permutation([]int{0, 1, 2}).Draw(t, "order")
+			for _, from := range sequence {
+				for _, to := range sequence {
 					for _, r := range tables[from].Records() {
-						tables[to].Merge([]Record{overWire(t, r)})
+						tables[to].Merge([]Record{decodedCopy(t, r)})
 					}
 				}
 			}
@@ -158,18 +158,18 @@
 // A gateway that saw a request run to completion shares that with those that hold crashes against
 // it.
 func TestCompletionClearsRequest(t *testing.T) {
-	witness, others := NewTable(nil), NewTable(nil)
-	witness.RecordCompletion(request, "v1/0")
+	observer, others := NewTable(nil), NewTable(nil)
+	observer.RecordCompletion(request, "v1/0")
 	for _, name := range []string{"a", "b", "c"} {
 		r, share := others.RecordCrash(request, crashOf(name, name, "v1/0", 0))
 		if !share {
 			t.Fatal("a crash is not shared")
 		}
-		if _, cleared := witness.Merge([]Record{r}); name == "a" && len(cleared) != 1 {
+		if _, cleared := observer.Merge([]Record{r}); name == "a" && len(cleared) != 1 {
 			t.Fatal("the request is not cleared")
 		}
 	}
-	others.Merge(witness.Records())
+	others.Merge(observer.Records())
 	if got, _ := others.BeginAttempt(request); got != Clear {
 		t.Errorf("%s", got)
 	}
--- a/pkg/quarantine/trial.go
+++ b/pkg/quarantine/trial.go
@@ -70,9 +70,9 @@
 		return NoTrialDue
 	case e.tester == tester && e.trialsUsed < e.trials:
 		e.trialsUsed = e.trials
-		e.triesInFlight++
+		e.attemptsInFlight++
 		return TrialGranted
-	case e.triesInFlight == 0 && e.isTrialDue(t.now()):
+	case e.attemptsInFlight == 0 && e.isTrialDue(t.now()):
 		return TrialDue
 	}
 	return NoTrialDue
@@ -87,7 +87,7 @@
 	if e == nil {
 		return
 	}
-	e.tryDone()
+	e.attemptDone()
 	if !wasSent {
 		e.trialsUsed = e.trials - 1
 	}
