--- a/pkg/gateway/always_answered_test.go
+++ b/pkg/gateway/always_answered_test.go
@@ -1,11 +1,11 @@
 // ================================================================
-// Tests that every request that was read gets a true response. Requests over kept connections
-// were read, forwarded to working backend servers, and the connections then closed without a
-// response.
+// Tests that every request that the gateway has read gets a response that states its outcome.
+// They guard against closing a kept connection without a response after its request was
+// forwarded to a working backend server.
 //
-// Several ways out of a handler write nothing: a panic, which net/http does not report if its
-// log is discarded; a caller that closed its sending side and still reads; the end of a planned
-// stop while a request waits; a stream that finds no place at the moment at which its engine
+// A handler may return without writing anything in several cases: a panic, which net/http does
+// not report if its log is discarded; a caller that closed its sending side and still reads; the
+// end of a planned stop while a request waits; a stream that finds no free slot when its engine
 // breaks it off.
 // ================================================================
 
@@ -99,7 +99,7 @@
 	}
 }
 
-// The stop is over long before the request's deadline.
+// The planned stop ends long before the request's deadline.
 func testStopWithSilentBackend(t *testing.T) {
 	received := make(chan struct{}, 1)
 	f := newFixture(t, serviceconfig.Once, false, newFakeBackend(t, "i-1", silentScript(t, received)))
@@ -241,7 +241,7 @@
 	}
 }
 
-// awaitConnectionRefused waits until nobody listens at an address.
+// awaitConnectionRefused waits until an address refuses connections.
 func (f *fixture) awaitConnectionRefused(address string) {
 	for {
 		conn, err := net.Dial("tcp", address)
@@ -252,7 +252,7 @@
 	}
 }
 
-// The second server rejects the rest of the stream once, as a full one does.
+// The second server rejects the rest of the stream once, as a full server does.
 func testBrokenStreamRetriesRejection(t *testing.T) {
 	first := newFakeBackend(t, "i-1", func(w *bufio.Writer, r *http.Request) bool {
 		writeEvents(w, r, 1, 2)
--- a/pkg/gateway/backends_test.go
+++ b/pkg/gateway/backends_test.go
@@ -47,9 +47,9 @@
 	}
 }
 
-// A network cut delays a heartbeat until its sender has crashed and a new incarnation has
-// registered at the address. The load reports of the new one must not go to the old one only, nor
-// get lost once the old one is gone.
+// A network partition delays a heartbeat until its sender has crashed and a new incarnation has
+// registered at the address. The load reports of the new incarnation must not be applied to the
+// old one only, nor be dropped once the old one has left.
 func TestLateHeartbeatOfAnEarlierIncarnation(t *testing.T) {
 	all := newBackends()
 	at := func(incarnation string, sequence uint64) registry.Registration {
--- a/pkg/gateway/budget_fleet_test.go
+++ b/pkg/gateway/budget_fleet_test.go
@@ -2,8 +2,8 @@
 // These tests guard against gateways that together exceed the retry budget. A gateway that
 // restarts has counted nothing and has its whole share of the reserve, while the retries of its
 // predecessor still count. When all gateways were killed three times within 6 s, a service got
-// 582 attempts beyond the first ones in 10 s, and 538 were allowed. The first two cases broke the
-// bound when it was kept per start of a gateway.
+// 582 attempts beyond the first ones in 10 s, and 538 were allowed. The first two cases exceed the
+// bound if each process of a gateway applies it to itself alone.
 // ================================================================
 
 package gateway
--- a/pkg/gateway/budget_handover_test.go
+++ b/pkg/gateway/budget_handover_test.go
@@ -16,8 +16,8 @@
 	"github.com/tidepost/tidepost/pkg/feed"
 )
 
-// replaceGateway shuts one gateway down cleanly and starts another in its place after a time. If
-// that is negative, the new one inherits nothing.
+// replaceGateway shuts one gateway down cleanly and starts its successor after a time. If that time
+// is negative, the successor inherits nothing.
 func (f *budgetFleet) replaceGateway(i int, after time.Duration) {
 	usage := f.gateways[i].usage(fleetSize)
 	f.restart(i)
--- a/pkg/gateway/budget_test.go
+++ b/pkg/gateway/budget_test.go
@@ -48,7 +48,7 @@
 }
 
 // An attempt that never reached its server is not counted, so the next one costs no retry. A
-// retry that was never taken must not be put back.
+// retry that was never taken must not be refunded.
 func TestUndeliveredAttemptCostsNoRetry(t *testing.T) {
 	f := newFixture(t, serviceconfig.Stream, true)
 	f.gateway.budget = fullWindowBudget(0, 1.5*float64(f.gateway.countGateways()), time.Hour)
@@ -74,7 +74,7 @@
 		}
 		f.gateway.returnRetry(q)
 		if f.gateway.budget.takeRetry("menu", f.gateway.countGateways()); hasRetry() {
-			t.Errorf("%s: a retry was put back that was not taken", name)
+			t.Errorf("%s: a retry was refunded that was not taken", name)
 		}
 		f.gateway.budget.refund("menu")
 	}
--- a/pkg/gateway/crash_probe_test.go
+++ b/pkg/gateway/crash_probe_test.go
@@ -1,5 +1,5 @@
 // ================================================================
-// The probe of a backend server after an attempt broke.
+// Tests of the probe that finds out whether a backend server crashed when an attempt broke off.
 // ================================================================
 
 package gateway
@@ -32,8 +32,8 @@
 	return newBackend(registry.NewRegistration("i-1", "menu", address, "hall-a", "v1", 4, registry.Ready, 0, nil, 1, 0))
 }
 
-// Attempts that break together share a probe. An accepted probe proves nothing about a later crash,
-// and a refused one is valid for attempts that break with it.
+// Attempts that break off together share a probe. An accepted probe proves nothing about a later
+// crash, and a refused one is valid for the attempts that break off at about the same time.
 func TestCrashProbe(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/pkg/gateway/crashing_request_test.go
+++ b/pkg/gateway/crashing_request_test.go
@@ -1,8 +1,8 @@
 // ================================================================
 // Requests that crash each backend server that runs them. A crash fails all requests on that
-// server; the gateway retries them, and callers retry at any gateway. Guards against forgetting the
-// crash: one such request then crashed server after server, and two fifths of all other work were
-// lost. The soak tests cover the same with the real programs.
+// server; the gateway retries them, and callers retry at any gateway. Guards against retrying such
+// a request without a limit: one of them then crashed server after server, and two fifths of all
+// other work were lost. The soak tests cover the same with the real programs.
 // ================================================================
 
 package gateway
@@ -82,7 +82,8 @@
 	return next
 }
 
-// crash counts a crash and then crashes the server, so that whoever sees it finds it counted.
+// crash counts a crash and then crashes the server, so that a crash is counted before it can be
+// observed.
 func (s *crashingServers) crash(server *crashingServer) {
 	s.mu.Lock()
 	s.crashes++
@@ -103,7 +104,7 @@
 	return all
 }
 
-// accept keeps a connection to close it with the crash.
+// accept records a connection, which crash closes.
 func (s *crashingServer) accept(conn net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -165,7 +166,7 @@
 	for _, status := range []string{"200 OK", "404 Not Found", "500 Internal Server Error"} {
 		t.Run("next to a popular request, answered with "+status, func(t *testing.T) { testPopularRequestIsServed(t, status) })
 	}
-	t.Run("and servers that abort answers", testAbortedAnswerIsNoCrash)
+	t.Run("and servers that break off responses", testAbortedAnswerIsNoCrash)
 }
 
 // The same path and body by another organisation is another request.
@@ -222,7 +223,7 @@
 	s.crashNext = true
 }
 
-// Servers that abort an answer and keep running give no reason to quarantine a request.
+// Servers that break off a response and keep running are no reason to quarantine a request.
 func testAbortedAnswerIsNoCrash(t *testing.T) {
 	abortsLeft := 6
 	var mu sync.Mutex
@@ -246,6 +247,6 @@
 		last = f.sendAttempt(t, fmt.Sprintf("a-%d", i), strings.Repeat("x", 9), nil)
 	}
 	if last != http.StatusOK {
-		t.Errorf("status %d after servers aborted answers", last)
+		t.Errorf("status %d after servers broke off responses", last)
 	}
 }
--- a/pkg/gateway/forward_test.go
+++ b/pkg/gateway/forward_test.go
@@ -203,7 +203,7 @@
 	}
 }
 
-// When the caller disconnects, the gateway closes the connection to the backend server at once.
+// When the caller disconnects, the gateway closes the connection to the backend server immediately.
 func TestCallerDisconnectAbortsAttempt(t *testing.T) {
 	began, ended := make(chan struct{}), make(chan struct{})
 	writesUntilBroken := func(w *bufio.Writer, r *http.Request) bool {
--- a/pkg/gateway/interrupt_test.go
+++ b/pkg/gateway/interrupt_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// The complete table of interruptions against a golden file, so that a new or changed condition
-// for ending active answers is visible in review.
+// TestInterruptRules compares the complete table of interruptions with a golden file, so that a new
+// or changed condition for interrupting an attempt is visible in review.
 func TestInterruptRules(t *testing.T) {
 	var b strings.Builder
 	for _, r := range interruptRules {
--- a/pkg/gateway/limit_fleet_test.go
+++ b/pkg/gateway/limit_fleet_test.go
@@ -1,7 +1,7 @@
 // ================================================================
 // Rate limits across 2 to 149 gateways, in virtual time and without sockets, while gateways are
 // killed, freeze, are partitioned, start and are listed late. Guards against a limit that each
-// gateway enforces on its own: servers that advertised 1 and 1.9 requests per second got 18 and 23
+// gateway enforces separately: servers that advertised 1 and 1.9 requests per second got 18 and 23
 // in 4 s from all gateways together.
 // ================================================================
 
@@ -29,7 +29,7 @@
 	largeFleetDuration, smallFleetDuration = 16 * time.Second, 40 * time.Second
 	// maxLinkDelay is the longest delay of a link between two gateways, or to the server.
 	maxLinkDelay = 6 * time.Millisecond
-	// The users' rule: in any window of limitWindow at most allowedFactor times the advertised
+	// The required bound: in any window of limitWindow at most allowedFactor times the advertised
 	// limit, plus allowedSlack.
 	limitWindow   = 4 * time.Second
 	allowedFactor = 1.5
@@ -49,7 +49,7 @@
 	backend         *backend
 	startedAt       time.Time
 	down, frozen    bool
-	lateShare       float64 // the share of its answers that arrive too late
+	lateShare       float64 // the share of its responses that arrive too late
 	isolated        bool    // its links to members that are not isolated are cut
 }
 
@@ -70,7 +70,7 @@
 	runStart          time.Time
 	duration          time.Duration
 	limitEnded        bool // the server advertises no limit any more
-	sentWithoutPermit int  // requests without a permit since ended
+	sentWithoutPermit int  // requests without a permit since limitEnded
 }
 
 var errUnreachable = errors.New("connection refused")
@@ -94,7 +94,7 @@
 // maxOwnerRestarts is how often the owner may be restarted.
 const maxOwnerRestarts = 30
 
-// draw returns a random number from the fixed seed.
+// draw returns a random number from the seeded generator.
 func (f *limitFleet) draw(by func(*rand.Rand) float64) float64 {
 	f.randomMu.Lock()
 	defer f.randomMu.Unlock()
@@ -253,9 +253,9 @@
 // fleetFaults are the faults that the gateways undergo.
 var fleetFaults = []struct {
 	name string
-	// minUsed is the least share of the limit to be used: the normal aim where all gateways reach the
+	// minUsed is the least share of the limit that must be used: 0.8 where all gateways reach the
 	// owner, less where a backup takes over late, and the share of a partial backup where most
-	// answers are lost together with their permits.
+	// responses are lost together with their permits.
 	minUsed float64
 	inject  func(f *limitFleet, ctx context.Context)
 }{
@@ -402,7 +402,7 @@
 }
 
 // Once the server advertises no limit any more, all gateways send without permits within seconds,
-// also where so low a limit lets few of them see an answer themselves.
+// also where the limit is so low that few of them receive a response of the server themselves.
 func TestEndOfLimitReachesAllGateways(t *testing.T) {
 	for _, perSecond := range []float64{0, 1, 20} {
 		const gateways, demand = 149, 2.0
--- a/pkg/gateway/limit_test.go
+++ b/pkg/gateway/limit_test.go
@@ -1,6 +1,6 @@
 // ================================================================
-// Rate limits of backend servers at one gateway with fake servers: what the gateway learns from
-// valid and invalid answers, that it stays within the limit, and what callers get.
+// Rate limits of backend servers at one gateway with fake servers: which limits the gateway takes
+// from valid and invalid header values, that it stays within them, and what callers receive.
 // ================================================================
 
 package gateway
@@ -82,8 +82,8 @@
 	}
 }
 
-// Where limits keep a request from all servers, it is refused at once with the time of the next
-// permit.
+// A request that no server may get because of its limit is refused immediately, with the time of
+// the next permit.
 func TestExhaustedLimitsAreRefusedImmediately(t *testing.T) {
 	for _, status := range []string{"200 OK", "503 Service Unavailable", "421 Misdirected Request"} {
 		limited := newFakeBackend(t, "s-1", limitScript(headerText("0.5"), status))
@@ -134,7 +134,7 @@
 	f.get(t, "first")
 	b := f.gateway.backends.forService("menu")[0]
 	if !b.isLimited() {
-		t.Fatal("the gateway knows no limit")
+		t.Fatal("the gateway has no limit for the server")
 	}
 	limit.Store("")
 	for i := 0; b.isLimited(); i++ {
--- a/pkg/gateway/named_versions_test.go
+++ b/pkg/gateway/named_versions_test.go
@@ -8,8 +8,8 @@
 	"github.com/tidepost/tidepost/pkg/serviceconfig"
 )
 
-// A gateway that restarts takes all versions that a control node reports, each with its own age,
-// and reports them to control nodes that start after it.
+// A restarted gateway stores all versions that a control node reports, each with its own age, and
+// reports them to control nodes that start later.
 func TestGatewayKeepsTheAgesOfAllNamedVersions(t *testing.T) {
 	g := newFixture(t, serviceconfig.Repeatable, false).gateway
 	for _, versions := range [][]feed.NamedVersion{
--- a/pkg/gateway/path_bench_test.go
+++ b/pkg/gateway/path_bench_test.go
@@ -16,7 +16,7 @@
 )
 
 // BenchmarkStream measures a stream of 22 events from a caller through the gateway to one of 45
-// engines, with a reserved place. The caller and the engine run in the same process.
+// engines, with a reserved slot. The caller and the engine run in the same process.
 //
 //	go test ./pkg/gateway -bench Stream -cpuprofile cpu.out
 func BenchmarkStream(b *testing.B) {
--- a/pkg/gateway/quarantine_test.go
+++ b/pkg/gateway/quarantine_test.go
@@ -1,6 +1,6 @@
 // ================================================================
 // Quarantined requests at a gateway: their refusal, their trials on servers of another build, and
-// what a restarted gateway learns from records. Guards against trials that never come or never end.
+// that a restarted gateway applies records. Guards against trials that never start or never end.
 // ================================================================
 
 package gateway
@@ -78,8 +78,7 @@
 	}
 }
 
-// A restarted gateway keeps the request away from servers once it has the records of a control
-// node.
+// A restarted gateway refuses the request once it has the records of a control node.
 func TestRestartedGatewayLearnsQuarantine(t *testing.T) {
 	f, _ := newQuarantinedFixture(t)
 	servers := newCrashingServers(t, 2)
@@ -90,7 +89,7 @@
 	}
 }
 
-// The refusal says that the request has not run, and to retry much later.
+// The refusal states that the request has not run, and asks to retry a minute later.
 func TestRefusalOfQuarantinedRequest(t *testing.T) {
 	f, _ := newQuarantinedFixture(t)
 	status, header, body, err := f.do(t, f.request(t, http.MethodPost, "a", crashingBody))
--- a/pkg/gateway/reachability_test.go
+++ b/pkg/gateway/reachability_test.go
@@ -12,8 +12,8 @@
 	"github.com/tidepost/tidepost/pkg/upstream"
 )
 
-// A request that waits at a backend server that becomes unreachable goes to another one, and the
-// next request is not sent there.
+// A request that waits at a backend server that becomes unreachable is retried at another one, and
+// the next request is not sent to the unreachable one.
 func TestRequestsLeaveUnreachableBackend(t *testing.T) {
 	received, release := make(chan struct{}), make(chan struct{})
 	silent := func(*bufio.Writer, *http.Request) bool {
@@ -38,8 +38,8 @@
 			t.Fatalf("%s: %d %q %v", id, status, body, err)
 		}
 	}
-	if received := first.requests(); len(received) != 1 {
-		t.Fatalf("the unreachable server got %v", received)
+	if ids := first.requests(); len(ids) != 1 {
+		t.Fatalf("the unreachable server got %v", ids)
 	}
 }
 
--- a/pkg/gateway/reserve_test.go
+++ b/pkg/gateway/reserve_test.go
@@ -14,7 +14,7 @@
 
 // fakeStager answers reservation requests from its fields.
 type fakeStager struct {
-	delays        map[string]time.Duration // until a request starts, by link address; a missing entry means no answer
+	delays        map[string]time.Duration // until a request starts, by link address; a missing entry means no response
 	idleDelay     time.Duration            // up to this delay a slot counts as idle
 	requestedFrom []string
 	startBounds   []time.Duration
@@ -62,8 +62,8 @@
 	}
 }
 
-// If requests wait at every engine, the engine with the earliest start gets the request, and a
-// request that would start late everywhere is refused.
+// If requests wait at every engine, the engine with the earliest start gets the request. A request
+// that would start late everywhere is refused.
 func TestEngineWithEarliestStartGetsRequest(t *testing.T) {
 	s := &fakeStager{idleDelay: idleStartDelay, delays: map[string]time.Duration{"127.0.0.11:1": 350 * time.Millisecond, "127.0.0.12:1": 200 * time.Millisecond, "127.0.0.13:1": 300 * time.Millisecond}}
 	g, q := newReservingGateway(t, s)
@@ -97,8 +97,8 @@
 	}
 }
 
-// A stager may be killed or have a saturated link while its engine works on. It must not be asked
-// again immediately, and the gateway uses its share of the slots.
+// A stager may be killed or have a saturated link while its engine keeps working. The gateway must
+// not ask it again immediately, and uses its own share of the slots of the engine.
 func TestEngineWithUnresponsiveStagerIsShared(t *testing.T) {
 	s := &fakeStager{delays: map[string]time.Duration{}}
 	g, q := newReservingGateway(t, s)
@@ -139,7 +139,7 @@
 	}
 }
 
-// An answer behind chunks on the link takes longer than it is worth.
+// A reservation response that queues behind chunks on the link comes too late to be useful.
 func TestReservationTimeoutIsShorterDuringTransfers(t *testing.T) {
 	now := time.Now()
 	b := newBackend(registry.NewRegistration("i", "menu", "127.0.0.1:9", "hall-a", "v1", 16, registry.Ready, 0, nil, 1, 0))
--- a/pkg/gateway/resume_test.go
+++ b/pkg/gateway/resume_test.go
@@ -29,7 +29,7 @@
 }
 
 // A stream must not be resumed at an engine where, judging by recent waits, it would begin
-// after the version expires: the attempt would be withdrawn there and its retry lost.
+// after the version expires: the attempt would be canceled there and its retry lost.
 func TestResumedStreamAvoidsExpiringServer(t *testing.T) {
 	const left = 1500 * time.Millisecond
 	old := newFakeBackend(t, "i-old", func(w *bufio.Writer, r *http.Request) bool {
@@ -79,7 +79,7 @@
 }
 
 // A stream in progress that full servers reject must back off between attempts, for as long as
-// its caller waits. It used to give up after six attempts within 0.2 s.
+// its caller waits. Guards against giving up after six attempts within 0.2 s.
 func TestRejectedStreamRetriesWhileCallerWaits(t *testing.T) {
 	const full = time.Second
 	began := time.Now()
--- a/pkg/gateway/returning_callers_test.go
+++ b/pkg/gateway/returning_callers_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// returningCallersWithSamples has learned from callers with 5.1 to 6 s left, without refusals.
+// returningCallersWithSamples returns a table with samples of 5.1 to 6 s left, without refusals.
 func returningCallersWithSamples(now time.Time) *returningCallers {
 	r := &returningCallers{}
 	for i := range 2 * minTimeSamples {
@@ -28,8 +28,8 @@
 	}
 }
 
-// While this gateway refuses nobody, callers with less time are not returning ones, and their
-// times are learned.
+// While this gateway refuses no request, a caller with less time left does not count as returning,
+// and its time is recorded as a sample.
 func TestNoCallerIsReturningInCalmPeriod(t *testing.T) {
 	now := time.Now()
 	r := returningCallersWithSamples(now)
@@ -37,7 +37,7 @@
 	now = now.Add(calmPeriod + time.Second)
 	for range maxTimeSamples {
 		if r.isReturning(time.Minute, 2*time.Second, now) {
-			t.Fatal("a caller counts as returning although nobody was refused")
+			t.Fatal("a caller counts as returning although no request was refused")
 		}
 	}
 	r.recordRefusal(now)
--- a/pkg/gateway/silence_detect_test.go
+++ b/pkg/gateway/silence_detect_test.go
@@ -27,8 +27,8 @@
 func (a attemptSnapshot) withDialAnswered(t time.Time) attemptSnapshot { a.dialAnswered = t; return a }
 func (a attemptSnapshot) withEndedAt(t time.Time) attemptSnapshot      { a.endedAt = t; return a }
 
-// The findings at 1000 ms. A finding is written as the snapshot's index, the evidence and whether
-// a dial is needed.
+// TestDetectSilentConnections checks the findings at 1000 ms. A finding is written as the index of
+// the snapshot, the evidence, and "dial" if a dial is needed.
 func TestDetectSilentConnections(t *testing.T) {
 	a := attemptsAt{time.Unix(1000, 0)}
 	const recentQuiet = 60 * time.Millisecond
--- a/pkg/gateway/silence_test.go
+++ b/pkg/gateway/silence_test.go
@@ -19,11 +19,11 @@
 )
 
 // These tests guard against connections that fall silent without being closed while new ones work.
-// The gateway attributed the silence to the backend server: active requests waited a second or
-// two, each further request took the next idle connection, which was silent as well, and an
-// answered dial after 450 ms changed nothing. For seconds a third of the usual number of requests
-// was answered. The stand-in servers below work all the time; only the open connections to them
-// are silenced.
+// If the gateway attributes the silence to the backend server, active requests wait a second or
+// two, each further request takes the next idle connection, which is silent as well, and an
+// accepted dial after 450 ms changes nothing. For seconds a third of the usual number of requests
+// was answered. The fake servers below work all the time; only the open connections to them are
+// silenced.
 
 const (
 	// silencedServerCount is enough for silence at several addresses at once.
@@ -33,7 +33,7 @@
 	eventPause   = 10 * time.Millisecond
 )
 
-// silencedFixture is a gateway in front of stand-in servers whose connections can be silenced.
+// silencedFixture is a gateway in front of fake servers whose connections can be silenced.
 type silencedFixture struct {
 	*fixture
 	servers []*fakeBackend
@@ -220,7 +220,7 @@
 	all.Wait()
 }
 
-// respondTogether is a script that answers once a number of requests have come.
+// respondTogether is a script that answers once a number of requests have arrived.
 func respondTogether(requests int) responseScript {
 	var all sync.WaitGroup
 	all.Add(requests)
@@ -278,7 +278,7 @@
 	}
 }
 
-// A request that may run only once waits on its silent connection and is not sent again; later
+// A request that may run only once stays on its silent connection and is not sent again; later
 // requests use new connections.
 func TestNonIdempotentRequestIsNotResentAfterSilence(t *testing.T) {
 	const requests = 4
@@ -337,11 +337,11 @@
 	}
 }
 
-// Guards against moving a stream to where it can't begin in time. On a busy machine, connections
-// with 385 ms between events were considered silent, while the version expired at all engines
-// sooner than streams began there. Four streams of one gateway were lost within one planned stop:
-// `attempt silent` with evidence many, then `attempt lapsed` without an answer, then no other
-// backend server.
+// Guards against moving a stream to engines that can't begin it in time. On a busy machine,
+// connections with 385 ms between events were considered silent, while the version expired at all
+// engines sooner than streams began there. Four streams of one gateway were lost within one planned
+// stop: the first attempt ended as silent with evidence "many", the next as lapsed without a
+// response, and then there was no other backend server.
 func TestSilentStreamMovesOnlyIfResumedInTime(t *testing.T) {
 	const left = 1500 * time.Millisecond
 	for name, c := range map[string]struct {
@@ -349,7 +349,7 @@
 		newVersionServed bool // an engine serves the next version
 		moves            bool
 	}{
-		"requests begin at once":                    {50 * time.Millisecond, false, true},
+		"requests begin immediately":                {50 * time.Millisecond, false, true},
 		"they begin too late":                       {left, false, false},
 		"too late, and one serves the next version": {left, true, true},
 	} {
@@ -389,7 +389,7 @@
 	service, _ := f.gateway.index.Load().Service("menu")
 	f.gateway.budget = fullWindowBudget(0, 1.5*float64(f.gateway.countGateways()), time.Hour)
 	if !f.gateway.budget.takeRetry("menu", f.gateway.countGateways()) {
-		t.Fatal("there is no retry to spend")
+		t.Fatal("the budget has no retry")
 	}
 	now := time.Now()
 	q := &request{ctx: t.Context(), route: route, service: service, headWritten: true, lastEventAt: now.Add(time.Hour), deadline: now.Add(2 * time.Hour)}
@@ -398,7 +398,7 @@
 		f.gateway.budget.refund("menu")
 	}()
 	if !f.gateway.awaitRetry(q) {
-		t.Error("it did not wait for the retry that was put back")
+		t.Error("it did not wait for the retry that was refunded")
 	}
 	q.lastEventAt = now.Add(-maxYield)
 	if f.gateway.awaitRetry(q) {
@@ -427,7 +427,7 @@
 		t.Error("a retry that was taken is taken again")
 	}
 	if refused := f.gateway.checkMayAttempt(q, 1); refused != nil {
-		t.Errorf("the retry that was taken is asked for again: %v", refused)
+		t.Errorf("the attempt needs another retry although one was taken: %v", refused)
 	}
 	q.retryTaken.Store(false) // the retry was sent
 	if x.takeRetryToResume() {
--- a/pkg/gateway/silent_links_test.go
+++ b/pkg/gateway/silent_links_test.go
@@ -1,8 +1,11 @@
-// These tests guard against taking a silent link for a dead stager. When all open connections went
-// silent without a reset while new ones worked, requests were refused or late for seconds although
-// every engine worked: each reservation request was lost on the silent link to a stager, the stager
-// was not asked for one to four seconds, and then was asked over the same link. The links here
-// never detect silence by themselves. A dead stager must still not be asked for a while.
+// ================================================================
+// These tests guard against treating a stager behind a silent link as one that has stopped. When all
+// open connections fell silent without a reset while new ones worked, requests were refused or late
+// for seconds although every engine worked: each reservation request was lost on the silent link to
+// a stager, the stager was not asked for one to four seconds, and then was asked over the same link.
+// The links here never detect silence by themselves. A stager that has stopped must still not be
+// asked for a while.
+// ================================================================
 
 package gateway
 
@@ -28,7 +31,7 @@
 const linkTestTimeout = 20 * time.Second
 
 // silencedLinks are links to stagers that can be silenced: open links lose all bytes in both
-// directions. New ones work, unless dials hang as they do for dead stagers.
+// directions. New ones work, unless dials hang as they do for stopped stagers.
 type silencedLinks struct {
 	silenced.Conns
 	mu           sync.Mutex
@@ -116,7 +119,7 @@
 	}
 }
 
-// Every stager is asked again, twice in a row, and no request is refused meanwhile.
+// Every stager is asked again after each of two silences, and no request is refused meanwhile.
 func TestStagersBehindSilentLinksAreAskedAgain(t *testing.T) {
 	g, q, s := newLinkedGateway(t)
 	for range 2 {
@@ -143,14 +146,14 @@
 	}
 }
 
-// A dead stager looks like one behind a silent link until no new link to it comes up. It is then
-// not asked for a while, and requests use its engine by load reports.
-func TestDeadStagersAreNotAskedAgain(t *testing.T) {
+// A stopped stager looks like one behind a silent link until a dial of a new link fails. It is then
+// not asked for a while, and requests are sent to its engine by load reports.
+func TestStoppedStagersAreNotAskedAgain(t *testing.T) {
 	g, q, s := newLinkedGateway(t)
 	s.silence(true)
 	for _, b := range g.backends.forService("menu") {
 		if o := g.reserve(q, b, 0, time.Now().Add(linkTestTimeout)); !o.unanswered || b.canReserve(time.Now()) {
-			t.Errorf("%s: %+v, asked again at once", b.address, o)
+			t.Errorf("%s: %+v, may be asked again immediately", b.address, o)
 		}
 	}
 	if b, refused := g.pick(q); b == nil {
--- a/pkg/gateway/slot_share_test.go
+++ b/pkg/gateway/slot_share_test.go
@@ -35,7 +35,7 @@
 	return sent
 }
 
-// Without shares each gateway that receives a load report takes all free slots in it.
+// Guards against gateways that each take all free slots of the same load report.
 func TestGatewaysTogetherFillFreeSlots(t *testing.T) {
 	now := time.Now()
 	for _, gateways := range []int{1, 3, 9, 40} {
@@ -48,8 +48,8 @@
 	}
 }
 
-// An engine that returns empty must not get all its slots filled at once: it would spend half a
-// second on prefill while no request gets a token.
+// An engine without requests, as after a restart, must not get all its slots filled at the same
+// time: it would spend half a second on prefill while no request gets a token.
 func TestEmptyEngineIsFilledAtPrefillRate(t *testing.T) {
 	now := time.Now()
 	most := int(maxQueuedPrefill / testEngine().UsualPrefillTime())
@@ -137,8 +137,8 @@
 	}
 }
 
-// A request without a free slot must not be held back for a part of its objective: most were
-// refused anyway, and the others were served later.
+// A request without a free slot must not wait at the gateway for a part of its objective: when
+// requests did, most were refused nevertheless, and the others were served later.
 func TestRequestWithoutFreeSlotIsRefusedImmediately(t *testing.T) {
 	f := newFixture(t, serviceconfig.Stream, true)
 	route := serviceconfig.NewRoute("r", "h", "/", serviceconfig.Stream, time.Hour, time.Hour, 0, 1, nil, 2, false, true)
@@ -151,7 +151,7 @@
 		t.Fatalf("picked %v, refused with %v", b, refused)
 	}
 	if retryAfter := refused.RetryAfter(); retryAfter < retryAfterMin || retryAfter > retryAfterMax {
-		t.Fatalf("the caller is told to retry after %s", retryAfter)
+		t.Fatalf("the refusal asks the caller to retry after %s", retryAfter)
 	}
 }
 
--- a/pkg/gateway/stall_test.go
+++ b/pkg/gateway/stall_test.go
@@ -10,7 +10,7 @@
 	"github.com/tidepost/tidepost/pkg/serviceconfig"
 )
 
-// newStalledStream is an active stream at the first of two engines, without an event for a time.
+// newStalledStream returns an active stream at the first of two engines, without an event for a time.
 func newStalledStream(t *testing.T, silent time.Duration) (f *fixture, x *exchange) {
 	t.Helper()
 	f = newFixture(t, serviceconfig.Stream, true)
@@ -28,8 +28,9 @@
 	return f, x
 }
 
-// A stream without progress stays where it would begin elsewhere only after its caller leaves,
-// and where no other server has a free slot: moved there it was rejected and lost.
+// A stream without progress stays at its server if it would begin elsewhere only after its caller
+// leaves, or if no other server has a free slot: a stream that was moved to a full server was
+// rejected and lost.
 func TestStalledStreamMovesOnlyIfCallerBenefits(t *testing.T) {
 	const stalled = maxEventGap + watchdogInterval/2
 	for name, c := range map[string]struct {
@@ -58,8 +59,8 @@
 	}
 }
 
-// A stream without progress stays until a server has granted a slot, and then uses that slot:
-// when moved by load reports alone it found all slots taken.
+// A stream without progress stays until a server has granted a slot, and then uses that slot: a
+// stream that was moved by load reports alone found all slots taken.
 func TestStalledStreamMovesToTheReservedSlot(t *testing.T) {
 	for name, granted := range map[string]bool{"granted": true, "refused": false} {
 		t.Run(name, func(t *testing.T) {
@@ -83,8 +84,8 @@
 }
 
 // Servers that become slow together look like global silence. A stream leaves its connection when
-// a newer one to the same server receives events, or after the time of a stall. Earlier, all
-// streams of slow servers were sent anew at the same moment, and found the servers full.
+// a newer one to the same server receives events, or after the time of a stall. Guards against
+// moving all streams of slow servers at the same moment, which find the servers full.
 func TestStreamLeavesGlobalSilenceOnlyWithEvidence(t *testing.T) {
 	const slowEvent = 400 * time.Millisecond
 	for name, c := range map[string]struct {
--- a/pkg/gateway/stop_test.go
+++ b/pkg/gateway/stop_test.go
@@ -1,13 +1,12 @@
 // ================================================================
-// Tests of what a gateway starts during its planned stop. They guard against streams that the
-// end of the stop aborts, with logs that blame the caller.
+// Tests of which requests a gateway starts during its planned stop. They guard against streams that
+// the end of the stop aborts, and against logging these as the caller's disconnect.
 //
-// A caller whose stream began before the signal is not told that its connection closes, and
-// sends the next request over it. One such stream arrived 4.35 s after the signal, ran for 3.25
-// s and was aborted 18 ms before its end; others, sent 3.2 to 4.8 s after the signal, were
-// aborted as the process ended, and logged as the caller's disconnect. The gateway used to
-// start every such request, and later those estimated to be over in time; the estimate covers
-// engines only, from this gateway's own recent requests.
+// A response that began before the signal can't announce that its connection closes, so the caller
+// sends the next request over it. One such stream arrived 4.35 s after the signal, ran for 3.25 s
+// and was aborted 18 ms before its end; others, sent 3.2 to 4.8 s after the signal, were aborted as
+// the process exited. An estimate of the run time alone does not prevent this: it covers engines
+// only, from this gateway's own recent requests.
 // ================================================================
 
 package gateway
@@ -112,8 +111,8 @@
 	}
 }
 
-// A request is started early in a stop and breaks before its first event. It must not be
-// retried when less time is left than recent requests took.
+// A request that started early in a stop breaks off before its first event. It must not be retried
+// when less time is left than recent requests took.
 func TestStopRetriesNothingItMayAbort(t *testing.T) {
 	var f *fixture
 	first := newFakeBackend(t, "i-1", func(*bufio.Writer, *http.Request) bool {
@@ -136,8 +135,8 @@
 // stopDuration is the duration of a planned stop, less its margin.
 const stopDuration = 7700 * time.Millisecond
 
-// A stream still running at the end of the stop is aborted by the gateway, and the gateway's
-// log must say so.
+// The gateway aborts a stream that still runs at the end of the stop, and its log must state that
+// reason.
 func TestLogNamesStreamAbortedByStop(t *testing.T) {
 	received, testEnded := make(chan struct{}, 1), make(chan struct{})
 	t.Cleanup(func() { close(testEnded) })
--- a/pkg/gateway/stream_callers_test.go
+++ b/pkg/gateway/stream_callers_test.go
@@ -21,7 +21,7 @@
 	callerTimeout = 6 * time.Second
 	// callerPause is the time between two requests of a caller.
 	callerPause = 200 * time.Millisecond
-	// deadlineTolerance is how long before a deadline an end counts as caused by it.
+	// deadlineTolerance is how long before a deadline the end of a request counts as caused by it.
 	deadlineTolerance = 100 * time.Millisecond
 )
 
@@ -57,7 +57,7 @@
 // Flush implements http.Flusher, which streams require.
 func (q *simRequest) Flush() {}
 
-// isWaiting reports whether the caller still waits.
+// isWaiting reports whether the caller still waits for the answer.
 func (q *simRequest) isWaiting() bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/pkg/gateway/stream_engine_test.go
+++ b/pkg/gateway/stream_engine_test.go
@@ -1,6 +1,6 @@
 // ================================================================
 // A simulated model engine in virtual time. It works in passes, applies deadlines, loads versions
-// of the weights by order, and may become slow, stall, or sit behind a link full of weight
+// of the weights by order, and may become slow, stall, or be reached over a link full of weight
 // chunks.
 // ================================================================
 
@@ -28,8 +28,8 @@
 	engineQueueSize = 6
 	// engineLoadTime is how long an engine takes to load weights.
 	engineLoadTime = 400 * time.Millisecond
-	// Before an order cuts the running requests, the engine waits until at most withdrawOccupancy
-	// of its slots are taken, but no longer than withdrawTimeout.
+	// Before an engine carries out an order and breaks off the running requests, it waits until at
+	// most withdrawOccupancy of its slots are taken, but no longer than withdrawTimeout.
 	withdrawTimeout   = 3 * time.Second
 	withdrawOccupancy = 0.2
 	// headerTokens carries the lengths of the prompt and the answer of a request, in tokens.
@@ -179,8 +179,8 @@
 	e.queued, e.running = nil, nil
 }
 
-// loadVersion carries out an order: the engine takes no new requests, lets most of the running
-// ones end, and loads the version.
+// loadVersion carries out an order: the engine takes no new requests, waits until most of the
+// running ones have ended, and loads the version.
 func (e *simEngine) loadVersion(version uint64) {
 	e.set(func() { e.withdrawn = true })
 	e.sim.reportLoads(e)
@@ -279,7 +279,7 @@
 	}
 }
 
-// enqueue queues a request; nil where the engine takes none.
+// enqueue queues a request; it returns nil where the engine takes none.
 func (e *simEngine) enqueue(request *http.Request) *simRun {
 	h := request.Header
 	var prompt, tokens int
--- a/pkg/gateway/stream_interrupt_test.go
+++ b/pkg/gateway/stream_interrupt_test.go
@@ -14,11 +14,11 @@
 	"github.com/tidepost/tidepost/pkg/serviceconfig"
 )
 
-// These tests guard against gateways that end streams midway. A stream carried the expiry of its
-// engine's version as its deadline, because by the estimate it would have ended before. On a busy
-// machine engines became several times as slow and ended it there; its caller had part of the answer,
-// and attempts or retries were used up. Up to 6 streams of a run were lost so while gateways were
-// stopped in order. Each test covers one cause.
+// These tests guard against gateways that interrupt started streams. A stream carried the expiry of
+// its engine's version as its deadline, because by the estimate it would have ended before. On a
+// busy machine engines became several times as slow and ended the stream at that deadline; its
+// caller had part of the answer, and attempts or retries were used up. Up to 6 streams of a run were
+// lost this way during planned stops of gateways. Each test covers one cause.
 
 // endsAtDeadline is an engine that ends a stream at the request's deadline, or completes it after
 // a time.
@@ -59,8 +59,8 @@
 	}
 }
 
-// newOldVersionFixture is a gateway in front of two engines that serve version 1 and prefers the
-// first.
+// newOldVersionFixture returns a gateway in front of two engines that serve version 1. It prefers
+// the first.
 func newOldVersionFixture(t *testing.T, first, second *fakeBackend) *fixture {
 	t.Helper()
 	f := newFixture(t, serviceconfig.Stream, true)
@@ -186,7 +186,7 @@
 		<-time.After(maxEventGap + 2*watchdogInterval)
 		return writeRest(w, 2, 3)
 	}, closeWithoutResponse)
-	f.gateway.backends.markDeparted("i-young", 0)
+	f.gateway.backends.markDeparted("i-new", 0)
 	status, _, body, err := f.do(t, f.draftRequest(t))
 	if status != http.StatusOK || body != events(1, 3) || err != nil {
 		t.Fatalf("%d %q %v", status, body, err)
@@ -203,8 +203,8 @@
 		wait  time.Duration
 		moves bool
 	}{
-		"requests begin at once": {50 * time.Millisecond, true},
-		"they begin too late":    {left, false},
+		"requests begin immediately": {50 * time.Millisecond, true},
+		"they begin too late":        {left, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			first := newFakeBackend(t, "i-first", func(w *bufio.Writer, r *http.Request) bool {
@@ -267,8 +267,8 @@
 	}
 }
 
-// An engine that sends load reports but no event to any of its streams is reading prompts: its
-// streams stay longer than those of an engine without any sign of life.
+// An engine that sends load reports but no event to any of its streams is busy with prefill: its
+// streams stay longer than those of an engine that sends nothing.
 func TestStreamOfAnEngineBusyWithPrefillStays(t *testing.T) {
 	const pause = maxEventGap + watchdogInterval
 	began := make(chan bool, 1)
@@ -295,9 +295,9 @@
 	}
 }
 
-// A stalled stream was moved to an engine whose own version was about to expire, was interrupted
-// there before its first event, and had used up its attempts. It returns to its first engine,
-// which serves the next version by then.
+// A stalled stream that was moved to an engine whose own version was about to expire is interrupted
+// there before its first event, and has used up its attempts. It returns to its first engine, which
+// serves the next version by then.
 func TestStreamReturnsToItsServerAfterVersionExpiry(t *testing.T) {
 	var f *fixture
 	var first, second *fakeBackend
--- a/pkg/gateway/order_cut_test.go
+++ b/pkg/gateway/stream_order_test.go
@@ -10,11 +10,11 @@
 	"github.com/tidepost/tidepost/pkg/serviceconfig"
 )
 
-// Guards against resuming a stream on an engine that is about to be cut as well. An order for new
-// weights ended a stream at its engine; the stream resumed on an engine that had not carried out
-// its own order yet, was cut there too, and had no attempt or retry left. The choice of a server
-// knew when a version expires, but not that the order comes before. Up to 14 streams of a run
-// were lost while a version went out and gateways were stopped.
+// Guards against resuming a stream on an engine that is about to break it off as well. An order
+// for new weights broke off a stream at its engine; the stream resumed on an engine that had not
+// carried out its own order yet, was broken off there too, and had no attempt or retry left. The
+// choice of a server took into account when a version expires, but not that the order comes before.
+// Up to 14 streams of a run were lost while a version was rolled out and gateways were stopped.
 func TestStreamBrokenByAnOrderResumesWhereNoOrderIsDue(t *testing.T) {
 	breaking := newFakeBackend(t, "i-cut", func(w *bufio.Writer, r *http.Request) bool {
 		writeEvents(w, r, 1, 1)
@@ -47,9 +47,9 @@
 	}
 }
 
-// Guards against the watchdog aborting a last attempt that is silent before its first event,
-// whose caller has part of the answer from an earlier attempt: the stream had been cut by an
-// order and could not be retried again. The engine here begins after the longest allowed silence.
+// Guards against the watchdog aborting a last attempt that is silent before its first event, whose
+// caller has part of the answer from an earlier attempt: an order had broken off the stream, and it
+// could not be retried again. The engine here begins after the longest allowed silence.
 func TestSilentLastAttemptOfAStreamIsNotInterrupted(t *testing.T) {
 	breaking := newFakeBackend(t, "i-cut", func(w *bufio.Writer, r *http.Request) bool {
 		writeEvents(w, r, 1, 1)
@@ -66,9 +66,9 @@
 	}
 }
 
-// An engine carries out its order while the stream that it cut is cut by the order of the next
-// engine as well. The stream returns to the first: a route bounds the number of servers that a
-// request is sent to, not the number of attempts.
+// An order breaks off a stream at its first engine, and another order does so at the next engine
+// while the first one loads the new weights. The stream returns to the first engine: a route bounds
+// the number of servers that a request is sent to, not the number of attempts.
 func TestStreamBrokenByTwoOrdersReturnsToItsFirstServer(t *testing.T) {
 	var f *fixture
 	var old, next *fakeBackend
@@ -96,14 +96,14 @@
 	}
 }
 
-// Guards against ignoring a server that is about to be ready again. An order cut a stream at the
-// first engine of a rollout, 0.1 ms after the stager gave the order and before a gateway knew of
-// it. The version of the other engines was about to expire, and the first engine was ready again
-// half a second later, but whether the stream may return to it was decided by reports from before
-// the cut; the stream was lost 2.6 s later. Here the server is alive and sends no reports.
+// Guards against excluding a server that is about to be ready again. An order broke off a stream at
+// the first engine of a rollout, 0.1 ms after the stager gave the order and before a gateway
+// received it. The version of the other engines was about to expire, and the first engine was ready
+// again half a second later, but the gateway decided by earlier reports whether the stream may
+// return to it; the stream was lost 2.6 s later. Here the server keeps running and sends no reports.
 func TestStreamBrokenByARunningServerReturnsToIt(t *testing.T) {
 	var only *fakeBackend
-	only = newFakeBackend(t, "i-alone", func(w *bufio.Writer, r *http.Request) bool {
+	only = newFakeBackend(t, "i-only", func(w *bufio.Writer, r *http.Request) bool {
 		if len(only.requests()) > 1 {
 			return streamAfter(1)(w, r)
 		}
@@ -117,10 +117,10 @@
 	}
 }
 
-// A stream does not return to a server that broke it off and has ended.
+// A stream does not return to a server that crashed when it broke the stream off.
 func TestStreamDoesNotReturnToACrashedServer(t *testing.T) {
 	var only *fakeBackend
-	only = newFakeBackend(t, "i-alone", func(w *bufio.Writer, r *http.Request) bool {
+	only = newFakeBackend(t, "i-only", func(w *bufio.Writer, r *http.Request) bool {
 		writeEvents(w, r, 1, 1)
 		_ = only.listener.Close()
 		return false
--- a/pkg/gateway/stream_scenarios_test.go
+++ b/pkg/gateway/stream_scenarios_test.go
@@ -48,8 +48,8 @@
 	return all
 }
 
-// A deadline that its gateway set never ends a stream that has begun, and no stream begins on an
-// expired version: not with slow engines, late orders, stalls or links full of chunks.
+// A deadline that a gateway set never ends a started stream, and no stream begins on an expired
+// version, also with slow engines, late orders, stalls and links full of chunks.
 func TestNoDeadlineOfAGatewayEndsAStream(t *testing.T) {
 	eachScenario(t, func(t *testing.T, sim *streamSim, v *simResult) {
 		sim.report(t, "ended by a deadline", v.byDeadline)
--- a/pkg/gateway/stream_sim_test.go
+++ b/pkg/gateway/stream_sim_test.go
@@ -1,7 +1,7 @@
 // ================================================================
 // A simulation of gateways in front of engines, in virtual time and over connections in memory:
 // callers, versions of the weights, orders, slow engines, stalls, links full of chunks and
-// planned stops, drawn from a seed. Streams are judged by what callers and engines observe.
+// planned stops, drawn from a seed. The outcome of a stream is what callers and engines observe.
 // ================================================================
 
 package gateway
@@ -30,7 +30,8 @@
 	weightsDeadline = 10 * time.Second
 	// meanVersionInterval is the mean time between two versions.
 	meanVersionInterval = 8 * time.Second
-	// stopLimit is how long a planned stop may take, and stopNotice how long callers still come.
+	// stopLimit is how long a planned stop may take, and stopNotice how long callers still send
+	// requests.
 	stopLimit, stopNotice = 7700 * time.Millisecond, 2700 * time.Millisecond
 	// loadReportInterval is the time between two load reports, and loadReportDelay their delay.
 	loadReportInterval, loadReportDelay = 300 * time.Millisecond, 100 * time.Millisecond
@@ -47,8 +48,7 @@
 	duration          time.Duration
 }
 
-// simGateway is a gateway's place in the simulation: the processes that run there one after the
-// other.
+// simGateway is one gateway of the simulation: its processes, which run one after the other.
 type simGateway struct {
 	domain    string
 	processes []*Gateway
@@ -298,7 +298,8 @@
 	})
 }
 
-// publishVersions publishes versions one after the other, and orders the engines to load each.
+// publishVersions publishes versions one after the other, and gives each engine an order to load
+// each of them.
 func (s *streamSim) publishVersions(ctx context.Context, scenarioWork *sync.WaitGroup) {
 	orders := make([]chan bool, len(s.engines)) // a lock for each engine: one order at a time
 	for i := range orders {
@@ -339,7 +340,7 @@
 	}
 }
 
-// delayLink delays an engine's link by weight chunks until its order comes.
+// delayLink delays an engine's link, as weight chunks on it do, until its order comes.
 func (s *streamSim) delayLink(ctx context.Context, e *simEngine, length time.Duration) {
 	if s.scenario.chunkDelay == 0 {
 		return
@@ -380,7 +381,7 @@
 	}
 }
 
-// restartGateway stops a gateway in order and starts it again, from time to time.
+// restartGateway stops a gateway by a planned stop and starts it again, from time to time.
 func (s *streamSim) restartGateway(ctx context.Context, m *simGateway) {
 	for len(m.processes) > 0 {
 		time.Sleep(s.randomDuration(0, 2*meanVersionInterval))
@@ -393,7 +394,7 @@
 	}
 }
 
-// stopGateway stops a gateway in order.
+// stopGateway runs the planned stop of a gateway.
 func (s *streamSim) stopGateway(g *Gateway) {
 	limit := g.stop.begin(time.Now(), stopLimit)
 	defer time.AfterFunc(time.Until(limit.Add(-finalAnswerMargin)), g.stop.endAnswerCtx).Stop()
--- a/pkg/gateway/version_expiry_test.go
+++ b/pkg/gateway/version_expiry_test.go
@@ -24,10 +24,10 @@
 // preferred; the second serves version 2.
 func newExpiringFixture(t *testing.T, first, second responseScript) *fixture {
 	t.Helper()
-	return newExpiringFixtureOf(t, newFakeBackend(t, "i-old", first), newFakeBackend(t, "i-young", second))
+	return newExpiringFixtureOf(t, newFakeBackend(t, "i-old", first), newFakeBackend(t, "i-new", second))
 }
 
-// newExpiringFixtureOf is newExpiringFixture with two given stand-ins.
+// newExpiringFixtureOf is newExpiringFixture with two given fake servers.
 func newExpiringFixtureOf(t *testing.T, old, next *fakeBackend) *fixture {
 	t.Helper()
 	f := newFixture(t, serviceconfig.Stream, true)
@@ -74,7 +74,7 @@
 	f.gateway.versions.Add(f.namedUpdate(left).NamedVersions(), time.Now())
 }
 
-// namedUpdate is the same as an update from a control node.
+// namedUpdate returns an update from a control node with the same content.
 func (f *fixture) namedUpdate(left time.Duration) feed.Update {
 	named := []feed.NamedVersion{feed.NewNamedVersion("menu", 2, f.gateway.settings.RolloutLimit()-left)}
 	return feed.NewUpdate(0, nil, named, nil, true, nil, 0, false, nil, nil, nil, nil, nil, nil)
@@ -208,7 +208,7 @@
 		received <- r
 		return completeStream(w, r)
 	}, closeWithoutResponse)
-	f.gateway.backends.markDeparted("i-young", 0)
+	f.gateway.backends.markDeparted("i-new", 0)
 	f.setNamedVersion(defaultCancelMargin + 50*time.Millisecond)
 	if status, _, _, _ := f.do(t, f.draftRequest(t)); status != http.StatusOK {
 		t.Fatalf("status %d", status)
@@ -229,8 +229,8 @@
 	}
 }
 
-// The watchdog checks exactly when the version expires, cancels then and not earlier, and leaves
-// a started stream alone.
+// The watchdog checks exactly when the version expires, cancels a waiting request then and not
+// earlier, and does not cancel a started stream.
 func TestWatchdogChecksAtVersionExpiry(t *testing.T) {
 	f := newExpiringFixture(t, closeWithoutResponse, closeWithoutResponse)
 	q := &request{ctx: t.Context(), service: f.service(t), model: "menu"}
@@ -258,7 +258,8 @@
 	}
 }
 
-// A version update triggers all watchdogs: by their next regular check it may be too late.
+// A version update triggers all watchdogs, since their next regular check may come after the
+// expiry.
 func TestVersionUpdateTriggersAllWatchdogs(t *testing.T) {
 	f := newExpiringFixture(t, closeWithoutResponse, closeWithoutResponse)
 	checked := make(chan bool)
@@ -281,7 +282,8 @@
 	w.check() // would abort a connection that does not exist
 }
 
-// A request that is not idempotent can't be canceled, so its engine has to drop it.
+// A request that is not idempotent can't be canceled, so it carries the expiry as its deadline and
+// its engine drops it.
 func TestNonIdempotentRequestCarriesVersionDeadline(t *testing.T) {
 	received := make(chan *http.Request, 1)
 	f := newExpiringFixture(t, func(w *bufio.Writer, r *http.Request) bool {
@@ -312,7 +314,7 @@
 func TestStreamRunsPastVersionExpiry(t *testing.T) {
 	const left = 1600 * time.Millisecond
 	old := newFakeBackend(t, "i-old", endsAtDeadline(left+watchdogInterval, 1, 3))
-	f := newExpiringFixtureOf(t, old, newFakeBackend(t, "i-young", completeStream))
+	f := newExpiringFixtureOf(t, old, newFakeBackend(t, "i-new", completeStream))
 	f.setNamedVersion(left)
 	status, _, body, err := f.do(t, f.draftRequest(t))
 	if status != http.StatusOK || body != events(1, 3) || err != nil {
@@ -338,8 +340,8 @@
 	return m.GetCounter().GetValue()
 }
 
-// The closing of a connection queues behind chunks on its link, so a request there is canceled
-// earlier, and not sent within that time.
+// The close of a connection queues behind chunks on its link, so a request on such a link is
+// canceled earlier, and no request is sent to its engine within that time.
 func TestRequestBehindTransfersIsCanceledEarlier(t *testing.T) {
 	f := newExpiringFixture(t, closeWithoutResponse, closeWithoutResponse)
 	q := &request{service: f.service(t), model: "menu"}
@@ -374,8 +376,8 @@
 
 // Guards against started streams that lose their last events at engines short of CPU time. If run
 // times are taken from the configuration alone, a request carries the expiry of its version as
-// its deadline although it will run longer, and the engine breaks it off there. A request may run
-// past the expiry; it only must not begin after it.
+// its deadline although it will run longer, and the engine breaks it off at that time. A request
+// may run past the expiry, but must not begin after it.
 func TestRecentLongRunsKeepCallerDeadline(t *testing.T) {
 	received := make(chan *http.Request, 1)
 	f := newExpiringFixture(t, func(w *bufio.Writer, r *http.Request) bool {
--- a/pkg/gateway/versions_test.go
+++ b/pkg/gateway/versions_test.go
@@ -7,7 +7,7 @@
 	"github.com/tidepost/tidepost/pkg/feed"
 )
 
-// A version that is followed by a later one keeps its own due time.
+// A version keeps its due time when a later version is named.
 func TestEarlierVersionKeepsItsDueTime(t *testing.T) {
 	table := feed.NewVersionTable()
 	start := time.Unix(100, 0)
--- a/pkg/gateway/yield_test.go
+++ b/pkg/gateway/yield_test.go
@@ -7,8 +7,8 @@
 	"github.com/tidepost/tidepost/pkg/serviceconfig"
 )
 
-// Guards against refused first attempts after many connections fall silent. The lost runs go on
-// at the engines; if each is retried immediately, all engines are full for a second and more.
+// Guards against refused first attempts after many connections fall silent. The lost runs continue
+// at the engines; if each is retried immediately, all engines are full for more than a second.
 func TestLostRequestYieldsToFirstAttempts(t *testing.T) {
 	s := &fakeStager{idleDelay: idleStartDelay, delays: map[string]time.Duration{"127.0.0.11:1": 300 * time.Millisecond, "127.0.0.12:1": 300 * time.Millisecond, "127.0.0.13:1": 300 * time.Millisecond}}
 	g, q := newReservingGateway(t, s)
--- a/pkg/quarantine/build.go
+++ b/pkg/quarantine/build.go
@@ -1,6 +1,6 @@
 // ================================================================
-// A build is what a server runs: its software and its weights. A request that crashes servers of
-// one build may run on another, in which the fault is fixed.
+// A build identifies what a server runs: its software and its weights. A request that crashes
+// servers of one build may run on another build, in which the fault is fixed.
 // ================================================================
 
 package quarantine
--- a/pkg/quarantine/cost_test.go
+++ b/pkg/quarantine/cost_test.go
@@ -1,5 +1,6 @@
 // ================================================================
-// The cost of the quarantine to each request of a gateway, and the memory of a full table.
+// Benchmarks of what the quarantine costs each request of a gateway, and of the memory of a full
+// table.
 // ================================================================
 
 package quarantine
--- a/pkg/quarantine/fingerprint.go
+++ b/pkg/quarantine/fingerprint.go
@@ -1,11 +1,11 @@
 // ================================================================
 // The fingerprint that identifies repeated attempts of one request. Each attempt of a caller has a
-// new id, a shorter deadline and perhaps a last event id; the work of a backend server is
-// determined by the caller's organisation, method, host, path and body.
+// new id, a shorter deadline and perhaps a last event id, so the fingerprint covers only what
+// determines the work of a backend server: the caller's organisation, method, host, path and body.
 //
-// The digest is cryptographic, since a caller who could make two bodies with one fingerprint could
-// have another caller's request quarantined. SHA-256 costs 2.6 µs for a body of 2 KB and 65 µs for
-// one of 64 KB (BenchmarkFingerprint).
+// The digest is cryptographic, since a caller who could construct two bodies with one fingerprint
+// could get another caller's request quarantined. SHA-256 costs 2.6 µs for a body of 2 KB and 65 µs
+// for one of 64 KB (BenchmarkFingerprint).
 // ================================================================
 
 // Package quarantine records which requests crash the backend servers that run them, and keeps
--- a/pkg/quarantine/record.go
+++ b/pkg/quarantine/record.go
@@ -1,18 +1,18 @@
 // ================================================================
-// What is known of one request: the servers that crashed while they ran it, and the builds on which
-// it ran to completion. Gateways share records through the control nodes. Merging is a union, so
-// all reach the same state in any order of messages, also after a partition.
+// The record of one request: the servers that crashed while they ran it, and the builds on which it
+// ran to completion. Gateways share records through the control nodes. Merging is a union, so all
+// reach the same state in any order of messages, also after a partition.
 //
-// A single crash proves nothing: a server that crashes fails all its requests, innocent ones as
-// well. So only independent crashes count, and one completed run clears a request:
+// A single crash proves nothing: a server that crashes fails all its requests, also those that did
+// not cause the crash. So only independent crashes count, and one completed run clears a request:
 //
-//   - crashes in one failure domain within a second count as one, as when a rack fails,
-//     unless the sender of the later request knew of the earlier crash: then that server
-//     outlived it;
+//   - crashes in one failure domain within a second count as one, as when a rack fails, unless
+//     the sender of the later request had a record of the earlier crash: then the later server
+//     was still running after that crash, and did not crash with it;
 //   - a request that ran to completion on a build doesn't crash servers of that build.
 //
-// Rejected: the plain number of crashes. A popular request is in flight on nearly every server, and
-// had three crashes against it within a second of the first.
+// The plain number of crashes would not do: a popular request is in flight on nearly every server,
+// and had three recorded crashes within a second of the first.
 // ================================================================
 
 package quarantine
@@ -26,8 +26,8 @@
 
 const (
 	// CrashesToQuarantine is how many independent crashes quarantine a request. After two, one
-	// innocent request of about eight in flight at each crash would be quarantined as well; after
-	// three, one in fifty, with 20 servers.
+	// in about eight of the other requests in flight at each crash would be quarantined as well;
+	// after three, one in fifty, with 20 servers.
 	CrashesToQuarantine = 3
 	// crashesToSuspect limits a request to one attempt at a time in each gateway. After a single
 	// crash that would delay popular requests whenever a rack fails.
@@ -40,7 +40,7 @@
 	sameFailureWindow = time.Second
 )
 
-// Crash says that a backend server exited while it ran a request.
+// Crash records that a backend server exited while it ran a request.
 //
 //wire:generate
 type Crash struct {
@@ -54,7 +54,7 @@
 	build string
 	// knownCrashes is how many independent crashes the sender knew of when it sent the request.
 	knownCrashes int
-	// age is the time since the crash, as far as the sender of this message knows.
+	// age is the time since the crash, by the clock of the sender of this message.
 	age time.Duration
 }
 
@@ -75,8 +75,8 @@
 	// and tester the gateway that was allowed to do so last.
 	trials int
 	tester string
-	// idle is the time since something new was learned of the request, or since it last arrived
-	// while it was quarantined, as far as the sender of this message knows.
+	// idle is the time since the record last changed, or since the request last arrived while it
+	// was quarantined, by the records of the sender of this message.
 	idle time.Duration
 }
 
@@ -165,7 +165,7 @@
 }
 
 // mergeActivity applies the time since others last saw activity of the request, and reports whether
-// that must be shared, so that all go on remembering it.
+// that must be shared, so that all processes keep the record.
 func (e *entry) mergeActivity(idle time.Duration, now time.Time) (changed bool) {
 	at := now.Add(-idle)
 	if !at.After(e.lastActivity) {
--- a/pkg/quarantine/table.go
+++ b/pkg/quarantine/table.go
@@ -1,11 +1,11 @@
 // ================================================================
-// The table of the requests under which servers crashed, in shards by fingerprint with a lock each:
-// a gateway looks up every request before it admits it, before each decision on an attempt and its
-// sending, and after it has run to completion.
+// The table of the requests that servers ran when they crashed, in shards by fingerprint with a lock
+// each: a gateway looks up every request before it admits it, before it decides on each attempt and
+// sends it, and after the request has run to completion.
 //
-// The table is bounded whatever callers send. Requests whose servers never crashed have no record;
-// of the others those with the fewest crashes are evicted first. Completed runs are remembered for
-// the last few thousand requests, which covers those that come often.
+// The size of the table is bounded whatever callers send. Requests whose servers never crashed have
+// no record; of the others those with the fewest crashes are evicted first. Completed runs are kept
+// for the last few thousand requests, which include those that arrive often.
 // ================================================================
 
 package quarantine
@@ -25,23 +25,23 @@
 	// maxCompletions bounds each of the two sets of completions of a shard: 2,048 to 4,096
 	// requests in the table.
 	maxCompletions = 128
-	// suspectTTL is how long a request with too few crashes for quarantine is remembered, and
-	// quarantinedTTL a quarantined one, since its last activity.
+	// suspectTTL is how long the record of a request with too few crashes for quarantine is kept
+	// after its last activity, and quarantinedTTL that of a quarantined one.
 	suspectTTL     = time.Hour
 	quarantinedTTL = 24 * time.Hour
 	// activityInterval is how often the arrival of a quarantined request counts as a change to be
-	// shared, so that all remember it as long as it arrives anywhere.
+	// shared, so that all processes keep its record as long as it arrives at any gateway.
 	activityInterval = time.Hour
 )
 
-// Verdict says whether a request may be sent to a backend server.
+// Verdict is the decision on whether a request may be sent to a backend server.
 type Verdict string
 
 // The verdicts.
 const (
-	// Clear means that too little is held against the request.
+	// Clear means that the request has too few recorded crashes to be a suspect.
 	Clear Verdict = "clear"
-	// Suspect means that the request may crash servers: one attempt of it at a time.
+	// Suspect means that the request may crash servers, and has one attempt at a time.
 	Suspect Verdict = "suspect"
 	// Busy means that the request is a suspect with an attempt in flight here.
 	Busy Verdict = "busy"
@@ -67,7 +67,7 @@
 	completions, olderCompletions map[completion]bool
 }
 
-// Table holds what is known of requests. It is safe for concurrent use.
+// Table holds the records of requests. It is safe for concurrent use.
 type Table struct {
 	now    func() time.Time
 	shards [shardCount]shard
@@ -92,8 +92,8 @@
 // ----------------------------------------------------------------
 // Before and while a request runs
 
-// BeginAttempt returns whether a request may be tried, and the builds to avoid. After Suspect the caller
-// must call TryDone.
+// BeginAttempt returns the verdict on a request before an attempt, and the builds to avoid. After Suspect
+// the caller must call TryDone when the attempt has ended.
 func (t *Table) BeginAttempt(f Fingerprint) (v Verdict, avoid []string) {
 	s := t.shard(f)
 	s.mu.Lock()
@@ -140,7 +140,7 @@
 	return Suspect
 }
 
-// Crashes returns the number of independent crashes held against a request.
+// Crashes returns the number of independent crashes recorded for a request.
 func (t *Table) Crashes(f Fingerprint) int {
 	s := t.shard(f)
 	s.mu.Lock()
@@ -152,7 +152,7 @@
 }
 
 // RecordArrival records that a quarantined request arrived, and returns its record with true if it
-// must be shared, so that all go on remembering it.
+// must be shared, so that all processes keep the record.
 func (t *Table) RecordArrival(f Fingerprint) (r Record, share bool) {
 	s := t.shard(f)
 	s.mu.Lock()
@@ -187,7 +187,7 @@
 }
 
 // RecordCompletion records that a request ran to completion on a build, and returns the record to
-// share where crashes are held against it.
+// share where crashes are recorded for it.
 func (t *Table) RecordCompletion(f Fingerprint, build string) (r Record, share bool) {
 	s := t.shard(f)
 	s.mu.Lock()
--- a/pkg/quarantine/table_test.go
+++ b/pkg/quarantine/table_test.go
@@ -41,7 +41,7 @@
 	return step{after: after, crash: &e}
 }
 
-// Which crashes and completed runs quarantine a request.
+// TestVerdict checks which crashes and completed runs quarantine a request.
 func TestVerdict(t *testing.T) {
 	at := func(ms int) time.Duration { return time.Duration(ms) * time.Millisecond }
 	cases := []struct {
@@ -82,7 +82,6 @@
 	}
 }
 
-// A suspect has one attempt in flight at a time.
 func TestSuspectHasOneAttemptInFlight(t *testing.T) {
 	table := NewTable(nil)
 	table.RecordCrash(request, crashOf("a", "x", "v1/0", 0))
@@ -110,8 +109,8 @@
 	return got
 }
 
-// Gateways that were partitioned learn different things, and agree after the partition in whatever
-// order they merge records.
+// Gateways that were partitioned record different crashes and completed runs. After the partition
+// they reach the same state in any order of merging.
 func TestMergeIsOrderIndependent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := newClock()
@@ -155,7 +154,7 @@
 	})
 }
 
-// A gateway that saw a request run to completion shares that with those that hold crashes against
+// A gateway where a request ran to completion shares that with those that have recorded crashes for
 // it.
 func TestCompletionClearsRequest(t *testing.T) {
 	observer, others := NewTable(nil), NewTable(nil)
@@ -199,7 +198,7 @@
 	}
 }
 
-// A quarantined request is remembered in all tables for as long as it arrives at one of them.
+// All tables keep the record of a quarantined request for as long as it arrives at one of them.
 func TestQuarantineLastsWhileRequestsArrive(t *testing.T) {
 	now := newClock()
 	table := NewTable(now.read)
@@ -307,7 +306,7 @@
 	}
 }
 
-// A trial that was not sent to a server may begin again; one that was sent may not.
+// A trial that was not sent to a server may begin again, and one that was sent may not.
 func TestUnsentTrialRemainsGranted(t *testing.T) {
 	now := newClock()
 	table := NewTable(now.read)
--- a/pkg/quarantine/trial.go
+++ b/pkg/quarantine/trial.go
@@ -1,11 +1,11 @@
 // ================================================================
 // Trials: a quarantined request may run again once the software or the weights of servers are
-// fixed. One gateway tries it once, on a server of a build that never crashed under it, and one
-// completed run lets it run on such builds everywhere.
+// fixed. One gateway sends it once, to a server of a build that never crashed while it ran the
+// request, and one completed run allows the request on such builds at all gateways.
 //
-// The leader of the control nodes chooses the gateway, so that not a hundred of them try at one
-// moment, and the record keeps the choice. The number of trials is limited for the lifetime of a
-// record: a request that crashes every build costs one server per trial.
+// The leader of the control nodes chooses the gateway, since otherwise a hundred gateways might
+// make the trial at the same moment. The record stores the choice. The number of trials is limited
+// for the lifetime of a record: a request that crashes every build costs one server per trial.
 // ================================================================
 
 package quarantine
@@ -18,13 +18,13 @@
 )
 
 // trialDelays are the times after the last crash at which the first and the second trial may begin:
-// a software rollout is over after the first, and the second serves a further fix.
+// a software rollout is over by the first, and the second allows for a further fix.
 var trialDelays = []time.Duration{30 * time.Second, 10 * time.Minute}
 
 // TesterID identifies the process of a gateway that makes trials.
 func TesterID(v vm.Identity) string { return fmt.Sprintf("%s/%x", v.ID(), v.Incarnation()) }
 
-// GrantTrial allows a gateway to try a quarantined request, if a trial is left and due.
+// GrantTrial allows a gateway to make a trial of a quarantined request, if one is left and due.
 func (t *Table) GrantTrial(f Fingerprint, tester string) (r Record, granted bool) {
 	s := t.shard(f)
 	s.mu.Lock()
@@ -46,7 +46,7 @@
 	return now.Sub(e.crashes[len(e.crashes)-1].at) >= trialDelays[e.trials]
 }
 
-// TrialState is whether a gateway may try a quarantined request.
+// TrialState states whether a gateway may make a trial of a quarantined request.
 type TrialState int
 
 // The states.
@@ -59,7 +59,7 @@
 	TrialGranted
 )
 
-// BeginTrial returns whether a gateway is to try a quarantined request now.
+// BeginTrial returns whether a gateway may make a trial of a quarantined request now.
 func (t *Table) BeginTrial(f Fingerprint, tester string) TrialState {
 	s := t.shard(f)
 	s.mu.Lock()
--- a/pkg/quarantine/wire_generated.go
+++ b/pkg/quarantine/wire_generated.go
@@ -28,7 +28,7 @@
 // KnownCrashes is how many independent crashes the sender knew of when it sent the request.
 func (c Crash) KnownCrashes() int { return c.knownCrashes }
 
-// Age is the time since the crash, as far as the sender of this message knows.
+// Age is the time since the crash, by the clock of the sender of this message.
 func (c Crash) Age() time.Duration { return c.age }
 
 // EncodeMsgpack writes the fields in order, as one array.
@@ -80,8 +80,8 @@
 // Tester returns the field of that name.
 func (r Record) Tester() string { return r.tester }
 
-// Idle is the time since something new was learned of the request, or since it last arrived
-// while it was quarantined, as far as the sender of this message knows.
+// Idle is the time since the record last changed, or since the request last arrived while it
+// was quarantined, by the records of the sender of this message.
 func (r Record) Idle() time.Duration { return r.idle }
 
 // EncodeMsgpack writes the fields in order, as one array.
--- a/pkg/serverlimit/advertised.go
+++ b/pkg/serverlimit/advertised.go
@@ -1,11 +1,12 @@
 // ================================================================
-// What an answer says about the limit of its backend server: no limit, a valid limit, or an invalid
-// value. An invalid value must change nothing: treated as no limit it would lift the limit of an
-// overloaded server, and treated as 0 it would keep all requests from it.
+// Parses the limit that an answer of a backend server advertises: no limit, a valid limit, or an
+// invalid value. An invalid value must change nothing: treated as no limit it would lift the limit
+// of an overloaded server, and treated as 0 it would keep all requests from it.
 // ================================================================
 
 // Package serverlimit enforces the rate limits that backend servers advertise: the requests per
-// second that a server accepts from all gateways together, for as long as its answers say so.
+// second that a server accepts from all gateways together, for as long as its answers advertise the
+// limit.
 package serverlimit
 
 import (
@@ -22,7 +23,7 @@
 // words such as "inf".
 const decimalChars = "0123456789+-.eE"
 
-// Kind is what an answer says about a limit.
+// Kind is the kind of limit that an answer advertises.
 type Kind uint8
 
 // The kinds.
@@ -35,7 +36,7 @@
 	Valid
 )
 
-// AdvertisedLimit is what one answer says about the limit of its backend server. The zero value is
+// AdvertisedLimit is the limit of its backend server that one answer advertises. The zero value is
 // no limit.
 type AdvertisedLimit struct {
 	kind      Kind
@@ -58,7 +59,7 @@
 	return AdvertisedLimit{Valid, perSecond}
 }
 
-// Kind returns whether the answer has a limit, and a valid one.
+// Kind returns whether the answer has no limit, an invalid one or a valid one.
 func (a AdvertisedLimit) Kind() Kind { return a.kind }
 
 // PerSecond returns the limit in requests per second, 0 unless it is valid.
--- a/pkg/serverlimit/advertised_test.go
+++ b/pkg/serverlimit/advertised_test.go
@@ -1,5 +1,5 @@
 // ================================================================
-// Which values of the limit header are limits.
+// Tests which values of the limit header are valid limits.
 // ================================================================
 
 package serverlimit
--- a/pkg/serverlimit/limiter.go
+++ b/pkg/serverlimit/limiter.go
@@ -8,9 +8,9 @@
 // owners that alternate don't both accumulate tokens. A backup for an owner that doesn't answer
 // grants only a part: the owner may be partitioned and grant the whole limit.
 //
-// A limit has ended when an answer says so whose permit was granted after the limit was last
-// reported here: answers may arrive out of order, and that one can't be older. An answer that a
-// gateway got before its permit proves nothing.
+// A limit has ended when an answer without a limit arrives whose permit was granted after the limit
+// was last reported here: answers may arrive out of order, and such an answer can't be older than
+// the report. An answer that a gateway received before it had a permit proves nothing.
 // ================================================================
 
 package serverlimit
@@ -33,7 +33,7 @@
 	minRate              = 0.25
 	minPartialBackupRate = 0.1
 	// burstWindow is for how long a bucket accumulates tokens, besides one permit: requests arrive
-	// unevenly, and permits that nobody requests at one moment may be used a moment later.
+	// unevenly, and permits that are not requested at one moment may be used a moment later.
 	burstWindow = 250 * time.Millisecond
 	// backupIdleGap is how long a backup may get no request, beyond the interval between two
 	// permits, and keep its tokens.
--- a/pkg/serverlimit/limiter_test.go
+++ b/pkg/serverlimit/limiter_test.go
@@ -48,8 +48,8 @@
 	}
 }
 
-// An owner that has just taken over grants nothing that another may have granted, and one without
-// requests accumulates little.
+// An owner that has just taken over grants no permit that another may have granted, and one without
+// requests accumulates few tokens.
 func TestBucketStartsEmptyAndIsSmall(t *testing.T) {
 	l := NewLimiter(1)
 	if a := l.Decide(start, sameLimit(4), Owner); a.Permit().IsGranted() || a.RetryAfter() <= 0 {
@@ -60,7 +60,7 @@
 		count++
 	}
 	if count != 1 {
-		t.Fatalf("%d permits at once after 30 s", count)
+		t.Fatalf("%d permits in a burst after 30 s", count)
 	}
 }
 
@@ -70,7 +70,7 @@
 	l := NewLimiter(1)
 	l.Decide(start, sameLimit(4), Backup)
 	if l.Decide(at(30_000), sameLimit(4), Backup).Permit().IsGranted() {
-		t.Fatal("a permit was granted at once")
+		t.Fatal("a permit was granted immediately")
 	}
 	if !l.Decide(at(30_500), sameLimit(4), Backup).Permit().IsGranted() {
 		t.Fatal("no permit after half a second")
@@ -90,7 +90,8 @@
 	}
 }
 
-// Two partial backups, besides a partitioned owner, grant less than half as much again.
+// A partial backup grants a fifth of the limit, so that two of them, besides a partitioned owner,
+// grant less than half of it in addition.
 func TestPartialBackupGrantsShare(t *testing.T) {
 	for _, c := range []struct {
 		perSecond float64
--- a/pkg/serverlimit/messages.go
+++ b/pkg/serverlimit/messages.go
@@ -14,7 +14,7 @@
 type Server struct {
 	// incarnation identifies the backend server.
 	incarnation string
-	// startedAt tells the processes of one incarnation apart; 0 where it is not known.
+	// startedAt distinguishes the processes of one incarnation; 0 where it is not known.
 	startedAt uint64
 	// domain is the failure domain of the server.
 	domain string
@@ -28,7 +28,7 @@
 	server Server
 	// perSecond is the limit, in requests per second, that the requesting gateway learned last.
 	perSecond float64
-	// changed says that the gateway learned this limit since its last request.
+	// changed is true if the gateway learned this limit since its last request.
 	changed bool
 	// age is the longest time for which the gateway may have known the limit: since it sent the
 	// request whose answer advertised it.
@@ -41,7 +41,7 @@
 type PermitResponse struct {
 	// permit is the permit that was granted; its zero value is none.
 	permit Permit
-	// limitEnded says that the server advertises no limit any more, so that no permit is needed.
+	// limitEnded is true if the server advertises no limit any more, so that no permit is needed.
 	limitEnded bool
 	// perSecond is the limit that the owner applies, in requests per second.
 	perSecond float64
@@ -71,7 +71,7 @@
 // IsGranted reports whether there is a permit.
 func (p Permit) IsGranted() bool { return p.number > 0 }
 
-// Outcome is what became of a permit.
+// Outcome is the result of a permit.
 type Outcome uint8
 
 // The outcomes.
@@ -84,7 +84,7 @@
 	NoLimitAdvertised
 )
 
-// PermitReport tells the owner of a limit what became of a permit that it granted.
+// PermitReport reports the outcome of a permit to the owner of the limit, which granted it.
 //
 //wire:generate
 type PermitReport struct {
@@ -92,7 +92,7 @@
 	server Server
 	// permit is the permit that was granted.
 	permit Permit
-	// outcome is what became of it.
+	// outcome is the result of the permit.
 	outcome Outcome
 	// perSecond is the limit that the answer advertised, in requests per second.
 	perSecond float64
--- a/pkg/serverlimit/owner.go
+++ b/pkg/serverlimit/owner.go
@@ -1,13 +1,13 @@
 // ================================================================
-// Which gateway owns a limit. One gateway grants the permits of a server to all, so that the sum
-// stays within the limit however many gateways there are. All compute the same owner from the list
-// of gateways alone, by rendezvous hashing: D. Thaler, C. Ravishankar, "Using name-based mappings
-// to increase hit rates" (1998). Gateways in the failure domain of the server come first: where a
-// link between failure domains is cut, a gateway that reaches the server reaches them too.
+// Chooses the gateway that owns a limit. One gateway grants the permits of a server to all, so that
+// the sum stays within the limit however many gateways there are. All compute the same owner from
+// the list of gateways alone, by rendezvous hashing: D. Thaler, C. Ravishankar, "Using name-based
+// mappings to increase hit rates" (1998). Gateways in the failure domain of the server come first:
+// where a link between failure domains is cut, a gateway that reaches the server reaches them too.
 //
-// Rejected: a share of the limit for each gateway by demand. With 149 gateways and 1 request per
-// second no share is a whole request, and demand becomes known late. Also rejected: permits from
-// the control nodes, which would end when these fail.
+// A share of the limit for each gateway by demand would not do: with 149 gateways and 1 request per
+// second no share is a whole request, and demand becomes known late. Permits from the control nodes
+// would stop when these fail.
 // ================================================================
 
 package serverlimit
--- a/pkg/serverlimit/wire_generated.go
+++ b/pkg/serverlimit/wire_generated.go
@@ -59,7 +59,7 @@
 // Permit is the permit that was granted.
 func (p PermitReport) Permit() Permit { return p.permit }
 
-// Outcome is what became of it.
+// Outcome is the result of the permit.
 func (p PermitReport) Outcome() Outcome { return p.outcome }
 
 // PerSecond is the limit that the answer advertised, in requests per second.
@@ -104,7 +104,7 @@
 // PerSecond is the limit, in requests per second, that the requesting gateway learned last.
 func (p PermitRequest) PerSecond() float64 { return p.perSecond }
 
-// Changed says that the gateway learned this limit since its last request.
+// Changed is true if the gateway learned this limit since its last request.
 func (p PermitRequest) Changed() bool { return p.changed }
 
 // Age is the longest time for which the gateway may have known the limit: since it sent the
@@ -147,7 +147,7 @@
 // Permit is the permit that was granted; its zero value is none.
 func (p PermitResponse) Permit() Permit { return p.permit }
 
-// LimitEnded says that the server advertises no limit any more, so that no permit is needed.
+// LimitEnded is true if the server advertises no limit any more, so that no permit is needed.
 func (p PermitResponse) LimitEnded() bool { return p.limitEnded }
 
 // PerSecond is the limit that the owner applies, in requests per second.
@@ -196,7 +196,7 @@
 // Incarnation identifies the backend server.
 func (s Server) Incarnation() string { return s.incarnation }
 
-// StartedAt tells the processes of one incarnation apart; 0 where it is not known.
+// StartedAt distinguishes the processes of one incarnation; 0 where it is not known.
 func (s Server) StartedAt() uint64 { return s.startedAt }
 
 // Domain is the failure domain of the server.
