--- a/pkg/gateway/attempt.go
+++ b/pkg/gateway/attempt.go
@@ -36,7 +36,7 @@
 	if err != nil {
 		if q.ctx.Err() == nil {
 			b.recordFailure(time.Now())
-			g.probeReachability(b)
+			g.startDials(b)
 			g.recordAttempt(q, attemptUnreachable, err.Error())
 		}
 		return false
@@ -45,9 +45,9 @@
 	// A connection that has not been released by then is in an unknown state.
 	defer conn.Abort()
 	q.versionExpiry = g.versionExpiryOf(q, b, 0)
-	q.knownServerExits = g.quarantine.Crashes(q.fingerprint)
+	q.knownCrashes = g.quarantine.Crashes(q.fingerprint)
 	q.build = b.build(q.modelAndLayers())
-	if !q.mayRun(q.knownServerExits) || !quarantine.MayBeFixed(q.build, q.avoid) || q.remaining() < minAttemptTime || q.versionExpiry.mustCancel() {
+	if !q.mayRun(q.knownCrashes) || !quarantine.MayBeFixed(q.build, q.avoidBuilds) || q.remaining() < minAttemptTime || q.versionExpiry.mustCancel() {
 		conn.Close()
 		return false
 	}
@@ -62,15 +62,15 @@
 		g.budget.countRequest(q.service.Name())
 	}
 	q.retryTaken.Store(false)
-	q.borrowed = false
+	q.uncharged = false
 	q.sent++
 	q.timeToLastSend = time.Since(q.started)
 	work := q.work
-	x := &exchange{gateway: g, request: q, backend: b, conn: conn, permit: permit, isLastServer: q.isLastServerAt(b), resumes: q.headWritten, failoverCriteria: g.criteriaFor(q)}
-	x.failoverCriteria.tried, x.failoverCriteria.only = maps.Clone(q.tried), maps.Clone(x.failoverCriteria.only)
+	x := &exchange{gateway: g, request: q, backend: b, conn: conn, permit: permit, isLastServer: q.isLastServerAt(b), resumes: q.headWritten, failoverRequirements: g.requirementsFor(q)}
+	x.failoverRequirements.tried, x.failoverRequirements.only = maps.Clone(q.tried), maps.Clone(x.failoverRequirements.only)
 	if x.isLastServer {
-		x.failoverCriteria.only = maps.Clone(q.ranAt)
-		x.failoverCriteria.only[b] = true
+		x.failoverRequirements.only = maps.Clone(q.ranAt)
+		x.failoverRequirements.only[b] = true
 	}
 	var abort, abortWaiting func()
 	if q.route.Idempotent() {
@@ -101,9 +101,9 @@
 	permit         *permit // nil if the backend server announces no limit
 	isLastServer   bool    // no further backend server may be tried after it
 	resumes        bool    // the caller already has part of the stream
-	// failoverCriteria are what another backend server must satisfy. Their maps are copies,
+	// failoverRequirements are what another backend server must satisfy. Their maps are copies,
 	// since other goroutines evaluate them while the request proceeds.
-	failoverCriteria requirements
+	failoverRequirements requirements
 }
 
 // abortWaiting ends an attempt that waits at a backend server which appears unreachable.
@@ -174,7 +174,7 @@
 	q.liveness = x.probeCrash(cause)
 	switch {
 	case q.ctx.Err() != nil:
-	case x.watch.lapsed.Load() || q.versionDeadlinePassed():
+	case x.watch.versionExpired.Load() || q.versionDeadlinePassed():
 		if x.silenceMonitor.hasStreamed() {
 			x.gateway.recordInterrupted(q, interruptDeadline, stageStreaming)
 			q.recordRunTime(&x.gateway.silenceDetector, time.Now(), time.Since(x.started))
@@ -212,7 +212,7 @@
 // recordNotRun records an attempt that the backend server rejected.
 func (x *exchange) recordNotRun(response *http.Response, head ResponseHead) bool {
 	q := x.request
-	if _, err := upstream.ReadAll(response.Body, maxRefusalBody); err != nil {
+	if _, err := upstream.ReadAll(response.Body, maxRejectionBody); err != nil {
 		x.conn.Close()
 	} else {
 		x.conn.Finish(response)
@@ -229,7 +229,7 @@
 	}
 	x.backend.recordOverload(time.Now())
 	q.allowRetryAt(x.backend)
-	x.gateway.recordAttempt(q, attemptRefused, response.Status)
+	x.gateway.recordAttempt(q, attemptRejected, response.Status)
 	return false
 }
 
@@ -241,6 +241,6 @@
 	}
 }
 
-// maxRefusalBody bounds the body of a rejection, which is read only so that the connection can
+// maxRejectionBody bounds the body of a rejection, which is read only so that the connection can
 // be reused.
-const maxRefusalBody = 64 << 10
+const maxRejectionBody = 64 << 10
--- a/pkg/gateway/attempt_monitor.go
+++ b/pkg/gateway/attempt_monitor.go
@@ -44,75 +44,75 @@
 // monitorAttempt starts monitoring an attempt that is about to be sent.
 func (g *Gateway) monitorAttempt(x *exchange, abort func()) *attemptMonitor {
 	now := time.Now()
-	l := &attemptMonitor{detector: &g.silenceDetector, exchange: x, connectedAt: x.conn.DialedAt(), sentAt: now, lastReceived: now, abort: abort}
-	g.silenceDetector.add(l, func() { g.checkSilence(time.Now()) })
-	return l
+	m := &attemptMonitor{detector: &g.silenceDetector, exchange: x, connectedAt: x.conn.DialedAt(), sentAt: now, lastReceived: now, abort: abort}
+	g.silenceDetector.add(m, func() { g.checkSilence(time.Now()) })
+	return m
 }
 
 // receivedBytes records that bytes came.
-func (l *attemptMonitor) receivedBytes(now time.Time) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.lastReceived, l.received = now, true
+func (m *attemptMonitor) receivedBytes(now time.Time) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.lastReceived, m.received = now, true
 }
 
 // receivedEvent records that an event of a stream came. The first one ends the wait.
-func (l *attemptMonitor) receivedEvent(now time.Time) {
-	l.mu.Lock()
-	before, first := l.lastReceived, !l.streaming
-	l.lastReceived, l.received, l.streaming = now, true, true
-	l.mu.Unlock()
+func (m *attemptMonitor) receivedEvent(now time.Time) {
+	m.mu.Lock()
+	before, first := m.lastReceived, !m.streaming
+	m.lastReceived, m.received, m.streaming = now, true, true
+	m.mu.Unlock()
 	if first {
-		l.recordWait(now)
+		m.recordWait(now)
 	}
-	l.setSilenceLimit(l.detector.recordEvent(l, now, before, first))
+	m.setSilenceLimit(m.detector.recordEvent(m, now, before, first))
 }
 
 // receivedAnswer records that an answer which is no stream has begun. Nothing is known of how
 // long the rest takes, so there is no silence limit any more.
-func (l *attemptMonitor) receivedAnswer(now time.Time) {
-	l.recordWait(now)
-	l.setSilenceLimit(0)
+func (m *attemptMonitor) receivedAnswer(now time.Time) {
+	m.recordWait(now)
+	m.setSilenceLimit(0)
 }
 
-func (l *attemptMonitor) setSilenceLimit(due time.Duration) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.silenceLimit = due
+func (m *attemptMonitor) setSilenceLimit(limit time.Duration) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.silenceLimit = limit
 }
 
 // hasStreamed reports whether events came: the backend server then ran the request, and continues
 // where it does not notice the silence.
-func (l *attemptMonitor) hasStreamed() bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.streaming
+func (m *attemptMonitor) hasStreamed() bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.streaming
 }
 
 // recordWait records how long the attempt waited for its answer.
-func (l *attemptMonitor) recordWait(now time.Time) {
-	q := l.exchange.request
-	l.detector.record(q.waitTimingKey(), now, now.Sub(l.sentAt)-q.firstEventForecast)
+func (m *attemptMonitor) recordWait(now time.Time) {
+	q := m.exchange.request
+	m.detector.record(q.waitTimingKey(), now, now.Sub(m.sentAt)-q.firstEventForecast)
 }
 
 // waitTimingKey returns the timings that the request's wait is compared with.
 func (q *request) waitTimingKey() timingKey {
 	if q.firstEventForecast > 0 {
-		return timingKey{q.service.Name(), timingLateness}
+		return timingKey{q.service.Name(), timingForecastError}
 	}
 	return timingKey{q.service.Name(), timingWait}
 }
 
 // domain returns the failure domain of the attempt's backend server.
-func (l *attemptMonitor) domain() string { return l.exchange.backend.latestRegistration().Domain() }
+func (m *attemptMonitor) domain() string { return m.exchange.backend.latestRegistration().Domain() }
 
 // snapshot returns the attempt's current state.
-func (l *attemptMonitor) snapshot() attemptSnapshot {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	b := l.exchange.backend
+func (m *attemptMonitor) snapshot() attemptSnapshot {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	b := m.exchange.backend
 	return attemptSnapshot{
-		address: b.address, connectedAt: l.connectedAt, silentSince: l.lastReceived, silenceLimit: l.silenceLimit, received: l.received, streaming: l.streaming,
-		engine: l.exchange.request.service.Engine().Slots() > 0, dialAnswered: b.reached.lastQuickDial(), backend: b,
+		address: b.address, connectedAt: m.connectedAt, silentSince: m.lastReceived, silenceLimit: m.silenceLimit, received: m.received, streaming: m.streaming,
+		engine: m.exchange.request.service.Engine().Slots() > 0, dialAnswered: b.dialTimes.lastQuickDial(), backend: b,
 	}
 }
--- a/pkg/gateway/backend.go
+++ b/pkg/gateway/backend.go
@@ -37,12 +37,12 @@
 
 // backend is one start of a backend server: a restart makes a new backend.
 type backend struct {
-	pool       *upstream.Pool
-	address    string
-	lastByteAt atomicTime  // when the last bytes arrived from it
-	dialing    atomic.Bool // whether dials that test its reachability are in progress
-	reached    dialTimes   // results of these dials
-	ends       crashProbes // dials after broken connections, which tell whether the server ended
+	pool        *upstream.Pool
+	address     string
+	lastByteAt  atomicTime  // when the last bytes arrived from it
+	dialing     atomic.Bool // whether dials that test its reachability are in progress
+	dialTimes   dialTimes   // results of these dials
+	crashProbes crashProbes // dials after broken connections, which tell whether the server ended
 
 	mu                        sync.Mutex
 	registration              registry.Registration
@@ -51,7 +51,7 @@
 	consecutiveFailures       int
 	backoffUntil              time.Time
 	overloadedUntil           time.Time
-	consecutiveRefusals       int
+	consecutiveRejections     int
 	failureRate               float64
 	slowdown                  float64 // measured over expected time of its answers; 0 if unknown
 	version                   uint64  // of the weights, from its answers; 0 if unknown
@@ -261,7 +261,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.failureRate -= failureWeight * b.failureRate
-	b.consecutiveFailures, b.consecutiveRefusals = 0, 0
+	b.consecutiveFailures, b.consecutiveRejections = 0, 0
 	b.backoffUntil = time.Time{}
 }
 
@@ -270,8 +270,8 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.consecutiveFailures = 0
-	b.overloadedUntil = now.Add(min(initialOverloadBackoff<<min(b.consecutiveRefusals, 8), maxOverloadBackoff))
-	b.consecutiveRefusals++
+	b.overloadedUntil = now.Add(min(initialOverloadBackoff<<min(b.consecutiveRejections, 8), maxOverloadBackoff))
+	b.consecutiveRejections++
 }
 
 // markGone records that the backend server left, or that another server or a later start replaced
--- a/pkg/gateway/backends_test.go
+++ b/pkg/gateway/backends_test.go
@@ -103,7 +103,7 @@
 		if l := current[0].load(time.Now()); l.state != registry.Ready || l.inBackoff || l.failureRate > 0 || current[0].version != 0 {
 			t.Errorf("after %s the later start is %+v", before, l)
 		}
-		if !earlier.hasLeft() {
+		if !earlier.isGone() {
 			t.Errorf("after %s the earlier start has not left", before)
 		}
 	}
--- a/pkg/gateway/budget.go
+++ b/pkg/gateway/budget.go
@@ -123,16 +123,16 @@
 // the next attempt is no retry. It is for connections found silent while dials to the same server
 // succeeded, which would have brought an acknowledgement.
 func (g *Gateway) uncountAttempt(q *request) {
-	if q.retryTaken.Swap(true) && !q.borrowed {
+	if q.retryTaken.Swap(true) && !q.uncharged {
 		g.budget.refund(q.service.Name())
 	}
-	q.borrowed = true
+	q.uncharged = true
 	g.metrics.uncounted.Inc()
 }
 
 // returnRetry puts back a retry that was taken for an attempt that is not made.
 func (g *Gateway) returnRetry(q *request) {
-	if q.retryTaken.Swap(false) && !q.borrowed {
+	if q.retryTaken.Swap(false) && !q.uncharged {
 		g.budget.refund(q.service.Name())
 	}
 }
--- a/pkg/gateway/budget_handover.go
+++ b/pkg/gateway/budget_handover.go
@@ -42,17 +42,17 @@
 // inherit adds the usage of the replaced gateway. It returns false if its buckets have another
 // duration, if usage was inherited already, or if that gateway stopped too long before this one
 // started.
-func (b *retryBudget) inherit(spent feed.RetryUsage) bool {
+func (b *retryBudget) inherit(previous feed.RetryUsage) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	gap := spent.Age() - b.now().Sub(b.started)
-	if b.inherited || spent.Slot() != b.bucketDuration || gap > maxHandoverGap {
+	gap := previous.Age() - b.now().Sub(b.started)
+	if b.inherited || previous.Slot() != b.bucketDuration || gap > maxHandoverGap {
 		return false
 	}
 	b.advance()
 	b.inherited = true
-	elapsed := int(spent.Age() / b.bucketDuration)
-	for _, service := range spent.Services() {
+	elapsed := int(previous.Age() / b.bucketDuration)
+	for _, service := range previous.Services() {
 		s := b.usageOf(service.Service())
 		for age, n := range service.Retries() {
 			b.addCount(&s.retries, max(elapsed+age-1, 0), n)
@@ -73,13 +73,13 @@
 }
 
 // inheritBudget takes over the usage of the gateway that shut down cleanly before this one.
-func (g *Gateway) inheritBudget(spent *feed.RetryUsage) {
-	if spent == nil || !g.budget.inherit(*spent) {
+func (g *Gateway) inheritBudget(previous *feed.RetryUsage) {
+	if previous == nil || !g.budget.inherit(*previous) {
 		return
 	}
 	// The number of gateways that the other one knew is used until a higher one is received.
-	g.gatewayCount.update(spent.Gateways(), time.Now(), g.settings.RetryWindow())
-	_ = level.Info(g.process.Logger).Log("msg", "inherited the retry budget of the previous gateway", "ended_ms", spent.Age().Milliseconds(), "gateways", spent.Gateways())
+	g.gatewayCount.update(previous.Gateways(), time.Now(), g.settings.RetryWindow())
+	_ = level.Info(g.process.Logger).Log("msg", "inherited the retry budget of the previous gateway", "ended_ms", previous.Age().Milliseconds(), "gateways", previous.Gateways())
 }
 
 // stop closes the budget: no retry is taken or lent any more.
@@ -89,8 +89,8 @@
 	b.closed = true
 }
 
-// reportSpent reports the usage of this gateway to control nodes once it sends nothing more.
-func (g *Gateway) reportSpent() {
+// reportRetryUsage reports the usage of this gateway to control nodes once it sends nothing more.
+func (g *Gateway) reportRetryUsage() {
 	g.budget.stop()
 	g.follower.ReportRetryUsage(g.budget.usage(g.countGateways()))
 }
--- a/pkg/gateway/budget_lending.go
+++ b/pkg/gateway/budget_lending.go
@@ -23,8 +23,8 @@
 	lendShare = 0.5
 	// lendTimeout is how long a lender may take to answer, and lendersAsked how many gateways are
 	// asked in a row.
-	lendTimeout  = 40 * time.Millisecond
-	lendersAsked = 2
+	lendTimeout     = 40 * time.Millisecond
+	maxLendersAsked = 2
 	// borrowBackoff is the pause after no lender had a retry, since their windows advance slowly.
 	borrowBackoff = 250 * time.Millisecond
 )
@@ -40,7 +40,7 @@
 		answer, err := g.askLender(ctx, address, contract.NewRetryLoanRequest(q.service.Name()))
 		cancel()
 		if err == nil && answer.Granted() {
-			q.borrowed = true
+			q.uncharged = true
 			g.metrics.borrowed.Inc()
 			return true
 		}
@@ -58,21 +58,21 @@
 		}
 	}
 	slices.Sort(all)
-	for i := range min(lendersAsked, len(all)) {
+	for i := range min(maxLendersAsked, len(all)) {
 		j := i + int(g.random()*float64(len(all)-i))
 		all[i], all[j] = all[j], all[i]
 	}
-	return all[:min(lendersAsked, len(all))]
+	return all[:min(maxLendersAsked, len(all))]
 }
 
 // serveRetryLoan answers another gateway's request for a retry.
 func (g *Gateway) serveRetryLoan(_ context.Context, stream *link.Stream) error {
 	stream.SetDeadline(time.Now().Add(lendTimeout))
-	var a contract.RetryLoanRequest
-	if err := stream.Receive(&a); err != nil {
+	var request contract.RetryLoanRequest
+	if err := stream.Receive(&request); err != nil {
 		return err
 	}
-	return stream.Send(contract.NewRetryLoanResponse(g.lendRetry(a.Service())))
+	return stream.Send(contract.NewRetryLoanResponse(g.lendRetry(request.Service())))
 }
 
 // lendRetry takes a retry from this gateway's budget for another gateway.
@@ -81,8 +81,8 @@
 }
 
 // callLender asks another gateway for a retry over a link.
-func (g *Gateway) callLender(ctx context.Context, address string, a contract.RetryLoanRequest) (contract.RetryLoanResponse, error) {
+func (g *Gateway) callLender(ctx context.Context, address string, request contract.RetryLoanRequest) (contract.RetryLoanResponse, error) {
 	var answer contract.RetryLoanResponse
-	err := g.process.Endpoint.Call(ctx, address, link.KindRetryLoan, a, &answer)
+	err := g.process.Endpoint.Call(ctx, address, link.KindRetryLoan, request, &answer)
 	return answer, err
 }
--- a/pkg/gateway/caller_conns.go
+++ b/pkg/gateway/caller_conns.go
@@ -144,8 +144,8 @@
 
 // setAcceptDeadline bounds Accept. It closes a listener that does not support deadlines.
 func (l *callersListener) setAcceptDeadline() {
-	b, ok := l.Listener.(deadlineListener)
-	if !ok || b.SetDeadline(time.Now().Add(acceptIdleTimeout)) != nil {
+	d, ok := l.Listener.(deadlineListener)
+	if !ok || d.SetDeadline(time.Now().Add(acceptIdleTimeout)) != nil {
 		_ = l.Close()
 	}
 }
--- a/pkg/gateway/crash_probe.go
+++ b/pkg/gateway/crash_probe.go
@@ -29,8 +29,8 @@
 const (
 	// probeNotRun means that the server did not close the connection, so no probe was made.
 	probeNotRun probeResult = "none"
-	// probeExited means that the connection was refused: no process listens on the port.
-	probeExited probeResult = "ended"
+	// probeCrashed means that the connection was refused: no process listens on the port.
+	probeCrashed probeResult = "ended"
 	// probeAlive means that the connection was accepted, or that it timed out.
 	probeAlive probeResult = "lives"
 	// probePending means that the probe is still in flight.
@@ -44,8 +44,8 @@
 	// firstProbeWait is how long a probe may delay the next attempt: a round trip within a region
 	// takes a tenth of it. Where servers crashed under the request before, the result decides
 	// whether there is a next attempt at all, and the probe may take probeWait.
-	firstProbeWait = 30 * time.Millisecond
-	probeWait      = 150 * time.Millisecond
+	firstProbeWait   = 30 * time.Millisecond
+	suspectProbeWait = 150 * time.Millisecond
 	// probeReuseWindow is how long a refused probe is valid for other attempts: those that break
 	// with one crash do so within milliseconds.
 	probeReuseWindow = 200 * time.Millisecond
@@ -70,10 +70,10 @@
 	if !closedByPeer(cause) {
 		return probeNotRun
 	}
-	probe, crash := x.backend.probe(time.Now()), x.crash()
+	probe, crash := x.backend.startCrashProbe(time.Now()), x.crash()
 	select {
 	case <-probe.done:
-	case <-time.After(x.gateway.exitWait(x.request.knownServerExits)):
+	case <-time.After(x.gateway.crashProbeWait(x.request.knownCrashes)):
 		go func() {
 			<-probe.done
 			if probe.refused {
@@ -86,7 +86,7 @@
 		return probeAlive
 	}
 	x.recordCrash(crash)
-	return probeExited
+	return probeCrashed
 }
 
 // probeWaitAfter returns how long the next attempt waits for a probe, by the number of crashes that
@@ -95,7 +95,7 @@
 	if knownCrashes == 0 {
 		return firstProbeWait
 	}
-	return probeWait
+	return suspectProbeWait
 }
 
 // closedByPeer reports whether the other side closed or reset a connection.
@@ -119,15 +119,15 @@
 	}
 }
 
-// probe starts a probe of the backend server, or returns a recent one.
-func (b *backend) probe(now time.Time) *crashProbe {
-	b.ends.mu.Lock()
-	defer b.ends.mu.Unlock()
-	if last := b.ends.last; last != nil && last.isReusable(now) {
+// startCrashProbe starts a probe of the backend server, or returns a recent one.
+func (b *backend) startCrashProbe(now time.Time) *crashProbe {
+	b.crashProbes.mu.Lock()
+	defer b.crashProbes.mu.Unlock()
+	if last := b.crashProbes.last; last != nil && last.isReusable(now) {
 		return last
 	}
 	probe := &crashProbe{startedAt: now, done: make(chan struct{})}
-	b.ends.last = probe
+	b.crashProbes.last = probe
 	go func() {
 		defer close(probe.done)
 		// Not the context of a caller: it may cancel, and other attempts share the result.
--- a/pkg/gateway/crash_probe_test.go
+++ b/pkg/gateway/crash_probe_test.go
@@ -41,7 +41,7 @@
 	}
 	b := backendAt(l.Addr().String())
 	now := time.Now()
-	first := b.probe(now)
+	first := b.startCrashProbe(now)
 	<-first.done
 	if first.refused {
 		t.Error("the probe of a listening server was refused")
@@ -49,7 +49,7 @@
 	if err := l.Close(); err != nil {
 		t.Fatal(err)
 	}
-	second := b.probe(now)
+	second := b.startCrashProbe(now)
 	if second == first {
 		t.Error("an accepted probe was reused after the crash")
 	}
@@ -57,7 +57,7 @@
 	if !second.refused {
 		t.Error("the probe of a closed port was not refused")
 	}
-	if b.probe(now.Add(probeReuseWindow/2)) != second || b.probe(now.Add(2*probeReuseWindow)) == second {
+	if b.startCrashProbe(now.Add(probeReuseWindow/2)) != second || b.startCrashProbe(now.Add(2*probeReuseWindow)) == second {
 		t.Error("a refused probe was reused for too long, or not at all")
 	}
 }
--- a/pkg/gateway/fake_backend_test.go
+++ b/pkg/gateway/fake_backend_test.go
@@ -178,7 +178,7 @@
 	t.Helper()
 	g := newGateway(t, testSettings)
 	// The result of a dial must not depend on how busy the machine is.
-	g.exitWait = func(int) time.Duration { return time.Minute }
+	g.crashProbeWait = func(int) time.Duration { return time.Minute }
 	route := serviceconfig.NewRoute("r", "menus.example", "/draft/", kind, 3*time.Second, 400*time.Millisecond, 400*time.Millisecond, 1,
 		[]serviceconfig.Target{serviceconfig.NewTarget("menu", 1)}, 2, false, resumable)
 	d := serviceconfig.NewDocument(1, []serviceconfig.Route{route},
--- a/pkg/gateway/gateway.go
+++ b/pkg/gateway/gateway.go
@@ -67,8 +67,8 @@
 	// bounds how many a second.
 	publishRecords func(records []quarantine.Record)
 	publishLimiter *rate.Limiter
-	// exitWait returns how long an attempt waits to learn whether its backend server exited.
-	exitWait func(knownExits int) time.Duration
+	// crashProbeWait returns how long an attempt waits to learn whether its backend server exited.
+	crashProbeWait func(knownExits int) time.Duration
 	// requestTrial asks for permission to try a barred request once more under the name tester,
 	// and trialLimiter bounds how often.
 	requestTrial func(f quarantine.Fingerprint)
@@ -77,9 +77,9 @@
 	// limitOwners are the gateways that own the rate limits of backend servers.
 	limitOwners *owners
 	// limitLogLimiter bounds the log lines about limits of backend servers.
-	limitLogLimiter *rate.Limiter
-	callerRetries   returningCallers
-	silenceDetector silenceDetector
+	limitLogLimiter  *rate.Limiter
+	returningCallers returningCallers
+	silenceDetector  silenceDetector
 	// demandByDomain returns the requests for engines that all gateways receive per second, by
 	// failure domain.
 	demandByDomain func() map[string]float64
@@ -129,7 +129,7 @@
 		Records:        g.quarantine.Records,
 		Logger:         process.Logger,
 	}
-	g.exitWait = probeWaitAfter
+	g.crashProbeWait = probeWaitAfter
 	g.publishRecords, g.requestTrial = g.follower.ReportRecords, g.follower.RequestTrial
 	g.suspension.OnResume(g.onResume)
 	g.suspension.OnResume(process.LogSuspension)
@@ -152,8 +152,8 @@
 	for _, l := range u.Loads() {
 		g.backends.applyLoadReport(l)
 	}
-	if moves := g.versions.Merge(u.NamedVersions(), time.Now()); len(moves) > 0 {
-		feed.LogVersionChanges(g.process.Logger, moves, string(feed.RoleNode), address)
+	if changes := g.versions.Merge(u.NamedVersions(), time.Now()); len(changes) > 0 {
+		feed.LogVersionChanges(g.process.Logger, changes, string(feed.RoleNode), address)
 		g.watchdogs.checkNow()
 	}
 	g.mergeRecords(u.Records())
--- a/pkg/gateway/gateway_count.go
+++ b/pkg/gateway/gateway_count.go
@@ -14,17 +14,17 @@
 // gatewayCounter holds the highest recently reported number of gateways. It is safe for
 // concurrent use.
 type gatewayCounter struct {
-	mu      sync.Mutex
-	highest int
-	heardAt time.Time
+	mu         sync.Mutex
+	highest    int
+	reportedAt time.Time
 }
 
 // update applies the last reported number and returns the one in force.
 func (c *gatewayCounter) update(reported int, now time.Time, window time.Duration) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if reported >= c.highest || now.Sub(c.heardAt) > window {
-		c.highest, c.heardAt = reported, now
+	if reported >= c.highest || now.Sub(c.reportedAt) > window {
+		c.highest, c.reportedAt = reported, now
 	}
 	return c.highest
 }
--- a/pkg/gateway/handler.go
+++ b/pkg/gateway/handler.go
@@ -106,7 +106,7 @@
 	if service.Engine().Slots() > 0 {
 		q.model = modelOf(q.head, service.Engine())
 		g.demand.add(now)
-		q.refusedBefore = g.callerRetries.isReturning(route.Timeout(), q.head.Timeout, now)
+		q.refusedBefore = g.returningCallers.isReturning(route.Timeout(), q.head.Timeout, now)
 	}
 	return nil
 }
@@ -245,13 +245,13 @@
 
 // checkMayAttempt returns why no further attempt may be made; nil if one may.
 func (g *Gateway) checkMayAttempt(q *request, dials int) *failure.Failure {
-	exits := g.quarantine.Crashes(q.fingerprint)
+	crashes := g.quarantine.Crashes(q.fingerprint)
 	stopFailure := g.checkStop(q)
 	switch {
-	case !q.mayRun(exits):
-		return quarantinedFailure(q, exits)
-	case q.liveness == probeExited && exits > 1:
-		return q.exhausted("%d backend servers exited while running this request; last: %s", exits, q.lastAttempt)
+	case !q.mayRun(crashes):
+		return quarantinedFailure(q, crashes)
+	case q.liveness == probeCrashed && crashes > 1:
+		return q.exhausted("%d backend servers exited while running this request; last: %s", crashes, q.lastAttempt)
 	case stopFailure != nil:
 		return stopFailure
 	case q.sent == 0 && dials < maxDials:
@@ -276,9 +276,9 @@
 	return failure.New(failure.Overloaded, format, arguments...).WithRetryAfter(retryAfterSoon)
 }
 
-// criteriaFor returns what a backend server must satisfy for the next attempt.
-func (g *Gateway) criteriaFor(q *request) requirements {
-	w := requirements{service: q.service.Name(), work: q.work, tried: q.tried, engine: q.service.Engine(), avoidBuilds: q.avoid}
+// requirementsFor returns what a backend server must satisfy for the next attempt.
+func (g *Gateway) requirementsFor(q *request) requirements {
+	w := requirements{service: q.service.Name(), work: q.work, tried: q.tried, engine: q.service.Engine(), avoidBuilds: q.avoidBuilds}
 	if len(q.ranAt) >= q.route.MaxAttempts() {
 		w.only = q.ranAt
 	}
@@ -287,7 +287,9 @@
 	}
 	if q.model != "" {
 		w.model, w.layers = q.model, max(w.engine.Layers(), 1)
-		w.minVersion = func(begins, back time.Duration) uint64 { return g.minUsableVersion(q.model, begins, q.maxRun, back) }
+		w.minVersion = func(latency, margin time.Duration) uint64 {
+			return g.minUsableVersion(q.model, latency, q.maxRun, margin)
+		}
 		if q.sent == 0 {
 			w.maxWait = q.maxWait()
 		}
@@ -306,7 +308,7 @@
 	if b := q.reserved.Swap(nil); b != nil && g.acquirePermit(q, b) {
 		return b, nil
 	}
-	w := g.criteriaFor(q)
+	w := g.requirementsFor(q)
 	b, allFull := g.awaitBackend(q, w)
 	if b != nil {
 		return b, nil
--- a/pkg/gateway/interrupt.go
+++ b/pkg/gateway/interrupt.go
@@ -12,32 +12,32 @@
 	"time"
 )
 
-// interruption is the reason for which a gateway ends an attempt.
-type interruption string
+// interruptReason is the reason for which a gateway ends an attempt.
+type interruptReason string
 
 const (
 	// interruptDeadline is the expiry of a version, sent to the server as the request's deadline.
-	interruptDeadline interruption = "version deadline"
+	interruptDeadline interruptReason = "version deadline"
 	// interruptExpiry keeps a request from starting on an expired version.
-	interruptExpiry interruption = "version expiry"
+	interruptExpiry interruptReason = "version expiry"
 	// interruptStall is an attempt without progress for too long.
-	interruptStall interruption = "stall"
+	interruptStall interruptReason = "stall"
 	// interruptSilence is a connection that seems permanently silent while its server works.
-	interruptSilence interruption = "silent connection"
+	interruptSilence interruptReason = "silent connection"
 	// interruptAllSilent is a global silence, at an address where no newer connection has proved
 	// it yet: servers that become slow together look alike.
-	interruptAllSilent interruption = "silent connections everywhere, not proved"
+	interruptAllSilent interruptReason = "silent connections everywhere, not proved"
 	// interruptNewerSilent is a global silence in which newer connections, to the same or other
 	// servers, receive nothing either: the servers are stalled.
-	interruptNewerSilent interruption = "silent connections everywhere, newer ones too"
+	interruptNewerSilent interruptReason = "silent connections everywhere, newer ones too"
 	// interruptUnreachable is a backend server that answers no dials.
-	interruptUnreachable interruption = "unreachable server"
+	interruptUnreachable interruptReason = "unreachable server"
 	// interruptStop is the deadline of a planned stop of the gateway.
-	interruptStop interruption = "stop deadline"
+	interruptStop interruptReason = "stop deadline"
 )
 
-// maxReservations bounds the servers that are asked for a slot before an answer is interrupted.
-const maxReservations = 3
+// maxInterruptReservations bounds the servers that are asked for a slot before an answer is interrupted.
+const maxInterruptReservations = 3
 
 // answerStage is how far the answer to a request has come.
 type answerStage int
@@ -82,7 +82,7 @@
 // interruptRule is the condition for one reason at each stage, and what happens to the request
 // after.
 type interruptRule struct {
-	reason  interruption
+	reason  interruptReason
 	stages  [answerStageCount]interruptCondition
 	outcome string
 }
@@ -100,19 +100,19 @@
 }
 
 // interruptRuleFor returns the rule for a reason. An unknown reason never interrupts.
-func interruptRuleFor(why interruption) interruptRule {
+func interruptRuleFor(reason interruptReason) interruptRule {
 	for _, r := range interruptRules {
-		if r.reason == why {
+		if r.reason == reason {
 			return r
 		}
 	}
-	return interruptRule{reason: why, stages: [...]interruptCondition{never, never, never}}
+	return interruptRule{reason: reason, stages: [...]interruptCondition{never, never, never}}
 }
 
 // mayInterrupt reports whether the attempt may be interrupted now. Where the request is to resume, it
 // takes the retry for that from the budget.
-func (x *exchange) mayInterrupt(why interruption, stage answerStage, now time.Time) bool {
-	c := interruptRuleFor(why).stages[stage]
+func (x *exchange) mayInterrupt(reason interruptReason, stage answerStage, now time.Time) bool {
+	c := interruptRuleFor(reason).stages[stage]
 	if !c.holds(x, now) {
 		return false
 	}
@@ -136,18 +136,18 @@
 
 // recordInterrupted counts the interruption of an answer that its caller has part of, and stores
 // the reason for the request's next log line.
-func (g *Gateway) recordInterrupted(q *request, why interruption, stage answerStage) {
+func (g *Gateway) recordInterrupted(q *request, reason interruptReason, stage answerStage) {
 	if stage == stageWaiting {
 		return
 	}
-	g.metrics.interrupted.WithLabelValues(string(why)).Inc()
-	q.interrupted.Store(&why)
+	g.metrics.interrupted.WithLabelValues(string(reason)).Inc()
+	q.interrupted.Store(&reason)
 }
 
 // takeInterrupted returns why the answer was interrupted since the last log line, or nil.
 func (q *request) takeInterrupted() any {
-	if why := q.interrupted.Swap(nil); why != nil {
-		return string(*why)
+	if reason := q.interrupted.Swap(nil); reason != nil {
+		return string(*reason)
 	}
 	return nil
 }
@@ -180,12 +180,12 @@
 		return x.hasCandidate(w)
 	}
 	w.tried = maps.Clone(w.tried)
-	for range maxReservations {
+	for range maxInterruptReservations {
 		b := x.candidate(w)
 		if b == nil {
 			return false
 		}
-		switch o := g.reserve(q, b, 0, now.Add(maxReservations*reserveTimeout)); {
+		switch o := g.reserve(q, b, 0, now.Add(maxInterruptReservations*reserveTimeout)); {
 		case o.granted:
 			q.reserved.Store(b)
 			return true
@@ -227,7 +227,7 @@
 // elsewhereWithRecentWait returns the requirements for another backend server, where the first
 // event is expected to take the longest recent wait of the service.
 func (x *exchange) elsewhereWithRecentWait(now time.Time) requirements {
-	w := x.failoverCriteria
+	w := x.failoverRequirements
 	w.firstEventLatency = x.gateway.silenceDetector.longestResponseWait(x.request.service.Name(), now)
 	return w
 }
@@ -258,7 +258,7 @@
 // is unreachable any other will do.
 func (x *exchange) isStalledAlone(now time.Time) bool {
 	if x.backend.load(now).unreachable {
-		return !x.isLastServer && x.hasCandidate(x.failoverCriteria)
+		return !x.isLastServer && x.hasCandidate(x.failoverRequirements)
 	}
 	w, silent := x.elsewhereWithRecentWait(now), x.watch.silentFor(now)
 	w.maxWait = noWait
--- a/pkg/gateway/limit_state.go
+++ b/pkg/gateway/limit_state.go
@@ -36,14 +36,14 @@
 // reports whether the limit changed. An answer without a limit changes nothing: only the owner ends
 // a limit, since answers may arrive out of order. An answer to a request sent before the owner
 // ended the limit is outdated.
-func (l *limitState) update(s serverlimit.AdvertisedLimit, sent time.Time) (changed bool) {
-	if s.Kind() != serverlimit.Valid || !l.active && sent.Before(l.endedAt) {
+func (l *limitState) update(advertised serverlimit.AdvertisedLimit, sent time.Time) (changed bool) {
+	if advertised.Kind() != serverlimit.Valid || !l.active && sent.Before(l.endedAt) {
 		return false
 	}
-	if l.active && l.perSecond == s.PerSecond() {
+	if l.active && l.perSecond == advertised.PerSecond() {
 		return false
 	}
-	l.active, l.perSecond, l.unreported, l.requestSentAt = true, s.PerSecond(), true, sent
+	l.active, l.perSecond, l.unreported, l.requestSentAt = true, advertised.PerSecond(), true, sent
 	return true
 }
 
@@ -72,17 +72,17 @@
 	}
 }
 
-func (g *Gateway) logLimit(b *backend, s serverlimit.AdvertisedLimit) {
+func (g *Gateway) logLimit(b *backend, advertised serverlimit.AdvertisedLimit) {
 	if !g.limitLogLimiter.Allow() {
 		return
 	}
 	r := b.latestRegistration()
 	message := "backend server names a limit"
-	if s.Kind() != serverlimit.Valid {
+	if advertised.Kind() != serverlimit.Valid {
 		message = "backend server names no limit any more"
 	}
 	_ = level.Info(g.process.Logger).Log("msg", message, "backend", r.Incarnation(), "service", r.Service(),
-		"address", r.Address(), "per_second", s.PerSecond())
+		"address", r.Address(), "per_second", advertised.PerSecond())
 }
 
 // limitedBackends counts the backend servers that have a limit.
--- a/pkg/gateway/metrics.go
+++ b/pkg/gateway/metrics.go
@@ -12,39 +12,39 @@
 
 // metrics holds a gateway's Prometheus collectors.
 type metrics struct {
-	requests       *prometheus.CounterVec
-	attempts       *prometheus.CounterVec
-	reservations   *prometheus.CounterVec
-	distrusted     *prometheus.CounterVec
-	firstEvent     prometheus.Histogram
-	inFlight       prometheus.Gauge
-	configNumber   prometheus.Gauge
-	serverExits    prometheus.Counter
-	quarantined    prometheus.Gauge
-	limitedServers prometheus.Gauge
-	limitSkips     *prometheus.CounterVec
-	interrupted    *prometheus.CounterVec
-	borrowed       prometheus.Counter
-	uncounted      prometheus.Counter
+	requests          *prometheus.CounterVec
+	attempts          *prometheus.CounterVec
+	reservations      *prometheus.CounterVec
+	silentConnections *prometheus.CounterVec
+	firstEvent        prometheus.Histogram
+	inFlight          prometheus.Gauge
+	configNumber      prometheus.Gauge
+	serverCrashes     prometheus.Counter
+	quarantined       prometheus.Gauge
+	limitedServers    prometheus.Gauge
+	limitSkips        *prometheus.CounterVec
+	interrupted       *prometheus.CounterVec
+	borrowed          prometheus.Counter
+	uncounted         prometheus.Counter
 }
 
 func newMetrics(r prometheus.Registerer) *metrics {
 	m := &metrics{
-		requests:       metric.NewCounters(metric.GatewayRequests, "outcome"),
-		attempts:       metric.NewCounters(metric.GatewayAttempts, "end"),
-		reservations:   metric.NewCounters(metric.GatewayReservations, "answer"),
-		distrusted:     metric.NewCounters(metric.GatewaySilentConnections, "evidence"),
-		firstEvent:     metric.NewHistogram(metric.GatewayFirstEvent),
-		inFlight:       metric.NewGauge(metric.GatewayInFlight),
-		configNumber:   metric.NewGauge(metric.GatewayConfigNumber),
-		serverExits:    metric.NewCounter(metric.GatewayServerCrashes),
-		quarantined:    metric.NewGauge(metric.GatewayQuarantined),
-		limitedServers: metric.NewGauge(metric.GatewayLimitedServers),
-		limitSkips:     metric.NewCounters(metric.GatewayLimitSkips, "why"),
-		interrupted:    metric.NewCounters(metric.GatewayStreamsInterrupted, "reason"),
-		borrowed:       metric.NewCounter(metric.GatewayRetriesBorrowed),
-		uncounted:      metric.NewCounter(metric.GatewayRetriesUncounted),
+		requests:          metric.NewCounters(metric.GatewayRequests, "outcome"),
+		attempts:          metric.NewCounters(metric.GatewayAttempts, "end"),
+		reservations:      metric.NewCounters(metric.GatewayReservations, "answer"),
+		silentConnections: metric.NewCounters(metric.GatewaySilentConnections, "evidence"),
+		firstEvent:        metric.NewHistogram(metric.GatewayFirstEvent),
+		inFlight:          metric.NewGauge(metric.GatewayInFlight),
+		configNumber:      metric.NewGauge(metric.GatewayConfigNumber),
+		serverCrashes:     metric.NewCounter(metric.GatewayServerCrashes),
+		quarantined:       metric.NewGauge(metric.GatewayQuarantined),
+		limitedServers:    metric.NewGauge(metric.GatewayLimitedServers),
+		limitSkips:        metric.NewCounters(metric.GatewayLimitSkips, "why"),
+		interrupted:       metric.NewCounters(metric.GatewayStreamsInterrupted, "reason"),
+		borrowed:          metric.NewCounter(metric.GatewayRetriesBorrowed),
+		uncounted:         metric.NewCounter(metric.GatewayRetriesUncounted),
 	}
-	r.MustRegister(m.requests, m.attempts, m.reservations, m.distrusted, m.firstEvent, m.inFlight, m.configNumber, m.serverExits, m.quarantined, m.limitedServers, m.limitSkips, m.interrupted, m.borrowed, m.uncounted)
+	r.MustRegister(m.requests, m.attempts, m.reservations, m.silentConnections, m.firstEvent, m.inFlight, m.configNumber, m.serverCrashes, m.quarantined, m.limitedServers, m.limitSkips, m.interrupted, m.borrowed, m.uncounted)
 	return m
 }
--- a/pkg/gateway/outcome.go
+++ b/pkg/gateway/outcome.go
@@ -40,7 +40,7 @@
 	attemptSilentConn       attemptEnd = "silent" // the connection was silent, not the backend server
 	attemptVersionExpired   attemptEnd = "lapsed"
 	attemptCutByOrder       attemptEnd = "cut" // by an order to the engine
-	attemptRefused          attemptEnd = "refused"
+	attemptRejected         attemptEnd = "refused"
 	attemptWrongIncarnation attemptEnd = "elsewhere"
 	attemptFailed           attemptEnd = "failed"
 )
@@ -68,7 +68,7 @@
 	}
 	_ = level.Info(g.process.Logger).Log("msg", "request", "request", q.head.ID, "fingerprint", q.fingerprint, "outcome", string(o), "route", route,
 		"configuration", q.configNumber, "organisation", q.organisation, "backend", q.lastBackend, "sent", q.sent,
-		"sent_ms", q.timeToLastSend.Milliseconds(), "came_back", q.refusedBefore, "forecast_ms", q.firstEventForecast.Milliseconds(), "first_ms", q.timeToFirstByte.Milliseconds(), "pause_ms", q.maxPause.Milliseconds(),
+		"sent_ms", q.timeToLastSend.Milliseconds(), "came_back", q.refusedBefore, "forecast_ms", q.firstEventForecast.Milliseconds(), "first_ms", q.timeToFirstByte.Milliseconds(), "pause_ms", q.longestEventGap.Milliseconds(),
 		"objective_ms", objective.Milliseconds(), "pause_objective_ms", pauseObjective.Milliseconds(), "allowed_ms", q.head.Timeout.Milliseconds(), "ms", time.Since(q.started).Milliseconds(),
 		"version", q.versionExpiry.served, "lapses_ms", q.millisUntilExpiry(), "stopping_ms", g.stop.elapsedMillis(q.started), "limited", q.blockedByLimits, "interrupted", q.takeInterrupted(), "why", reason)
 }
@@ -93,7 +93,7 @@
 // refuse answers a request that no backend server answered, and records its outcome.
 func (g *Gateway) refuse(q *request, f *failure.Failure) {
 	if f.RetryAfter() > 0 {
-		g.callerRetries.recordRefusal(time.Now())
+		g.returningCallers.recordRefusal(time.Now())
 	}
 	if err := q.writeRefusal(f); err != nil {
 		g.recordOutcome(q, outcomeUnwritten, err.Error()+"; "+f.Error())
--- a/pkg/gateway/quarantine.go
+++ b/pkg/gateway/quarantine.go
@@ -37,7 +37,7 @@
 // admit returns why a request may not be tried, or else a function to call when it ends.
 func (g *Gateway) admit(q *request) (done func(), f *failure.Failure) {
 	var verdict quarantine.Verdict
-	verdict, q.avoid = g.quarantine.BeginAttempt(q.fingerprint)
+	verdict, q.avoidBuilds = g.quarantine.BeginAttempt(q.fingerprint)
 	switch verdict {
 	case quarantine.Suspect:
 		return func() { g.quarantine.AttemptDone(q.fingerprint) }, nil
@@ -75,7 +75,7 @@
 	for _, b := range g.backends.forService(q.service.Name()) {
 		l := b.load(time.Now())
 		holds := model == "" || b.servedVersion(model, layers) > 0
-		if l.serves() && l.state == registry.Ready && holds && quarantine.MayBeFixed(b.build(model, layers), q.avoid) {
+		if l.serves() && l.state == registry.Ready && holds && quarantine.MayBeFixed(b.build(model, layers), q.avoidBuilds) {
 			return true
 		}
 	}
@@ -88,7 +88,7 @@
 	switch {
 	case q.isTrial:
 		return q.sent == 0
-	case len(q.avoid) > 0:
+	case len(q.avoidBuilds) > 0:
 		return true
 	}
 	return crashes < quarantine.CrashesToQuarantine
@@ -110,14 +110,14 @@
 // crash returns the crash to record if the backend server exited during the attempt.
 func (x *exchange) crash() quarantine.Crash {
 	r := x.backend.latestRegistration()
-	return quarantine.NewCrash(r.Incarnation(), r.StartedAt(), r.Domain(), x.request.build, x.request.knownServerExits, 0)
+	return quarantine.NewCrash(r.Incarnation(), r.StartedAt(), r.Domain(), x.request.build, x.request.knownCrashes, 0)
 }
 
 // recordCrash records that the backend server crashed while it ran the request, and shares that
 // with the other gateways.
 func (x *exchange) recordCrash(crash quarantine.Crash) {
 	g := x.gateway
-	g.metrics.serverExits.Inc()
+	g.metrics.serverCrashes.Inc()
 	r, share := g.quarantine.RecordCrash(x.request.fingerprint, crash)
 	if !share {
 		return
--- a/pkg/gateway/reachability.go
+++ b/pkg/gateway/reachability.go
@@ -33,8 +33,8 @@
 	silenceBeforeDial = 450 * time.Millisecond
 )
 
-// probeReachability starts to dial a backend server that was silent to a request.
-func (g *Gateway) probeReachability(b *backend) {
+// startDials starts to dial a backend server that was silent to a request.
+func (g *Gateway) startDials(b *backend) {
 	if b.startDialing() {
 		go g.dialUntilReached(b, true)
 	}
@@ -45,7 +45,7 @@
 func (g *Gateway) dialUntilReached(b *backend, first bool) {
 	defer b.stopDialing()
 	startedAt := time.Now()
-	for g.runContext.Err() == nil && !b.hasLeft() {
+	for g.runContext.Err() == nil && !b.isGone() {
 		dialed := time.Now()
 		if b.pool.AnswersDial(g.runContext, dialTimeout) {
 			b.setUnreachable(false)
@@ -55,7 +55,7 @@
 		if b.setUnreachable(true) {
 			g.logUnreachable(b)
 			if first {
-				g.probeDomain(b.latestRegistration().Domain())
+				g.startDomainDials(b.latestRegistration().Domain())
 			}
 		}
 		pause := redialInterval
@@ -69,10 +69,10 @@
 	}
 }
 
-// probeDomain starts to dial all backend servers of a failure domain.
-func (g *Gateway) probeDomain(domain string) {
+// startDomainDials starts to dial all backend servers of a failure domain.
+func (g *Gateway) startDomainDials(domain string) {
 	g.backends.each(func(b *backend, _ string) {
-		if b.latestRegistration().Domain() == domain && !b.hasLeft() && b.startDialing() {
+		if b.latestRegistration().Domain() == domain && !b.isGone() && b.startDialing() {
 			go g.dialUntilReached(b, false)
 		}
 	})
@@ -103,7 +103,7 @@
 	return changed
 }
 
-func (b *backend) hasLeft() bool { return b.latestRegistration().State() == registry.Gone }
+func (b *backend) isGone() bool { return b.latestRegistration().State() == registry.Gone }
 
 // cancelFuncs returns the functions that cancel the waiting requests.
 func (w *waitingRequests) cancelFuncs() []func() {
--- a/pkg/gateway/recent_max.go
+++ b/pkg/gateway/recent_max.go
@@ -31,24 +31,24 @@
 }
 
 // observe adds a sample.
-func (u *recentMax) observe(now time.Time, took time.Duration) {
-	u.rotate(now)
-	u.current.longest = max(u.current.longest, took)
-	u.current.samples++
+func (m *recentMax) observe(now time.Time, took time.Duration) {
+	m.rotate(now)
+	m.current.longest = max(m.current.longest, took)
+	m.current.samples++
 }
 
 // rotate starts a new period when the current one is over.
-func (u *recentMax) rotate(now time.Time) {
-	switch since := now.Sub(u.current.start); {
+func (m *recentMax) rotate(now time.Time) {
+	switch since := now.Sub(m.current.start); {
 	case since > 2*sampleWindow:
-		u.current, u.previous = samplePeriod{start: now}, samplePeriod{}
+		m.current, m.previous = samplePeriod{start: now}, samplePeriod{}
 	case since > sampleWindow:
-		u.current, u.previous = samplePeriod{start: now}, u.current
+		m.current, m.previous = samplePeriod{start: now}, m.current
 	}
 }
 
 // longest returns the recent maximum; false where too few samples are known.
-func (u *recentMax) longest(now time.Time) (time.Duration, bool) {
-	u.rotate(now)
-	return max(u.current.longest, u.previous.longest), u.current.samples+u.previous.samples >= minSamples
+func (m *recentMax) longest(now time.Time) (time.Duration, bool) {
+	m.rotate(now)
+	return max(m.current.longest, m.previous.longest), m.current.samples+m.previous.samples >= minSamples
 }
--- a/pkg/gateway/request.go
+++ b/pkg/gateway/request.go
@@ -49,17 +49,17 @@
 	ranAt map[*backend]bool // backend servers where it may have run
 	// retryTaken says that the retry budget is already charged for the next attempt.
 	retryTaken         atomic.Bool
-	reserved           atomic.Pointer[backend]      // holds a place for the next attempt; nil if none
-	interrupted        atomic.Pointer[interruption] // not logged yet
-	borrowed           bool                         // the retry is charged to another gateway, or not at all
-	unknownOutcomes    int                          // attempts with an unknown outcome
-	rejections         int                          // attempts that a server rejected while the stream was in progress
-	knownServerExits   int                          // servers known to have exited while running it, at the last attempt
-	build              string                       // software build of the server of the last attempt
-	avoid              []string                     // builds to which it must not be sent
-	permit             *permit                      // to use a backend server that announces a limit; nil if none
-	blockedByLimits    bool                         // only limits of backend servers kept it from being sent
-	isTrial            bool                         // it is barred, and is tried once on another build
+	reserved           atomic.Pointer[backend]         // holds a place for the next attempt; nil if none
+	interrupted        atomic.Pointer[interruptReason] // not logged yet
+	uncharged          bool                            // the retry is charged to another gateway, or not at all
+	unknownOutcomes    int                             // attempts with an unknown outcome
+	rejections         int                             // attempts that a server rejected while the stream was in progress
+	knownCrashes       int                             // servers known to have exited while running it, at the last attempt
+	build              string                          // software build of the server of the last attempt
+	avoidBuilds        []string                        // builds to which it must not be sent
+	permit             *permit                         // to use a backend server that announces a limit; nil if none
+	blockedByLimits    bool                            // only limits of backend servers kept it from being sent
+	isTrial            bool                            // it is barred, and is tried once on another build
 	fallback           *bufferedResponse
 	liveness           probeResult // what is known of the server of the last broken attempt
 	mayHaveRun         bool        // an attempt ran or has an unknown outcome
@@ -70,7 +70,7 @@
 	timeToFirstByte    time.Duration
 	timeToLastSend     time.Duration // from the start to the last attempt
 	lastEventAt        time.Time     // when the last event was relayed
-	maxPause           time.Duration // the longest time between two relayed events
+	longestEventGap    time.Duration // the longest time between two relayed events
 	firstEventForecast time.Duration // time to the first event, from the stager that reserved a place
 	runLostAt          time.Time     // when a run was lost on a silent connection; zero if none was
 	versionExpiry      versionExpiry // of the weights' version at the last backend server, as known when the attempt was made
@@ -144,7 +144,7 @@
 // recordEvents records that events arrived, and the pause before them.
 func (q *request) recordEvents(now time.Time) {
 	if !q.lastEventAt.IsZero() {
-		q.maxPause = max(q.maxPause, now.Sub(q.lastEventAt))
+		q.longestEventGap = max(q.longestEventGap, now.Sub(q.lastEventAt))
 	}
 	q.lastEventAt = now
 }
@@ -153,8 +153,8 @@
 // even if the process was paused until long after the deadline.
 func (q *request) setWriteDeadline() {
 	bound := time.Now()
-	if due := q.localDeadline(); due.After(bound) {
-		bound = due
+	if deadline := q.localDeadline(); deadline.After(bound) {
+		bound = deadline
 	}
 	// A connection without deadline support fails in the write itself.
 	_ = http.NewResponseController(q.writer).SetWriteDeadline(bound.Add(writeGrace))
--- a/pkg/gateway/reserve.go
+++ b/pkg/gateway/reserve.go
@@ -158,9 +158,9 @@
 // askWithRetry asks the stager of an engine, and asks once more if the link was silent and a new
 // link replaced it: then the stager works and must not get a backoff. A slot that was granted
 // over the silent link expires at the engine.
-func (g *Gateway) askWithRetry(q *request, b *backend, address string, a reservation.Request, until time.Time) (reservation.Response, error) {
+func (g *Gateway) askWithRetry(q *request, b *backend, address string, request reservation.Request, until time.Time) (reservation.Response, error) {
 	asked, timeout := time.Now(), b.reservationTimeout(time.Now())
-	answer, err := g.askWithTimeout(q.ctx, timeout, address, a)
+	answer, err := g.askWithTimeout(q.ctx, timeout, address, request)
 	if err == nil || q.ctx.Err() != nil {
 		return answer, err
 	}
@@ -173,7 +173,7 @@
 	ctx, cancel := context.WithDeadline(q.ctx, earlier(until, time.Now().Add(wait)))
 	defer cancel()
 	if linkCheck.Await(ctx) == link.ProbeReplaced {
-		return g.askWithTimeout(q.ctx, timeout, address, a)
+		return g.askWithTimeout(q.ctx, timeout, address, request)
 	}
 	if ctx.Err() != nil {
 		// Whether a new link replaces the silent one matters to other requests. This one has no
@@ -187,10 +187,10 @@
 	return answer, err
 }
 
-func (g *Gateway) askWithTimeout(ctx context.Context, timeout time.Duration, address string, a reservation.Request) (reservation.Response, error) {
+func (g *Gateway) askWithTimeout(ctx context.Context, timeout time.Duration, address string, request reservation.Request) (reservation.Response, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	return g.askStager(ctx, address, a)
+	return g.askStager(ctx, address, request)
 }
 
 func earlier(a, b time.Time) time.Time {
@@ -209,17 +209,17 @@
 	reservationUnanswered reservationOutcome = "unanswered"
 )
 
-func reservationOutcomeOf(a reservation.Response) reservationOutcome {
-	if a.Granted() {
+func reservationOutcomeOf(response reservation.Response) reservationOutcome {
+	if response.Granted() {
 		return reservationGranted
 	}
 	return reservationRefused
 }
 
 // callStager sends a reservation request to a stager over a link.
-func (g *Gateway) callStager(ctx context.Context, address string, a reservation.Request) (reservation.Response, error) {
+func (g *Gateway) callStager(ctx context.Context, address string, request reservation.Request) (reservation.Response, error) {
 	var answer reservation.Response
-	err := g.process.Endpoint.Call(ctx, address, link.KindReserve, a, &answer)
+	err := g.process.Endpoint.Call(ctx, address, link.KindReserve, request, &answer)
 	return answer, err
 }
 
--- a/pkg/gateway/silence_actions.go
+++ b/pkg/gateway/silence_actions.go
@@ -27,28 +27,28 @@
 	found := detectSilent(now, globalSince, all)
 	var waits, streams []func()
 	for _, f := range found {
-		l, a := active[f.index], all[f.index]
-		b := l.exchange.backend
+		m, a := active[f.index], all[f.index]
+		b := m.exchange.backend
 		if !a.connSilentSince(globalSince) {
 			g.closeSilentIdle(b, a.silentSince.Add(minSilence), now, f.evidence)
 		}
-		if f.dial && b.reached.needsDial(now, globalSince) {
-			g.probeReachability(b)
+		if f.dial && b.dialTimes.needsDial(now, globalSince) {
+			g.startDials(b)
 		}
-		if f.evidence == evidenceSuspected || l.abort == nil || l.detected.Load() != nil {
+		if f.evidence == evidenceSuspected || m.abort == nil || m.detected.Load() != nil {
 			continue
 		}
-		reason, stage := silenceReason(now, f.evidence, a, all), l.exchange.stage(a.streaming)
-		if !l.exchange.mayInterrupt(reason, stage, now) {
+		reason, stage := silenceReason(now, f.evidence, a, all), m.exchange.stage(a.streaming)
+		if !m.exchange.mayInterrupt(reason, stage, now) {
 			continue
 		}
-		g.recordInterrupted(l.exchange.request, reason, stage)
-		l.detected.Store(&detectedSilence{f.evidence, a.silentFor(now), a.silenceLimit})
-		g.metrics.distrusted.WithLabelValues(string(f.evidence)).Inc()
+		g.recordInterrupted(m.exchange.request, reason, stage)
+		m.detected.Store(&detectedSilence{f.evidence, a.silentFor(now), a.silenceLimit})
+		g.metrics.silentConnections.WithLabelValues(string(f.evidence)).Inc()
 		if a.streaming {
-			streams = append(streams, l.abort)
+			streams = append(streams, m.abort)
 		} else {
-			waits = append(waits, l.abort)
+			waits = append(waits, m.abort)
 		}
 	}
 	// The retry budget is limited. Attempts that still wait come first: their requests can be in
@@ -60,7 +60,7 @@
 
 // silenceReason returns the reason to interrupt an attempt with a silent connection, by what
 // newer connections show.
-func silenceReason(now time.Time, e evidence, a attemptSnapshot, all []attemptSnapshot) interruption {
+func silenceReason(now time.Time, e evidence, a attemptSnapshot, all []attemptSnapshot) interruptReason {
 	switch {
 	case e == evidenceNewerConn || newerConnStreams(a, all):
 		return interruptSilence
@@ -73,8 +73,8 @@
 // dialSilent dials the backend servers whose connections may be silent since a moment.
 func (g *Gateway) dialSilent(now, since time.Time, all []attemptSnapshot) {
 	for _, a := range all {
-		if a.isEvidenceOf(now, since) && a.backend.reached.needsDial(now, since) {
-			g.probeReachability(a.backend)
+		if a.isEvidenceOf(now, since) && a.backend.dialTimes.needsDial(now, since) {
+			g.startDials(a.backend)
 		}
 	}
 }
@@ -86,7 +86,7 @@
 	if closed == 0 {
 		return
 	}
-	g.metrics.distrusted.WithLabelValues(string(e)).Add(float64(closed))
+	g.metrics.silentConnections.WithLabelValues(string(e)).Add(float64(closed))
 	_ = level.Info(g.process.Logger).Log("msg", "idle connections closed as silent", "backend", b.latestRegistration().Incarnation(),
 		"address", b.address, "closed", closed, "silent_ms", now.Sub(since).Milliseconds(), "evidence", string(e))
 }
@@ -102,9 +102,9 @@
 
 // recordDial records an answered dial.
 func (b *backend) recordDial(dialed time.Time, took time.Duration) {
-	b.reached.lastAnswered.set(dialed)
+	b.dialTimes.lastAnswered.set(dialed)
 	if took <= maxQuickDial {
-		b.reached.lastQuick.set(dialed)
+		b.dialTimes.lastQuick.set(dialed)
 	}
 }
 
--- a/pkg/gateway/silence_detector.go
+++ b/pkg/gateway/silence_detector.go
@@ -50,22 +50,22 @@
 type timingKind string
 
 const (
-	timingEventGap timingKind = "pause"    // between two events
-	timingWait     timingKind = "wait"     // for the first event, or for an answer that is no stream
-	timingLateness timingKind = "lateness" // of a first event after its forecast
-	timingRun      timingKind = "run"      // of a request; at an engine, per second of its estimate
+	timingEventGap      timingKind = "pause"    // between two events
+	timingWait          timingKind = "wait"     // for the first event, or for an answer that is no stream
+	timingForecastError timingKind = "lateness" // of a first event after its forecast
+	timingRun           timingKind = "run"      // of a request; at an engine, per second of its estimate
 )
 
 // add adds an attempt and schedules check to run while any attempt is active.
-func (s *silenceDetector) add(l *attemptMonitor, check func()) {
-	q := l.exchange.request
+func (s *silenceDetector) add(m *attemptMonitor, check func()) {
+	q := m.exchange.request
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	l.silenceLimit = s.timing(q.waitTimingKey()).limit(l.sentAt, q.firstEventForecast, q.route.ResponseObjective())
+	m.silenceLimit = s.timing(q.waitTimingKey()).limit(m.sentAt, q.firstEventForecast, q.route.ResponseObjective())
 	if s.active == nil {
 		s.active = map[*attemptMonitor]bool{}
 	}
-	s.active[l] = true
+	s.active[m] = true
 	if !s.scheduled {
 		s.scheduled, s.lastCheck = true, time.Now()
 		time.AfterFunc(silenceCheckInterval, check)
@@ -73,12 +73,12 @@
 }
 
 // remove removes an attempt, and keeps its last state as evidence for a while.
-func (s *silenceDetector) remove(l *attemptMonitor) {
-	a := l.snapshot()
+func (s *silenceDetector) remove(m *attemptMonitor) {
+	a := m.snapshot()
 	a.endedAt = time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.active, l)
+	delete(s.active, m)
 	if address := a.address; a.streaming {
 		s.streaming[address]--
 		if s.streaming[address] == 0 {
@@ -93,8 +93,8 @@
 
 // recordEvent records the timing of a stream's event, and returns the attempt's new silence
 // limit.
-func (s *silenceDetector) recordEvent(l *attemptMonitor, now, before time.Time, first bool) time.Duration {
-	q, address := l.exchange.request, l.exchange.backend.address
+func (s *silenceDetector) recordEvent(m *attemptMonitor, now, before time.Time, first bool) time.Duration {
+	q, address := m.exchange.request, m.exchange.backend.address
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	gaps := s.timing(timingKey{q.service.Name(), timingEventGap})
@@ -105,7 +105,7 @@
 		s.streaming[address]++
 	} else {
 		gaps.observe(now, now.Sub(before))
-		if len(s.streaming) >= minSilentAddresses && !l.connectedAt.After(s.lastEvent) {
+		if len(s.streaming) >= minSilentAddresses && !m.connectedAt.After(s.lastEvent) {
 			// An event over a newer connection says nothing about older ones.
 			s.quietTimes.observe(now, now.Sub(s.lastEvent))
 		}
@@ -135,7 +135,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var longest time.Duration
-	for _, kind := range []timingKind{timingWait, timingLateness} {
+	for _, kind := range []timingKind{timingWait, timingForecastError} {
 		if l, known := s.timing(timingKey{service, kind}).longest(now); known {
 			longest = max(longest, l)
 		}
@@ -148,15 +148,15 @@
 func (s *silenceDetector) maxForecastError(service string, now time.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	longest, _ := s.timing(timingKey{service, timingLateness}).longest(now)
+	longest, _ := s.timing(timingKey{service, timingForecastError}).longest(now)
 	return max(longest, 0)
 }
 
 // limit returns a quarter more than the recent maximum, counted from the forecast where there is
 // one, and at least minSilence. fallback replaces it while too few samples are known; with a
 // fallback of 0 there is no limit then, and the result is 0.
-func (u *recentMax) limit(now time.Time, forecast, fallback time.Duration) time.Duration {
-	longest, known := u.longest(now)
+func (m *recentMax) limit(now time.Time, forecast, fallback time.Duration) time.Duration {
+	longest, known := m.longest(now)
 	if !known {
 		if fallback == 0 {
 			return 0
@@ -168,15 +168,15 @@
 
 // timing returns the timings for a key. The caller holds the lock.
 func (s *silenceDetector) timing(key timingKey) *recentMax {
-	u := s.timings[key]
-	if u == nil {
+	recent := s.timings[key]
+	if recent == nil {
 		if s.timings == nil {
 			s.timings = map[timingKey]*recentMax{}
 		}
-		u = &recentMax{}
-		s.timings[key] = u
+		recent = &recentMax{}
+		s.timings[key] = recent
 	}
-	return u
+	return recent
 }
 
 // snapshots returns the active attempts and the snapshots of all attempts: the active ones in the
@@ -192,15 +192,15 @@
 	for len(s.ended) > 0 && now.Sub(s.ended[0].endedAt) > evidenceTTL {
 		s.ended = s.ended[1:]
 	}
-	for l := range s.active {
-		a := l.snapshot()
+	for m := range s.active {
+		a := m.snapshot()
 		if a.silentSince.Before(s.resumedAt) {
 			a.silentSince = s.resumedAt
 		}
-		active, all = append(active, l), append(all, a)
+		active, all = append(active, m), append(all, a)
 	}
 	for _, a := range s.ended {
-		a.dialAnswered = a.backend.reached.lastQuickDial()
+		a.dialAnswered = a.backend.dialTimes.lastQuickDial()
 		all = append(all, a)
 	}
 	return active, all
@@ -208,8 +208,8 @@
 
 // allStreamsSilent reports whether there are streams in other failure domains than that of an
 // attempt, and none anywhere received an event more than minSilence after the attempt's last one.
-func (s *silenceDetector) allStreamsSilent(l *attemptMonitor) bool {
-	own, domain, elsewhere := l.snapshot(), l.domain(), false
+func (s *silenceDetector) allStreamsSilent(m *attemptMonitor) bool {
+	own, domain, elsewhere := m.snapshot(), m.domain(), false
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for other := range s.active {
--- a/pkg/gateway/silence_test.go
+++ b/pkg/gateway/silence_test.go
@@ -371,7 +371,7 @@
 			service, _ := f.gateway.index.Load().Service("menu")
 			b := f.backend("i-own")
 			q := &request{route: route, service: service, model: "menu", sent: 1, tried: map[*backend]bool{b: true}, maxRun: left}
-			x := &exchange{gateway: f.gateway, request: q, backend: b, failoverCriteria: f.gateway.criteriaFor(q)}
+			x := &exchange{gateway: f.gateway, request: q, backend: b, failoverRequirements: f.gateway.requirementsFor(q)}
 			if x.mayInterrupt(interruptSilence, stageStreaming, now) != c.moves {
 				t.Errorf("interrupted: %t", !c.moves)
 			}
--- a/pkg/gateway/slot_share.go
+++ b/pkg/gateway/slot_share.go
@@ -45,37 +45,37 @@
 }
 
 // isFresh tells whether the report is newer than reportTTL.
-func (t reportedLoad) isFresh(now time.Time) bool { return !t.at.IsZero() && now.Sub(t.at) < reportTTL }
+func (r reportedLoad) isFresh(now time.Time) bool { return !r.at.IsZero() && now.Sub(r.at) < reportTTL }
 
 // estimatedRequests is the number of requests at the engine, with those of this gateway that the
 // report may not count.
-func (t reportedLoad) estimatedRequests() int {
-	return t.load.Running() + t.load.Queued() + t.sent + t.sentBefore/2
+func (r reportedLoad) estimatedRequests() int {
+	return r.load.Running() + r.load.Queued() + r.sent + r.sentBefore/2
 }
 
 // hasSlot tells whether a gateway with a share of the slots may send one more request.
-func (t reportedLoad) hasSlot(e serviceconfig.Engine, share float64, now time.Time) bool {
-	return float64(t.sent+1) <= share*t.freeSlots(e, now)+t.rounding
+func (r reportedLoad) hasSlot(e serviceconfig.Engine, share float64, now time.Time) bool {
+	return float64(r.sent+1) <= share*r.freeSlots(e, now)+r.rounding
 }
 
 // freeSlots is how many requests all gateways together may send to an engine between the report
 // and now.
-func (t reportedLoad) freeSlots(e serviceconfig.Engine, now time.Time) float64 {
-	free := e.Slots() + queuedPerEngine - t.load.Running() - t.load.Queued()
-	queuedPrompts := min(t.load.Queued(), e.Slots()-t.load.Running())
+func (r reportedLoad) freeSlots(e serviceconfig.Engine, now time.Time) float64 {
+	free := e.Slots() + queuedPerEngine - r.load.Running() - r.load.Queued()
+	queuedPrompts := min(r.load.Queued(), e.Slots()-r.load.Running())
 	if prefill := e.UsualPrefillTime(); prefill > 0 {
 		// An engine whose prefill takes longer for a single prompt gets one prompt at a time.
 		free = min(free, max(int(maxQueuedPrefill/prefill), 1)-queuedPrompts)
 	}
-	return max(float64(free)+t.finishedSince(e, now), 0)
+	return max(float64(free)+r.finishedSince(e, now), 0)
 }
 
 // finishedSince is how many requests a full engine has finished since the report, or 0 if the
 // time of a request is not known.
-func (t reportedLoad) finishedSince(e serviceconfig.Engine, now time.Time) float64 {
-	requestTime := float64(e.SlotInterval()) * max(t.load.StepTimeRatio(), 1)
+func (r reportedLoad) finishedSince(e serviceconfig.Engine, now time.Time) float64 {
+	requestTime := float64(e.SlotInterval()) * max(r.load.StepTimeRatio(), 1)
 	if requestTime <= 0 {
 		return 0
 	}
-	return float64(now.Sub(t.at)) / requestTime
+	return float64(now.Sub(r.at)) / requestTime
 }
--- a/pkg/gateway/stall_test.go
+++ b/pkg/gateway/stall_test.go
@@ -22,7 +22,7 @@
 	b := f.backend("i-own")
 	q := &request{ctx: t.Context(), route: route, service: f.service(t), model: "menu", sent: 1, headWritten: true, tried: map[*backend]bool{b: true}}
 	now := time.Now()
-	x = &exchange{gateway: f.gateway, request: q, backend: b, failoverCriteria: f.gateway.criteriaFor(q), started: now.Add(-silent)}
+	x = &exchange{gateway: f.gateway, request: q, backend: b, failoverRequirements: f.gateway.requirementsFor(q), started: now.Add(-silent)}
 	x.watch = &watchdog{exchange: x}
 	x.silenceMonitor = &attemptMonitor{detector: &f.gateway.silenceDetector, exchange: x, connectedAt: x.started, sentAt: x.started, lastReceived: x.started, silenceLimit: minSilence, received: true, streaming: true}
 	return f, x
--- a/pkg/gateway/stop.go
+++ b/pkg/gateway/stop.go
@@ -112,7 +112,7 @@
 	if inUse := g.connections.drain(ctx); inUse > 0 {
 		_ = level.Warn(g.process.Logger).Log("msg", "the stop closes connections in use", "connections", inUse, "requests", g.abortRunning())
 	}
-	g.reportSpent()
+	g.reportRetryUsage()
 	return nil
 }
 
--- a/pkg/gateway/stream_sim_test.go
+++ b/pkg/gateway/stream_sim_test.go
@@ -92,7 +92,7 @@
 	// the connection.
 	interrupted []string
 	// interruptions are those that the gateways count, by reason.
-	interruptions map[interruption]int
+	interruptions map[interruptReason]int
 	// startedLate streams began on an expired version.
 	startedLate []string
 }
@@ -238,7 +238,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.result.interruptions = map[interruption]int{}
+	s.result.interruptions = map[interruptReason]int{}
 	for _, r := range interruptRules {
 		for _, g := range s.startedGateways {
 			s.result.interruptions[r.reason] += int(counterValue(s.t, g.metrics.interrupted.WithLabelValues(string(r.reason))))
--- a/pkg/gateway/version_expiry.go
+++ b/pkg/gateway/version_expiry.go
@@ -57,13 +57,13 @@
 }
 
 // mustCancel tells whether it is time to cancel a waiting request.
-func (l versionExpiry) mustCancel() bool { return l.expires() && time.Until(l.at) <= l.cancelMargin }
+func (e versionExpiry) mustCancel() bool { return e.expires() && time.Until(e.at) <= e.cancelMargin }
 
 // deadlineLeft is the longest deadline that a request may get now.
-func (l versionExpiry) deadlineLeft() time.Duration { return time.Until(l.at) - l.deadlineMargin }
+func (e versionExpiry) deadlineLeft() time.Duration { return time.Until(e.at) - e.deadlineMargin }
 
 // expires tells whether the version has an expiry.
-func (l versionExpiry) expires() bool { return !l.at.IsZero() }
+func (e versionExpiry) expires() bool { return !e.at.IsZero() }
 
 // versionExpiryOf returns the expiry of the version that a backend server serves of a request's
 // model, by current knowledge. If the version is unknown, for instance while an order is being
@@ -73,20 +73,20 @@
 	if engine.Slots() == 0 || q.model == "" {
 		return versionExpiry{}
 	}
-	l := versionExpiry{served: b.servedVersion(q.model, max(engine.Layers(), 1)), deadlineMargin: versionDeadlineMargin, cancelMargin: b.versionCancelMargin()}
+	expiry := versionExpiry{served: b.servedVersion(q.model, max(engine.Layers(), 1)), deadlineMargin: versionDeadlineMargin, cancelMargin: b.versionCancelMargin()}
 	if b.isTransferringChunks(time.Now()) {
-		l.deadlineMargin = defaultCancelMargin
+		expiry.deadlineMargin = defaultCancelMargin
 	}
-	if l.served == 0 {
-		l.served = previous
+	if expiry.served == 0 {
+		expiry.served = previous
 	}
-	if l.served == 0 {
-		l.served = g.versions.Due(q.model, g.settings.RolloutLimit(), time.Now())
+	if expiry.served == 0 {
+		expiry.served = g.versions.Due(q.model, g.settings.RolloutLimit(), time.Now())
 	}
-	if next := g.versions.Next(q.model, l.served); next.Version() > 0 {
-		l.at = next.NamedAt().Add(g.settings.RolloutLimit())
+	if next := g.versions.Next(q.model, expiry.served); next.Version() > 0 {
+		expiry.at = next.NamedAt().Add(g.settings.RolloutLimit())
 	}
-	return l
+	return expiry
 }
 
 // recordRunTime records how long a request ran until its end, or until its deadline cut it.
@@ -129,8 +129,8 @@
 // the version where it waits. It returns false if that does not expire.
 func (w *watchdog) untilCancel() (time.Duration, bool) {
 	q := w.exchange.request
-	l := w.exchange.gateway.versionExpiryOf(q, w.exchange.backend, w.servedVersion)
-	return time.Until(l.at) - l.cancelMargin, l.expires()
+	expiry := w.exchange.gateway.versionExpiryOf(q, w.exchange.backend, w.servedVersion)
+	return time.Until(expiry.at) - expiry.cancelMargin, expiry.expires()
 }
 
 // cancelExpired cancels the attempt if it still waits for its first event and the version there
@@ -145,7 +145,7 @@
 		return false
 	}
 	w.exchange.gateway.recordInterrupted(w.exchange.request, interruptExpiry, stage)
-	w.lapsed.Store(true)
+	w.versionExpired.Store(true)
 	w.lateBy.Store(int64(-left))
 	w.exchange.conn.Abort()
 	return true
--- a/pkg/gateway/version_expiry_test.go
+++ b/pkg/gateway/version_expiry_test.go
@@ -245,7 +245,7 @@
 	}
 	f.setNamedVersion(defaultCancelMargin + watchdogInterval/2)
 	if pause := w.untilNextCheck(); pause > watchdogInterval/2 || w.cancelExpired() {
-		t.Fatalf("next check after %s, canceled %v, %s before", pause, w.lapsed.Load(), watchdogInterval/2)
+		t.Fatalf("next check after %s, canceled %v, %s before", pause, w.versionExpired.Load(), watchdogInterval/2)
 	}
 	f.setNamedVersion(defaultCancelMargin)
 	w.startStreaming()
@@ -253,7 +253,7 @@
 		t.Fatal("a started stream was canceled")
 	}
 	w.streaming.Store(false)
-	if !w.cancelExpired() || !w.lapsed.Load() {
+	if !w.cancelExpired() || !w.versionExpired.Load() {
 		t.Fatal("not canceled when the version expires")
 	}
 }
@@ -326,7 +326,7 @@
 }
 
 // interruptedStreams counts the started streams that the gateway ended for a reason.
-func (f *fixture) interruptedStreams(t *testing.T, reason interruption) float64 {
+func (f *fixture) interruptedStreams(t *testing.T, reason interruptReason) float64 {
 	t.Helper()
 	return counterValue(t, f.gateway.metrics.interrupted.WithLabelValues(string(reason)))
 }
--- a/pkg/gateway/watchdog.go
+++ b/pkg/gateway/watchdog.go
@@ -33,14 +33,14 @@
 
 // watchdog checks one attempt for progress.
 type watchdog struct {
-	exchange      *exchange
-	timer         *time.Timer  // nil where the request may not be retried
-	lastProgress  atomic.Int64 // nanoseconds since the attempt started
-	streaming     atomic.Bool  // events come
-	fired         atomic.Bool  // it aborted the attempt for lack of progress
-	servedVersion uint64       // the version there when the request was sent
-	lapsed        atomic.Bool  // it interrupted the attempt because the version expires
-	lateBy        atomic.Int64 // how late it did so, in nanoseconds; for the log
+	exchange       *exchange
+	timer          *time.Timer  // nil where the request may not be retried
+	lastProgress   atomic.Int64 // nanoseconds since the attempt started
+	streaming      atomic.Bool  // events come
+	fired          atomic.Bool  // it aborted the attempt for lack of progress
+	servedVersion  uint64       // the version there when the request was sent
+	versionExpired atomic.Bool  // it interrupted the attempt because the version expires
+	lateBy         atomic.Int64 // how late it did so, in nanoseconds; for the log
 
 	checking  chan struct{} // semaphore held during a check, so that stop waits for it
 	stopped   bool          // the connection no longer belongs to the attempt
@@ -76,8 +76,8 @@
 // version requires the attempt to be interrupted; news of a version takes effect at the next
 // check.
 func (w *watchdog) untilNextCheck() time.Duration {
-	left, lapses := w.untilCancel()
-	if !lapses || w.streaming.Load() {
+	left, expires := w.untilCancel()
+	if !expires || w.streaming.Load() {
 		return watchdogInterval
 	}
 	return max(0, min(left, watchdogInterval))
@@ -117,7 +117,7 @@
 		return
 	}
 	if b := w.exchange.backend; time.Since(b.lastByteAt.time()) > silenceBeforeDial {
-		w.exchange.gateway.probeReachability(b)
+		w.exchange.gateway.startDials(b)
 	}
 	now, stage := time.Now(), w.exchange.stage(w.streaming.Load())
 	if w.silentFor(now) > w.silenceLimit() && w.exchange.mayInterrupt(interruptStall, stage, now) {
--- a/pkg/gateway/yield.go
+++ b/pkg/gateway/yield.go
@@ -81,7 +81,7 @@
 	if q.retryTaken.Load() {
 		return true
 	}
-	q.borrowed = false
+	q.uncharged = false
 	q.retryTaken.Store(g.awaitRetry(q))
 	return q.retryTaken.Load()
 }
