--- a/pkg/gateway/atomic_time.go
+++ b/pkg/gateway/atomic_time.go
@@ -1,6 +1,6 @@
 // ================================================================
-// A point in time shared between goroutines, on the monotonic clock: the wall clock may step by
-// seconds, and backend servers would appear silent, or recently heard, by as much.
+// A point in time that goroutines share, on the monotonic clock. The wall clock may step by
+// seconds, and silences of backend servers would then appear longer or shorter by as much.
 // ================================================================
 
 package gateway
@@ -15,7 +15,7 @@
 
 // atomicTime is a time that is safe for concurrent use. It is the zero time until it is set.
 type atomicTime struct {
-	offset atomic.Int64 // nanoseconds offset processStart; 0 means not set
+	offset atomic.Int64 // nanoseconds since processStart; 0 means not set
 }
 
 func (a *atomicTime) set(t time.Time) { a.offset.Store(int64(t.Sub(processStart))) }
--- a/pkg/gateway/attempt.go
+++ b/pkg/gateway/attempt.go
@@ -2,8 +2,8 @@
 // One attempt at a backend server: it gets a connection, sends the request, reads the response
 // head and relays the body, buffered or as an event stream.
 //
-// Each attempt records at once whether the request may have run. It has not before a byte is
-// written; after that it may have, unless the response says otherwise.
+// Each attempt records at once whether the request may have run. Before a byte is written it has
+// not run; after that it may have, unless the response says otherwise.
 // ================================================================
 
 package gateway
@@ -53,7 +53,7 @@
 	}
 	permit, permitted := q.takePermit(b)
 	if !permitted {
-		// The server announced a limit after it was chosen; the next choice asks for a permit.
+		// The server advertised a limit after it was chosen; the next choice asks for a permit.
 		conn.Close()
 		delete(q.tried, b)
 		return false
@@ -98,7 +98,7 @@
 	waitEntry *waitingRequest
 	// silenceMonitor detects that the attempt's connection has gone silent.
 	silenceMonitor *attemptMonitor
-	permit         *permit // nil if the backend server announces no limit
+	permit         *permit // nil if the backend server advertises no limit
 	isLastServer   bool    // no further backend server may be tried after it
 	resumes        bool    // the caller already has part of the stream
 	// failoverRequirements are what another backend server must satisfy. Their maps are copies,
@@ -180,7 +180,7 @@
 			q.recordRunTime(&x.gateway.silenceDetector, time.Now(), time.Since(x.started))
 		}
 		q.allowRetryAt(x.backend)
-		x.gateway.recordAttempt(q, attemptVersionExpired, fmt.Sprintf("the version of the weights there expires; %s; withdrawn %s late", reason, time.Duration(x.watch.lateBy.Load())))
+		x.gateway.recordAttempt(q, attemptVersionExpired, fmt.Sprintf("the version of the weights there expires; %s; canceled %s late", reason, time.Duration(x.watch.lateBy.Load())))
 	case x.silenceMonitor.detected.Load() != nil:
 		// Only the connection is at fault: the request may be retried at the same backend
 		// server, and the attempt does not count as a failure of the server.
@@ -200,8 +200,8 @@
 	default:
 		x.backend.recordFailure(time.Now())
 		if x.watch.fired.Load() || q.liveness == probeAlive {
-			// The server may only have been slow, or may have received an order of which this
-			// gateway has not heard yet.
+			// The server may only have been slow, or may have received an order that this gateway
+			// does not know of yet.
 			q.allowRetryAt(x.backend)
 		}
 		x.gateway.recordAttempt(q, attemptBroken, reason)
@@ -233,8 +233,8 @@
 	return false
 }
 
-// allowRetryAt lets a stream in progress resume at a working backend server that had no
-// capacity for it only at that moment.
+// allowRetryAt lets a started stream resume at a working backend server that had no capacity for it
+// only at that moment.
 func (q *request) allowRetryAt(b *backend) {
 	if q.headWritten {
 		delete(q.tried, b)
--- a/pkg/gateway/attempt_conn.go
+++ b/pkg/gateway/attempt_conn.go
@@ -1,8 +1,8 @@
 // ================================================================
 // The connection of one attempt. The watchdog, a caller's disconnect and the detection of
 // silent or unreachable backend servers end an attempt by aborting its connection, each from
-// its own goroutine. Once the attempt has returned the connection to the pool another request
-// may use it, and none of them may abort it any more.
+// its own goroutine. Once the attempt has returned the connection to the pool, another request
+// may use it, so later calls of Abort must have no effect.
 // ================================================================
 
 package gateway
--- a/pkg/gateway/attempt_monitor.go
+++ b/pkg/gateway/attempt_monitor.go
@@ -25,7 +25,7 @@
 	detected atomic.Pointer[detectedSilence]
 
 	mu           sync.Mutex
-	lastReceived time.Time // the last bytes, or the sending where none came
+	lastReceived time.Time // when the last bytes came, or when the request was sent if none came
 	silenceLimit time.Duration
 	received     bool
 	streaming    bool
@@ -68,8 +68,8 @@
 	m.setSilenceLimit(m.detector.recordEvent(m, now, before, first))
 }
 
-// receivedAnswer records that an answer which is no stream has begun. Nothing is known of how
-// long the rest takes, so there is no silence limit any more.
+// receivedAnswer records that an answer which is no stream has begun. It removes the silence limit,
+// since it is not known how long the rest takes.
 func (m *attemptMonitor) receivedAnswer(now time.Time) {
 	m.recordWait(now)
 	m.setSilenceLimit(0)
@@ -81,8 +81,8 @@
 	m.silenceLimit = limit
 }
 
-// hasStreamed reports whether events came: the backend server then ran the request, and continues
-// where it does not notice the silence.
+// hasStreamed reports whether events came. The backend server then ran the request, and continues to
+// run it if it does not notice that the connection is silent.
 func (m *attemptMonitor) hasStreamed() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/pkg/gateway/backend.go
+++ b/pkg/gateway/backend.go
@@ -42,7 +42,7 @@
 	lastByteAt  atomicTime  // when the last bytes arrived from it
 	dialing     atomic.Bool // whether dials that test its reachability are in progress
 	dialTimes   dialTimes   // results of these dials
-	crashProbes crashProbes // dials after broken connections, which tell whether the server ended
+	crashProbes crashProbes // dials after broken connections, which show whether the server crashed
 
 	mu                        sync.Mutex
 	registration              registry.Registration
@@ -70,7 +70,7 @@
 	inBackoff          bool
 	overloaded         bool
 	reservable         bool // its stager gets reservation requests
-	stagerUnresponsive bool // its stager did not answer lately, and chunk transfers are not the cause
+	stagerUnresponsive bool // its stager did not answer recently, and chunk transfers are not the cause
 	unreachable        bool
 	failureRate        float64
 	slowdown           float64
@@ -82,7 +82,7 @@
 	oldestWait         time.Duration // the longest current wait of a request of this gateway for its first event
 	heldUntil          time.Time     // until then its own rate limit allows no request
 	nextPermit         time.Time     // when its own rate limit allows the next request
-	limited            bool          // whether it names a rate limit
+	limited            bool          // whether it advertises a rate limit
 	perSecond          float64       // its rate limit
 }
 
@@ -156,7 +156,7 @@
 	return reportedAt
 }
 
-// hasRecentReport tells whether a load report is at most silentAfter old.
+// hasRecentReport reports whether the last load report is newer than backendSilenceLimit.
 func (b *backend) hasRecentReport(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -164,8 +164,7 @@
 }
 
 // startRequest counts a request that is in flight and waits for its first event; finishRequest
-// removes it. cancel ends the attempt while it waits; it is nil where the request must not run
-// again.
+// removes it. cancel ends the attempt while it waits; it is nil if the request must not run again.
 func (b *backend) startRequest(work time.Duration, cancel func()) *waitingRequest {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -180,8 +179,8 @@
 	return waiting
 }
 
-// finishWaiting removes a request from those that wait for their first event. answered tells
-// whether the event arrived.
+// finishWaiting removes a request from those that wait for their first event. answered
+// reports whether the event arrived.
 func (b *backend) finishWaiting(w *waitingRequest, answered bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -203,14 +202,14 @@
 	b.work -= work
 }
 
-// reduceWork subtracts work that is done while the request goes on.
+// reduceWork subtracts work that is done before the request ends.
 func (b *backend) reduceWork(work time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.work -= work
 }
 
-// hasOrderInProgress tells whether the engine reports an order that is announced or being
+// hasOrderInProgress reports whether the engine reports an order that is announced or being
 // executed. A connection that it closes then is not counted as a failure.
 func (b *backend) hasOrderInProgress(now time.Time) bool {
 	b.mu.Lock()
@@ -218,7 +217,7 @@
 	return b.reported.isFresh(now) && b.reported.load.Busy()
 }
 
-// isTransferringChunks tells whether the stager reports chunk transfers on its link.
+// isTransferringChunks reports whether the stager reports chunk transfers on its link.
 func (b *backend) isTransferringChunks(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -248,7 +247,7 @@
 }
 
 // recordRequestError records an answer that says that the request failed. The server is
-// reachable, so this ends a row of failures, but the failure rate rises.
+// reachable, so this resets the count of consecutive failures, but the failure rate rises.
 func (b *backend) recordRequestError() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -265,7 +264,7 @@
 	b.backoffUntil = time.Time{}
 }
 
-// recordOverload records that the backend server refused a request because it is full.
+// recordOverload records that the backend server rejected a request because it is full.
 func (b *backend) recordOverload(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/pkg/gateway/backends.go
+++ b/pkg/gateway/backends.go
@@ -4,7 +4,7 @@
 //
 // A control node that never saw the registration reports a departure without the service. So
 // departures are kept by incarnation, outside the shards, and a late registration from another
-// node does not bring a departed server back.
+// node does not restore a departed server.
 //
 // A server may keep its incarnation when it restarts. The restarted server is a new backend:
 // measurements of the earlier start don't apply, and its connections are closed.
@@ -118,8 +118,8 @@
 	})
 }
 
-// markDeparted records that the starts of an incarnation up to born are gone, in all services;
-// born 0 stands for all known starts. It records the departure before it marks the backends,
+// markDeparted records that the starts of an incarnation up to start are gone, in all services;
+// start 0 stands for all known starts. It records the departure before it marks the backends,
 // since applyRegistration checks departures last.
 func (t *backends) markDeparted(incarnation string, start uint64) {
 	if start == 0 {
@@ -145,7 +145,7 @@
 	return start
 }
 
-// hasDeparted tells whether a registration belongs to a start that is gone.
+// hasDeparted reports whether a registration belongs to a start that has departed.
 func (t *backends) hasDeparted(r registry.Registration) bool {
 	t.departedLock.Lock()
 	defer t.departedLock.Unlock()
--- a/pkg/gateway/budget.go
+++ b/pkg/gateway/budget.go
@@ -2,9 +2,9 @@
 // The retry budget: the attempts beyond the first of each request stay below a share of the
 // requests of the service, over all gateways together.
 //
-// The share is local: each gateway stays below it for its own requests, and so does the sum. A
-// service with few requests may use a reserve, which is divided by the number of gateways that
-// the control nodes count.
+// Each gateway stays below the share for its own requests, so the sum stays below it too. A service
+// with few requests may use a reserve, which is divided by the number of gateways that the control
+// nodes count.
 //
 // A gateway that starts may replace one that has just spent its whole share, which still counts
 // for one window. For that time it uses what budgetSafetyFactor leaves: that part of the share
@@ -12,7 +12,8 @@
 // row stay within the bound together. A gateway that replaces one after a clean shutdown gets its
 // usage and continues from there (budget_handover.go).
 //
-// Rejected: no retries in the first window. Streams that break just after a start would be lost.
+// Retries are allowed in the first window too: without them streams that break just after a start
+// would be lost.
 // ================================================================
 
 package gateway
@@ -94,7 +95,7 @@
 	return true
 }
 
-// hasRetry tells whether one more retry stays within a share of the budget. The caller holds
+// hasRetry reports whether one more retry stays within a share of the budget. The caller holds
 // b.mu.
 func (b *retryBudget) hasRetry(s *serviceUsage, gateways int, share float64) bool {
 	requests, retries := 0, 0
@@ -120,8 +121,9 @@
 }
 
 // uncountAttempt excludes an attempt that never reached its backend server from the budget, so
-// the next attempt is no retry. It is for connections found silent while dials to the same server
-// succeeded, which would have brought an acknowledgement.
+// the next attempt is no retry. It is for connections found silent on which no byte was
+// acknowledged, while dials to the same server succeeded: the server would have acknowledged what it
+// received.
 func (g *Gateway) uncountAttempt(q *request) {
 	if q.retryTaken.Swap(true) && !q.uncharged {
 		g.budget.refund(q.service.Name())
@@ -156,7 +158,7 @@
 	return s
 }
 
-// advance clears the buckets whose time is over.
+// advance clears the buckets that have expired.
 func (b *retryBudget) advance() {
 	now := int64(b.now().Sub(b.started) / b.bucketDuration)
 	for steps := 0; b.currentBucket < now && steps < budgetBuckets; steps++ {
--- a/pkg/gateway/budget_handover.go
+++ b/pkg/gateway/budget_handover.go
@@ -1,8 +1,8 @@
 // ================================================================
-// Handover of the retry budget. A gateway that starts continues the budget of the one that
-// shut down cleanly before it: it counts that one's usage as its own until it expires. The buckets
-// of the two don't begin at the same moments, so retries are counted up to one bucket later than
-// they were made, and requests up to one bucket earlier.
+// Handover of the retry budget. A gateway that starts continues the budget of the gateway that it
+// replaces, if that shut down cleanly: it counts the previous gateway's usage as its own until that
+// expires. The buckets of the two don't begin at the same moments, so retries are counted up to one
+// bucket later than they were made, and requests up to one bucket earlier.
 // ================================================================
 
 package gateway
@@ -64,7 +64,7 @@
 	return true
 }
 
-// addCount adds a count to the bucket that many buckets back, unless it has expired. The caller
+// addCount adds a count to the bucket that is age buckets old, unless it has expired. The caller
 // holds b.mu.
 func (b *retryBudget) addCount(counts *[budgetBuckets]int, age, count int) {
 	if age < budgetBuckets {
@@ -77,7 +77,7 @@
 	if previous == nil || !g.budget.inherit(*previous) {
 		return
 	}
-	// The number of gateways that the other one knew is used until a higher one is received.
+	// The previous gateway's number of gateways is used until a higher one is received.
 	g.gatewayCount.update(previous.Gateways(), time.Now(), g.settings.RetryWindow())
 	_ = level.Info(g.process.Logger).Log("msg", "inherited the retry budget of the previous gateway", "ended_ms", previous.Age().Milliseconds(), "gateways", previous.Gateways())
 }
--- a/pkg/gateway/budget_lending.go
+++ b/pkg/gateway/budget_lending.go
@@ -1,9 +1,9 @@
 // ================================================================
 // Lending of retries between gateways. The budget is a share of the requests of all gateways, and
-// each gateway keeps its part: one whose streams break together has spent its part while others
-// have theirs. A started stream that finds no retry here asks another gateway, which counts the
-// retry as its own, so the sum stays the same. First attempts don't borrow: if refused, they can
-// try again.
+// each gateway keeps its part. If many streams of one gateway break together, it may have spent its
+// part while others have retries left. A started stream that finds no retry here asks another
+// gateway, which counts the retry as its own, so the sum stays the same. First attempts don't
+// borrow: if refused, they can try again.
 // ================================================================
 
 package gateway
@@ -21,7 +21,7 @@
 	// lendShare is the share of its budget up to which a gateway lends; the rest is for its own
 	// streams.
 	lendShare = 0.5
-	// lendTimeout is how long a lender may take to answer, and lendersAsked how many gateways are
+	// lendTimeout is how long a lender may take to answer, and maxLendersAsked how many gateways are
 	// asked in a row.
 	lendTimeout     = 40 * time.Millisecond
 	maxLendersAsked = 2
--- a/pkg/gateway/buffered.go
+++ b/pkg/gateway/buffered.go
@@ -125,14 +125,14 @@
 	return w.request.writer.Write(p)
 }
 
-// progressReader tells the watchdog of each read.
+// progressReader reports each read to the watchdog.
 type progressReader struct {
 	io.Reader
 	watch *watchdog
-	err   error // that cut the response short; nil at its end
+	err   error // the read error that cut the response short; nil after a complete response
 }
 
-// Read reads and reports progress to the watchdog.
+// Read reads, and reports progress if bytes came.
 func (r *progressReader) Read(p []byte) (int, error) {
 	n, err := r.Reader.Read(p)
 	if n > 0 {
--- a/pkg/gateway/caller_conns.go
+++ b/pkg/gateway/caller_conns.go
@@ -1,6 +1,6 @@
 // ================================================================
-// Callers' connections and their listener: tracks which are in use and which are idle, and ends
-// both in a planned stop without closing a connection under a request.
+// Callers' connections and their listener: tracks which connections are in use and which are idle,
+// and ends them in a planned stop without closing one that has a request in flight.
 // ================================================================
 
 package gateway
@@ -112,8 +112,8 @@
 // ----------------------------------------------------------------
 // Listener
 
-// callersListener accepts callers until it is told to stop, and then those that the kernel has
-// already accepted, since closing the listener resets them.
+// callersListener accepts callers until stop is called, and then those that the kernel has already
+// accepted, since closing the listener would reset them.
 type callersListener struct {
 	net.Listener
 	stopping atomic.Bool
--- a/pkg/gateway/choose.go
+++ b/pkg/gateway/choose.go
@@ -4,8 +4,8 @@
 // other services it takes the one with the least work in flight from here. Slowdown and failure
 // rate weigh both.
 //
-// Rejected: to ask every engine for its load before each choice. The platform charges for each
-// such probe, and the answer is some 100 ms old.
+// The gateway does not ask every engine for its load before each choice: the platform charges for
+// each such probe, and the answer is some 100 ms old.
 // ================================================================
 
 package gateway
@@ -20,7 +20,7 @@
 )
 
 const (
-	// remoteDomainPenalty is the cost of another failure domain, in time of work.
+	// remoteDomainPenalty is the cost of another failure domain, as a duration of work.
 	remoteDomainPenalty = 10 * time.Millisecond
 	// remoteDomainStreamPenalty is the same for streams of engines. An engine of another failure
 	// domain is chosen only if the gateway's own has no free slot: a stream has many packets, and
@@ -29,11 +29,11 @@
 	// unresponsiveStagerPenalty is the cost of an engine whose stager does not answer: its link
 	// is saturated or its VM has a fault. It is chosen only if no other engine has a free slot.
 	unresponsiveStagerPenalty = 700 * time.Millisecond
-	// missedHeartbeatPenalty is the cost of missed heartbeats, in time of work.
+	// missedHeartbeatPenalty is the cost of missed heartbeats, as a duration of work.
 	missedHeartbeatPenalty = 300 * time.Millisecond
 	// failurePenalty multiplies the cost of a backend server that fails all requests.
 	failurePenalty = 12.0
-	// concurrentRequestCost is what each request at an engine costs the others there.
+	// concurrentRequestCost is the delay that each request at an engine causes to the others there.
 	concurrentRequestCost = 2 * time.Millisecond
 	// costJitter randomizes the cost, so that gateways with the same data choose different
 	// servers.
@@ -65,9 +65,9 @@
 	engine serviceconfig.Engine
 	// maxWait is the longest acceptable wait for a slot; 0 means no limit.
 	maxWait time.Duration
-	// avoidBuilds are builds whose servers ended while they ran the request.
+	// avoidBuilds are builds whose servers crashed while they ran the request.
 	avoidBuilds []string
-	// excludeLimited excludes backend servers that name a rate limit.
+	// excludeLimited excludes backend servers that advertise a rate limit.
 	excludeLimited bool
 	// tried holds the servers that must not get the request again; only, if not nil, holds those
 	// that may get it.
@@ -75,7 +75,7 @@
 }
 
 // choose returns the backend server with the least cost, or nil if none may take the request.
-// loaded tells whether load, a rate limit or a share of slots excluded any.
+// loaded reports whether load, a rate limit or a share of slots excluded any.
 func (g *Gateway) choose(w requirements) (chosen *backend, loaded bool) {
 	now := time.Now()
 	all := g.candidates(w, now)
@@ -138,20 +138,20 @@
 	}
 }
 
-// serves tells whether a backend server is in service and reachable.
+// serves reports whether a backend server is in service and reachable.
 func (l load) serves() bool {
 	return l.state != registry.Draining && l.state != registry.Gone && !l.unreachable
 }
 
-// isExecutingOrder tells whether an engine reports an order that is announced or being executed.
+// isExecutingOrder reports whether an engine reports an order that is announced or being executed.
 func (w requirements) isExecutingOrder(l load) bool {
 	return w.engine.Slots() > 0 && l.fresh && l.reported.load.Busy()
 }
 
-// exceedsWait tells whether the predicted wait at an engine is above maxWait.
+// exceedsWait reports whether the predicted wait at an engine is above maxWait.
 func (w requirements) exceedsWait(l load) bool { return w.maxWait > 0 && w.waitAt(l) > w.maxWait }
 
-// isWithinShare tells whether the gateway's share of an engine's slots allows one more request.
+// isWithinShare reports whether the gateway's share of an engine's slots allows one more request.
 // An engine without a load report, for example a new one, counts as empty with all its slots
 // shared; without the share a hundred gateways would fill it before its first report. If the
 // stager takes reservations, they bound the requests instead.
@@ -215,7 +215,7 @@
 }
 
 // domainPenalty returns the cost of another failure domain. A retried request is late already, so
-// it pays only the small penalty and goes where it starts first.
+// only the small penalty applies, and it goes to the server where it starts first.
 func (w requirements) domainPenalty() time.Duration {
 	if w.engine.Slots() > 0 && len(w.tried) == 0 {
 		return remoteDomainStreamPenalty
--- a/pkg/gateway/crash_probe.go
+++ b/pkg/gateway/crash_probe.go
@@ -1,7 +1,7 @@
 // ================================================================
 // Finds out whether a backend server crashed during an attempt. A connection that the server closed
 // proves little: it may have aborted only that answer. So the gateway connects to the server again
-// at once. If the process has exited, its port is closed and the connection is refused within one
+// at once. If the process has crashed, its port is closed and the connection is refused within one
 // round trip. All attempts that break at one moment share a probe.
 //
 // On a link saturated with weight chunks a round trip takes longer than the next attempt can wait.
@@ -43,7 +43,7 @@
 	probeTimeout = 1500 * time.Millisecond
 	// firstProbeWait is how long a probe may delay the next attempt: a round trip within a region
 	// takes a tenth of it. Where servers crashed under the request before, the result decides
-	// whether there is a next attempt at all, and the probe may take probeWait.
+	// whether there is a next attempt at all, and the probe may take suspectProbeWait.
 	firstProbeWait   = 30 * time.Millisecond
 	suspectProbeWait = 150 * time.Millisecond
 	// probeReuseWindow is how long a refused probe is valid for other attempts: those that break
@@ -90,7 +90,7 @@
 }
 
 // probeWaitAfter returns how long the next attempt waits for a probe, by the number of crashes that
-// were known when the last one was sent.
+// were known when the last attempt was sent.
 func probeWaitAfter(knownCrashes int) time.Duration {
 	if knownCrashes == 0 {
 		return firstProbeWait
@@ -130,7 +130,8 @@
 	b.crashProbes.last = probe
 	go func() {
 		defer close(probe.done)
-		// Not the context of a caller: it may cancel, and other attempts share the result.
+		// The context of a caller would not fit: it may be canceled, and other attempts share the
+		// result.
 		probe.refused = b.pool.RefusesDial(context.Background(), probeTimeout)
 	}()
 	return probe
--- a/pkg/gateway/demand.go
+++ b/pkg/gateway/demand.go
@@ -1,6 +1,6 @@
 // ================================================================
 // The request rate at this gateway and its share of that of all gateways. The load balancer
-// spreads clients unevenly: with equal shares of the engines' slots a busy gateway would refuse
+// spreads callers unevenly: with equal shares of the engines' slots a busy gateway would refuse
 // callers while others leave slots idle.
 // ================================================================
 
@@ -19,10 +19,10 @@
 	// demandTimeConstant is the averaging time of the demand: long enough for ten requests at the
 	// users' smallest gateways.
 	demandTimeConstant = time.Second
-	// demandReportInterval is the time between two reports of the demand.
+	// demandReportInterval is the time between reports of the demand to the control nodes.
 	demandReportInterval = 300 * time.Millisecond
-	// evenShare of the engines' slots is divided evenly, whatever the demand. It serves a gateway
-	// whose demand is new until the others know of it.
+	// evenShare is the share of the engines' slots that is divided evenly, whatever the demand. A
+	// gateway whose demand has just begun uses it until the other gateways know its demand.
 	evenShare = 0.15
 	// minRemoteShare is the least share of an engine's slots that gateways of other failure
 	// domains may use.
--- a/pkg/gateway/ending.go
+++ b/pkg/gateway/ending.go
@@ -1,9 +1,9 @@
 // ================================================================
 // Ends every request that was read with a response. If a handler returns without one, net/http
-// closes the connection after a panic and otherwise writes an empty success: the caller then
-// learns nothing, or something false. So this file handles every way out of a handler: a panic,
-// a caller that disconnected, the end of a planned stop, and a request for which no further
-// attempt is possible.
+// closes the connection after a panic and otherwise writes an empty success, so the caller would
+// get no result or a false one. This file handles every way in which a handler may end: a panic, a
+// caller that disconnected, the end of a planned stop, and a request for which no further attempt
+// is possible.
 //
 // Only a stream that has begun can end without a complete response: its head is already sent,
 // and closing the connection is the only way to signal that it is incomplete.
--- a/pkg/gateway/gateway.go
+++ b/pkg/gateway/gateway.go
@@ -61,15 +61,15 @@
 	gatewayCount gatewayCounter
 	budget       *retryBudget
 	demand       demand
-	// quarantine records the requests during which backend servers exited.
+	// quarantine records the requests during which backend servers crashed.
 	quarantine *quarantine.Table
 	// publishRecords sends new quarantine records to the control nodes, and publishLimiter
 	// bounds how many a second.
 	publishRecords func(records []quarantine.Record)
 	publishLimiter *rate.Limiter
-	// crashProbeWait returns how long an attempt waits to learn whether its backend server exited.
-	crashProbeWait func(knownExits int) time.Duration
-	// requestTrial asks for permission to try a barred request once more under the name tester,
+	// crashProbeWait returns how long an attempt waits to learn whether its backend server crashed.
+	crashProbeWait func(knownCrashes int) time.Duration
+	// requestTrial asks for permission to try a quarantined request once more under the name tester,
 	// and trialLimiter bounds how often.
 	requestTrial func(f quarantine.Fingerprint)
 	tester       string
@@ -83,7 +83,7 @@
 	// demandByDomain returns the requests for engines that all gateways receive per second, by
 	// failure domain.
 	demandByDomain func() map[string]float64
-	// askStager asks the stager at a link address to reserve a place at its engine.
+	// askStager asks the stager at a link address to reserve a slot at its engine.
 	askStager func(ctx context.Context, address string, a reservation.Request) (reservation.Response, error)
 	// askLender asks the gateway at a link address for a retry from its budget, and nextBorrow
 	// is the earliest time to ask again.
--- a/pkg/gateway/gateway_count.go
+++ b/pkg/gateway/gateway_count.go
@@ -1,7 +1,7 @@
 // ================================================================
 // Tracks the number of gateways as control nodes report it. A node that has just started
-// reports too few, and gateways that believed it would each spend the retry budget of all. So
-// the number falls only after no higher report for the whole window of the retry budget.
+// reports too few, and gateways that used its number would each spend the retry budget of all. So
+// the number falls only after no higher one was reported for the whole window of the retry budget.
 // ================================================================
 
 package gateway
--- a/pkg/gateway/handler.go
+++ b/pkg/gateway/handler.go
@@ -24,7 +24,7 @@
 	defaultMaxBody = 4 << 20
 	// bodyReadTimeout bounds the reading of a request body.
 	bodyReadTimeout = 10 * time.Second
-	// maxDials bounds the backend servers to which one request is offered.
+	// maxDials bounds the backend servers that are dialed for one request.
 	maxDials = 6
 	// retryAfterSoon is the Retry-After of a refusal where retrying is better than waiting.
 	// retryAfterMin and retryAfterMax bound the random Retry-After of a refusal where all
@@ -36,7 +36,7 @@
 	// backend server is serving. Servers serve again seconds later, so a later retry is more
 	// likely to succeed; the platform's callers wait for no larger share.
 	retryAfterShare = 1.0 / 3
-	// maxWaitShare is the longest acceptable wait for a place, as a share of the latency
+	// maxWaitShare is the longest acceptable wait for a slot, as a share of the latency
 	// objective.
 	maxWaitShare = 0.5
 )
@@ -228,7 +228,7 @@
 // how the last attempt ended.
 const retryBudgetSpent = "the budget of repeats is used up; last: %s"
 
-// backOff delays the retry of a stream in progress that a server rejected, longer each time: a
+// backOff delays the retry of a started stream that a server rejected, longer each time: a
 // full server rejects it again at once, and each attempt uses up a retry. It returns a failure
 // if the caller no longer waits.
 func (g *Gateway) backOff(q *request, isRejected bool) *failure.Failure {
@@ -276,7 +276,7 @@
 	return failure.New(failure.Overloaded, format, arguments...).WithRetryAfter(retryAfterSoon)
 }
 
-// requirementsFor returns what a backend server must satisfy for the next attempt.
+// requirementsFor returns the requirements on the backend server of the next attempt.
 func (g *Gateway) requirementsFor(q *request) requirements {
 	w := requirements{service: q.service.Name(), work: q.work, tried: q.tried, engine: q.service.Engine(), avoidBuilds: q.avoidBuilds}
 	if len(q.ranAt) >= q.route.MaxAttempts() {
@@ -297,7 +297,7 @@
 	return w
 }
 
-// maxWait returns the longest acceptable wait for a place at an engine.
+// maxWait returns the longest acceptable wait for a slot at an engine.
 func (q *request) maxWait() time.Duration {
 	return time.Duration(maxWaitShare * float64(q.route.ResponseObjective()))
 }
@@ -309,7 +309,7 @@
 		return b, nil
 	}
 	w := g.requirementsFor(q)
-	b, allFull := g.awaitBackend(q, w)
+	b, loaded := g.awaitBackend(q, w)
 	if b != nil {
 		return b, nil
 	}
@@ -319,7 +319,7 @@
 	if f := g.exhaustedLimits(q, w); f != nil {
 		return nil, f
 	}
-	if allFull {
+	if loaded {
 		return nil, failure.New(failure.Overloaded, "every backend server of %s is full", q.service.Name()).WithRetryAfter(g.randomRetryAfter())
 	}
 	return nil, failure.New(failure.Overloaded, "no backend server of %s serves now", q.service.Name()).WithRetryAfter(time.Duration(retryAfterShare * float64(q.remaining())))
--- a/pkg/gateway/interrupt.go
+++ b/pkg/gateway/interrupt.go
@@ -2,7 +2,7 @@
 // Interruptions: the cases in which a gateway itself ends an active attempt. All code that may do
 // so asks mayInterrupt, and one table gives the condition for each reason and stage of the
 // answer. An answer that its caller has part of is interrupted only where it can be resumed or a
-// rule leaves no choice, because a partial answer is of no use to the caller.
+// rule requires it, because a partial answer is of no use to the caller.
 // ================================================================
 
 package gateway
@@ -36,7 +36,8 @@
 	interruptStop interruptReason = "stop deadline"
 )
 
-// maxInterruptReservations bounds the servers that are asked for a slot before an answer is interrupted.
+// maxInterruptReservations bounds the servers that are asked for a slot before an answer is
+// interrupted.
 const maxInterruptReservations = 3
 
 // answerStage is how far the answer to a request has come.
@@ -66,13 +67,12 @@
 var (
 	always = interruptCondition{name: "always", holds: func(*exchange, time.Time) bool { return true }}
 	never  = interruptCondition{name: "never", holds: func(*exchange, time.Time) bool { return false }}
-	// singleRun holds for a request that may run only once, and so can't be withdrawn and
-	// retried.
+	// singleRun holds for a request that may run only once, and so can't be canceled and retried.
 	singleRun = interruptCondition{name: "not idempotent, and expected to end before the version expires", holds: (*exchange).needsVersionDeadline}
 	// stalledAlone does not hold where all other streams are stalled as well, as behind an
 	// overloaded link or on a machine short of processor time: the answer would stall again.
 	stalledAlone = interruptCondition{name: "free slot granted elsewhere, and other streams make progress", holds: (*exchange).isStalledAlone, resumes: true}
-	// resumable allows the attempt's own server, which works.
+	// resumable also allows the attempt's own server, since that works.
 	resumable        = interruptCondition{name: "resumable here or elsewhere", holds: (*exchange).resumesInTime, resumes: true}
 	overdueResumable = interruptCondition{name: "overdue, and resumable here or elsewhere", holds: (*exchange).isOverdue, resumes: true}
 	longSilent       = interruptCondition{name: "silent as long as a stall, and resumable at a free slot", holds: (*exchange).isSilentAsStall, resumes: true}
@@ -80,7 +80,7 @@
 )
 
 // interruptRule is the condition for one reason at each stage, and what happens to the request
-// after.
+// afterwards.
 type interruptRule struct {
 	reason  interruptReason
 	stages  [answerStageCount]interruptCondition
@@ -152,9 +152,9 @@
 	return nil
 }
 
-// takeRetryToResume takes from the budget the retry with which a request resumes. Without one the
-// answer would end for good, whereas on a busy machine all servers stall together for a moment and
-// continue.
+// takeRetryToResume takes from the budget the retry with which a request resumes, and reports whether
+// there is one. An attempt is not interrupted without it: the answer would end there, whereas on a
+// busy machine all servers may stall together for a moment and then continue.
 func (x *exchange) takeRetryToResume() bool {
 	q := x.request
 	if q.retryTaken.Load() {
@@ -201,7 +201,8 @@
 // known without asking it.
 func (x *exchange) hasCandidate(w requirements) bool { return x.candidate(w) != nil }
 
-// candidate returns such a backend server, or nil.
+// candidate returns a suitable backend server that could take the request now, as far as is known
+// without asking it, or nil.
 func (x *exchange) candidate(w requirements) *backend {
 	g, q := x.gateway, x.request
 	b, _ := g.choose(w)
@@ -262,7 +263,7 @@
 	}
 	w, silent := x.elsewhereWithRecentWait(now), x.watch.silentFor(now)
 	w.maxWait = noWait
-	// A caller that stays longer than callers are known to gains nothing from further waiting.
+	// A caller that has already waited longer than callerTimeout gains nothing from further waiting.
 	tooLate := silent < x.gateway.callerTimeout(x.request) && x.outlastsCaller(w, silent)
 	if x.isLastServer || tooLate || x.gateway.silenceDetector.allStreamsSilent(x.silenceMonitor) {
 		return false
--- a/pkg/gateway/limit_owners.go
+++ b/pkg/gateway/limit_owners.go
@@ -17,11 +17,11 @@
 
 const (
 	// ownerRetryInterval is when a gateway that didn't answer is asked again, and
-	// exitedRetryInterval one that has exited.
+	// exitedRetryInterval when one that has exited is asked again.
 	ownerRetryInterval  = 250 * time.Millisecond
 	exitedRetryInterval = time.Second
-	// takeoverDelay is how long an owner must fail to answer before the next gateway grants
-	// permits in its place: a busy machine answers some requests late.
+	// takeoverDelay is how long an owner must fail to answer before its backup grants permits: a
+	// busy machine answers some requests late.
 	takeoverDelay = 500 * time.Millisecond
 	// unlistedTTL is how long a gateway that is no longer listed may own limits: another control
 	// node may list it again. Where more than half of the gateways are missing from the list
@@ -62,7 +62,7 @@
 	askedAt      time.Time // when a permit was last requested from it
 }
 
-// isReplaceable reports whether a backup may grant permits in place of the gateway.
+// isReplaceable reports whether a backup may grant permits instead of the gateway.
 func (k knownGateway) isReplaceable(now time.Time) bool {
 	return k.exited || !k.failingSince.IsZero() && now.Sub(k.failingSince) >= takeoverDelay
 }
--- a/pkg/gateway/limit_state.go
+++ b/pkg/gateway/limit_state.go
@@ -29,11 +29,11 @@
 	requestSentAt time.Time // when the request was sent whose answer advertised it
 	endedAt       time.Time // when its owner last said that it has ended
 	nextPermitAt  time.Time // when the next permit is due, by the last answer of its owner
-	heldUntil     time.Time // the owner is not asked before
+	heldUntil     time.Time // until then the owner is not asked
 }
 
-// update applies what the answer to a request advertises that was sent at a given moment, and
-// reports whether the limit changed. An answer without a limit changes nothing: only the owner ends
+// update applies the limit that an answer advertises, and reports whether the limit changed. sent is
+// when the request was sent. An answer without a limit changes nothing: only the owner ends
 // a limit, since answers may arrive out of order. An answer to a request sent before the owner
 // ended the limit is outdated.
 func (l *limitState) update(advertised serverlimit.AdvertisedLimit, sent time.Time) (changed bool) {
@@ -115,8 +115,9 @@
 	return serverlimit.NewPermitRequest(server, b.limit.perSecond, b.limit.unreported, time.Since(b.limit.requestSentAt)), true
 }
 
-// endLimit removes the limit since its owner answered a permit request that it has ended, and
-// reports whether it did. A limit advertised after that request was made is newer and stays.
+// endLimit removes the limit after its owner answered a permit request that the limit has ended,
+// and reports whether it removed it. A limit advertised after that request was made is newer and
+// stays.
 func (b *backend) endLimit(request serverlimit.PermitRequest, now time.Time) (ended bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -127,7 +128,7 @@
 	return true
 }
 
-// markLimitReported notes that the owner knows the limit that a permit request carried.
+// markLimitReported records that the owner knows the limit that a permit request carried.
 func (b *backend) markLimitReported(request serverlimit.PermitRequest) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/pkg/gateway/native_protocol.go
+++ b/pkg/gateway/native_protocol.go
@@ -32,8 +32,8 @@
 	return Protocol{Name: "own", ReadyPath: "/readyz", ReadRequest: readNativeRequest, Prepare: prepareNative, ReadResponse: readNativeResponse, StreamIdleTimeout: nativeStreamIdleTimeout}
 }
 
-// nativeStreamIdleTimeout is the pause after which callers of unknown behaviour are assumed to
-// give up.
+// nativeStreamIdleTimeout returns the silence after which callers are assumed to give up, since
+// their behaviour is not known.
 func nativeStreamIdleTimeout(time.Duration, time.Duration) time.Duration { return 2 * time.Second }
 
 func readNativeRequest(h http.Header) RequestHead {
--- a/pkg/gateway/outcome.go
+++ b/pkg/gateway/outcome.go
@@ -39,7 +39,7 @@
 	attemptBroken           attemptEnd = "broken"
 	attemptSilentConn       attemptEnd = "silent" // the connection was silent, not the backend server
 	attemptVersionExpired   attemptEnd = "lapsed"
-	attemptCutByOrder       attemptEnd = "cut" // by an order to the engine
+	attemptCutByOrder       attemptEnd = "cut" // an order to the engine closed the connection
 	attemptRejected         attemptEnd = "refused"
 	attemptWrongIncarnation attemptEnd = "elsewhere"
 	attemptFailed           attemptEnd = "failed"
--- a/pkg/gateway/permit.go
+++ b/pkg/gateway/permit.go
@@ -5,7 +5,7 @@
 // permit is due. Where limits keep a request from all servers of a service, it is refused at once,
 // with the time at which the next permit is due.
 //
-// A permit is requested before a place is reserved: the limit is scarcer, and a reserved place that
+// A permit is requested before a slot is reserved: the limit is scarcer, and a reserved slot that
 // is not used keeps other requests away. An unused permit is returned.
 // ================================================================
 
@@ -47,8 +47,8 @@
 // permit; loaded reports that servers were skipped because of their load or limit.
 func (g *Gateway) choosePermitted(q *request, w requirements) (b *backend, loaded bool) {
 	for requested := 1; q.ctx.Err() == nil; requested++ {
-		chosen, full := g.choose(w)
-		loaded = loaded || full
+		chosen, excluded := g.choose(w)
+		loaded = loaded || excluded
 		if chosen == nil || g.acquirePermit(q, chosen) {
 			return chosen, loaded
 		}
@@ -114,8 +114,9 @@
 	q.permit = nil
 }
 
-// exhaustedLimits returns the failure of a request that only limits keep from all backend servers
-// of its service, with the time at which the next permit is due; nil where something else does.
+// exhaustedLimits returns the failure of a request that only rate limits keep from all backend
+// servers of its service, with the time at which the next permit is due. It returns nil if there is
+// another reason.
 func (g *Gateway) exhaustedLimits(q *request, w requirements) *failure.Failure {
 	now := time.Now()
 	var next time.Time
@@ -136,6 +137,6 @@
 	return failure.New(failure.Overloaded, "the rate limit of every backend server of %s is used up", q.service.Name()).WithRetryAfter(retryAfter)
 }
 
-// isHeldBack reports whether its rate limit keeps requests of this gateway from the backend server
-// now.
+// isHeldBack reports whether the rate limit of the backend server currently keeps requests of this
+// gateway from it.
 func (l load) isHeldBack(now time.Time) bool { return now.Before(l.heldUntil) }
--- a/pkg/gateway/permit_link.go
+++ b/pkg/gateway/permit_link.go
@@ -25,8 +25,8 @@
 	return stream.Send(g.answerPermit(ctx, request))
 }
 
-// reportPermit tells the owner of a limit what became of a permit, without blocking its caller. A
-// report that is lost wastes one permit, or its information comes with the next report.
+// reportPermit reports the outcome of a permit to the owner of the limit, without blocking its
+// caller. A lost report wastes one permit, or its information comes with the next report.
 func (g *Gateway) reportPermit(p *permit, outcome serverlimit.Outcome, perSecond float64) {
 	report := serverlimit.NewPermitReport(p.server, p.granted, outcome, perSecond)
 	if p.owner == g.process.Identity.Address() {
--- a/pkg/gateway/permit_request.go
+++ b/pkg/gateway/permit_request.go
@@ -1,8 +1,8 @@
 // ================================================================
 // Which gateway is asked for a permit, and when this gateway grants one itself.
 //
-// If the owner of a limit doesn't answer, the next gateway in the ranking takes its place, but only
-// after it has itself failed to reach the owner for takeoverDelay; until then it forwards the
+// If the owner of a limit doesn't answer, the next gateway in the ranking grants permits instead, but
+// only after it has itself failed to reach the owner for takeoverDelay; until then it forwards the
 // request. An owner whose VM refuses connections has exited. An owner that doesn't answer may be
 // partitioned from here and still grant permits to others, so its backup grants only a part of the
 // limit until the control nodes no longer list the owner.
@@ -25,7 +25,8 @@
 	// the skipped ones among them that may still be running.
 	maxOwnersAsked        = 8
 	maxUnresponsiveOwners = 3
-	// takeoverRetryAfter is when a gateway may ask again while no backup may grant permits yet.
+	// takeoverRetryAfter is the delay after which a gateway may ask again while no backup may grant
+	// permits yet.
 	takeoverRetryAfter = 100 * time.Millisecond
 )
 
--- a/pkg/gateway/protocol.go
+++ b/pkg/gateway/protocol.go
@@ -83,8 +83,8 @@
 	Prepare func(h http.Header, a Attempt)
 	// ReadResponse reads the head of a response.
 	ReadResponse func(status int, h http.Header) ResponseHead
-	// StreamIdleTimeout returns the pause after which the caller of a stream gives up, from the
-	// route's objectives for the first event and for pauses between events.
+	// StreamIdleTimeout returns the silence after which the caller of a stream gives up, from the
+	// route's objectives for the first event and for gaps between events.
 	StreamIdleTimeout func(objective, gap time.Duration) time.Duration
 }
 
--- a/pkg/gateway/quarantine.go
+++ b/pkg/gateway/quarantine.go
@@ -1,9 +1,9 @@
 // ================================================================
 // Requests that crash the backend servers that run them. A crash fails all other requests on that
-// server, and its place is lost for seconds: one such request, tried four times a second, kept
-// twelve servers down and failed two fifths of all other work. So gateways share what they know of
-// such requests, and after three independent crashes (pkg/quarantine) a request is no longer sent
-// to servers.
+// server, and its slots are lost for seconds: one such request, tried four times a second, kept
+// twelve servers down and failed two fifths of all other requests. So gateways share what they know
+// of such requests, and after three independent crashes (pkg/quarantine) a request is no longer
+// sent to servers.
 //
 // Its caller gets a 503 at once, with the statement that the request has not run and a Retry-After
 // of a minute: a later attempt may succeed once the servers are fixed.
@@ -22,8 +22,9 @@
 
 const (
 	// crashReportRate bounds the first crashes of requests that are shared per second, and
-	// crashReportBurst those at one moment, about 80 bytes each: a crash hits tens of requests,
-	// nearly all of them innocent. A first crash that was not shared is shared with the second.
+	// crashReportBurst those at one moment, about 80 bytes each: a crash ends tens of requests, and
+	// nearly all of them did not cause it. A first crash that was not shared is shared with the
+	// second.
 	crashReportRate  = 16
 	crashReportBurst = 64
 	// suspectRetryAfter is when to retry a request that is already in flight here and under which
@@ -99,15 +100,15 @@
 	return failure.New(failure.CrashesServers, "%d backend servers exited while running request %s", crashes, q.fingerprint)
 }
 
-// recordArrival notes that a quarantined request still arrives, so that all gateways go on
-// remembering it.
+// recordArrival records that a quarantined request still arrives, so that all gateways keep its
+// record.
 func (g *Gateway) recordArrival(q *request) {
 	if r, share := g.quarantine.RecordArrival(q.fingerprint); share {
 		g.publishRecords([]quarantine.Record{r})
 	}
 }
 
-// crash returns the crash to record if the backend server exited during the attempt.
+// crash returns the crash to record if the backend server crashed during the attempt.
 func (x *exchange) crash() quarantine.Crash {
 	r := x.backend.latestRegistration()
 	return quarantine.NewCrash(r.Incarnation(), r.StartedAt(), r.Domain(), x.request.build, x.request.knownCrashes, 0)
--- a/pkg/gateway/reachability.go
+++ b/pkg/gateway/reachability.go
@@ -1,6 +1,6 @@
 // ================================================================
-// Detection of unreachable backend servers. A cut network link gives no error: requests behind it
-// hang, and each backend server there would cost requests of its own after every backoff. So the
+// Detection of unreachable backend servers. A cut network link gives no error: requests to servers
+// behind it hang, and after every backoff each such server would delay further requests. So the
 // gateway dials a backend server in the background once it has been silent to a request for a
 // while; a dial takes no slot there and runs nothing. While the dials fail, the server gets no
 // requests, and those that wait there are canceled.
@@ -8,8 +8,8 @@
 // When one server is unreachable, the gateway dials its whole failure domain, since network cuts
 // affect domains.
 //
-// Rejected: requests to the health path. They wait for a slot as other requests do, they are
-// charged, and their answers may be wrong either way.
+// Requests to the health path would not serve as well: they wait for a slot as other requests do,
+// they are charged, and their answers may be wrong either way.
 // ================================================================
 
 package gateway
@@ -40,7 +40,7 @@
 	}
 }
 
-// dialUntilReached dials a backend server until it answers or has left. If first is set, an
+// dialUntilReached dials a backend server until it answers or is gone. If first is set, an
 // unreachable server has its whole failure domain dialed.
 func (g *Gateway) dialUntilReached(b *backend, first bool) {
 	defer b.stopDialing()
@@ -86,7 +86,7 @@
 
 func (b *backend) stopDialing() { b.dialing.Store(false) }
 
-// setUnreachable records whether the backend server is unreachable and returns whether that
+// setUnreachable records whether the backend server is unreachable and reports whether that
 // changed. It cancels the requests that wait at an unreachable one.
 func (b *backend) setUnreachable(unreachable bool) (changed bool) {
 	b.mu.Lock()
--- a/pkg/gateway/recent_max.go
+++ b/pkg/gateway/recent_max.go
@@ -1,9 +1,10 @@
 // ================================================================
 // The recent maximum of a duration, from which limits for unusual durations are derived.
 //
-// Rejected: the mean plus four mean deviations, as TCP computes its retransmission timeout. The
-// gaps between an engine's events are its passes, equal for long and then several times as long
-// in a pass that reads prompts: every engine exceeded that bound every few seconds.
+// The mean plus four mean deviations, as TCP computes its retransmission timeout, would not fit. The
+// gaps between an engine's events are the durations of its passes: nearly equal for a long time, and
+// several times as long in a pass that reads prompts. Every engine exceeded that bound every few
+// seconds.
 // ================================================================
 
 package gateway
--- a/pkg/gateway/request.go
+++ b/pkg/gateway/request.go
@@ -41,25 +41,25 @@
 	suspension      *suspension.Watch // nil if suspensions are not tracked
 	suspendedBefore time.Duration     // total suspension when the request started
 	work            time.Duration     // engine time that the request needs
-	prefill         time.Duration
-	maxRun          time.Duration // upper bound of the time from its first turn at an engine to its last event
+	prefill         time.Duration     // engine time to read the prompt
+	maxRun          time.Duration     // upper bound of the time from its first turn at an engine to its last event
 
 	tried map[*backend]bool // not to be tried again
 	sent  int               // attempts with a connection to a backend server
 	ranAt map[*backend]bool // backend servers where it may have run
 	// retryTaken says that the retry budget is already charged for the next attempt.
 	retryTaken         atomic.Bool
-	reserved           atomic.Pointer[backend]         // holds a place for the next attempt; nil if none
+	reserved           atomic.Pointer[backend]         // has a reserved slot for the next attempt; nil if none
 	interrupted        atomic.Pointer[interruptReason] // not logged yet
-	uncharged          bool                            // the retry is charged to another gateway, or not at all
+	uncharged          bool                            // the retry is charged to another gateway, or to none
 	unknownOutcomes    int                             // attempts with an unknown outcome
-	rejections         int                             // attempts that a server rejected while the stream was in progress
-	knownCrashes       int                             // servers known to have exited while running it, at the last attempt
+	rejections         int                             // attempts that a server rejected after the stream was started
+	knownCrashes       int                             // independent crashes known when the last attempt was made
 	build              string                          // software build of the server of the last attempt
 	avoidBuilds        []string                        // builds to which it must not be sent
-	permit             *permit                         // to use a backend server that announces a limit; nil if none
+	permit             *permit                         // to use a backend server that advertises a limit; nil if none
 	blockedByLimits    bool                            // only limits of backend servers kept it from being sent
-	isTrial            bool                            // it is barred, and is tried once on another build
+	isTrial            bool                            // it is quarantined, and is tried once on another build
 	fallback           *bufferedResponse
 	liveness           probeResult // what is known of the server of the last broken attempt
 	mayHaveRun         bool        // an attempt ran or has an unknown outcome
@@ -70,8 +70,8 @@
 	timeToFirstByte    time.Duration
 	timeToLastSend     time.Duration // from the start to the last attempt
 	lastEventAt        time.Time     // when the last event was relayed
-	longestEventGap    time.Duration // the longest time between two relayed events
-	firstEventForecast time.Duration // time to the first event, from the stager that reserved a place
+	longestEventGap    time.Duration // the longest gap between two relayed events
+	firstEventForecast time.Duration // time to the first event, from the stager that reserved a slot
 	runLostAt          time.Time     // when a run was lost on a silent connection; zero if none was
 	versionExpiry      versionExpiry // of the weights' version at the last backend server, as known when the attempt was made
 }
@@ -141,7 +141,7 @@
 	q.work = q.prefill + time.Duration(answer)*e.Step()/time.Duration(e.Slots())
 }
 
-// recordEvents records that events arrived, and the pause before them.
+// recordEvents records that events arrived, and the gap before them.
 func (q *request) recordEvents(now time.Time) {
 	if !q.lastEventAt.IsZero() {
 		q.longestEventGap = max(q.longestEventGap, now.Sub(q.lastEventAt))
--- a/pkg/gateway/reserve.go
+++ b/pkg/gateway/reserve.go
@@ -3,9 +3,9 @@
 // answers from the state of the engine that it read last; see pkg/reservation.
 //
 // A stager that does not answer gets no reservation requests during a backoff: it may have been
-// killed while its engine works on, or chunks saturate its link. The gateway then uses its share
-// of the engine's slots instead. If only the link to the stager went silent, the gateway asks
-// again over a new link, since the engine works and its slots are needed.
+// killed while its engine continues to work, or chunks saturate its link. The gateway then uses its
+// share of the engine's slots instead. If only the link to the stager went silent, the gateway asks
+// again over a new link, since the engine still works and its slots are needed.
 // ================================================================
 
 package gateway
@@ -49,7 +49,7 @@
 	unanswered bool
 }
 
-// earliest returns the answered offer with the shorter start delay.
+// earliest returns the offer with the shorter start delay; an unanswered one is ignored.
 func (o reservationOffer) earliest(other reservationOffer) reservationOffer {
 	if !other.unanswered && (o.backend == nil || other.startDelay < o.startDelay) {
 		return other
@@ -93,7 +93,7 @@
 	return g.reserveQueued(q, best, until), loaded
 }
 
-// isSameDomain tells whether a backend server is in the failure domain of this gateway.
+// isSameDomain reports whether a backend server is in the failure domain of this gateway.
 func (g *Gateway) isSameDomain(b *backend) bool {
 	return b != nil && b.latestRegistration().Domain() == g.process.Identity.Domain()
 }
@@ -120,7 +120,7 @@
 	return best.backend
 }
 
-// hasShare tells whether the gateway's share of the slots at an engine without a responding
+// hasShare reports whether the gateway's share of the slots at an engine without a responding
 // stager allows one more request.
 func (g *Gateway) hasShare(w requirements, b *backend) bool {
 	now := time.Now()
@@ -137,7 +137,7 @@
 	}
 	maxGap := q.route.GapObjective()
 	if q.sent > 0 {
-		// Its caller has waited too long already.
+		// The caller has waited too long already, so gaps in other streams are accepted.
 		maxGap = 0
 	}
 	started := time.Now()
@@ -271,7 +271,7 @@
 	return reserveTimeout
 }
 
-// canReserve tells whether the engine's stager gets reservation requests.
+// canReserve reports whether the engine's stager gets reservation requests.
 func (b *backend) canReserve(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/pkg/gateway/returning_callers.go
+++ b/pkg/gateway/returning_callers.go
@@ -3,7 +3,7 @@
 // id and goes to another gateway, so only the caller's remaining time shows it: part of it is
 // used up.
 //
-// The gateway learns how much time callers have on their first attempt while it refuses nobody.
+// The gateway learns how much time callers have on their first attempt while it refuses no request.
 // Example: if first attempts have 5.1 to 6 s, a caller with 4.4 s during refusals is a returning
 // one.
 //
@@ -21,7 +21,7 @@
 )
 
 const (
-	// calmPeriod is how long this gateway must have refused nobody before it learns callers'
+	// calmPeriod is how long this gateway must have refused no request before it learns callers'
 	// times as those of first attempts. Refused callers return within it.
 	calmPeriod = 3 * time.Second
 	// maxTimeSamples of first attempts are kept for each route; below minTimeSamples no caller
@@ -29,7 +29,7 @@
 	maxTimeSamples = 128
 	minTimeSamples = 24
 	// returningShare is the share of callers that may be returning, for instance after a failure,
-	// although this gateway refuses nobody.
+	// although this gateway refuses no request.
 	returningShare = 0.03
 )
 
@@ -55,7 +55,7 @@
 	r.lastRefusalAt = now
 }
 
-// isReturning tells whether a caller with timeLeft on a route with this timeout is a returning
+// isReturning reports whether a caller with timeLeft on a route with this timeout is a returning
 // one. During a calm period it learns timeLeft instead and returns false.
 func (r *returningCallers) isReturning(timeout, timeLeft time.Duration, now time.Time) bool {
 	if timeLeft <= 0 {
--- a/pkg/gateway/silence.go
+++ b/pkg/gateway/silence.go
@@ -1,8 +1,9 @@
 // ================================================================
 // Rules that tell a silent connection from a silent backend server. A device in the network path
 // that loses its connection state (a NAT or firewall) leaves connections open at both ends but
-// passes no bytes: no end, no reset, while new connections work. A gateway that takes this for a
-// slow backend server waits on the dead connection and takes the next dead one from the pool.
+// drops all packets: neither end sees a close or a reset, while new connections work. A gateway that
+// takes this for a slow backend server waits on the dead connection, and then uses the next dead one
+// from the pool.
 //
 // An attempt is overdue when it has been silent for longer than recent attempts were: before its
 // first event measured from its forecast and the recent forecast error, between events by the
@@ -20,9 +21,9 @@
 // A single backend server that stalls matches none of these; its attempts stay until the watchdog
 // interrupts them.
 //
-// Rejected: one fixed bound for all (250 ms is four events of one engine and half a prompt of
-// another), and a probe over each idle connection before use (an extra round trip per request,
-// and a backend server serves a probe like a request).
+// One fixed bound for all would not fit: 250 ms is four events of one engine and half a prompt of
+// another. A probe over each idle connection before use would cost an extra round trip per request,
+// and a backend server serves a probe like a request.
 // ================================================================
 
 package gateway
@@ -62,11 +63,11 @@
 type attemptSnapshot struct {
 	address      string
 	connectedAt  time.Time     // when its connection was made
-	silentSince  time.Time     // its last bytes, or its sending where none came
+	silentSince  time.Time     // when the last bytes came, or when it was sent if none came
 	silenceLimit time.Duration // the longest expected silence; 0 for no limit
 	received     bool          // bytes came over its connection
 	streaming    bool          // its first event came
-	engine       bool          // it is at an engine, which serves all its streams in turn
+	engine       bool          // its backend server is an engine, which serves all its streams in turn
 	dialAnswered time.Time     // when the last quick dial of its address began
 	endedAt      time.Time     // zero while it is active
 	backend      *backend
@@ -227,7 +228,7 @@
 }
 
 // newerConnsWait reports whether attempts over connections made after the silence of one began
-// wait as well, and none of them received anything.
+// wait as well, and none of these received anything.
 func newerConnsWait(now time.Time, silent attemptSnapshot, all []attemptSnapshot) bool {
 	wait := false
 	for _, a := range all {
@@ -244,8 +245,7 @@
 
 // newerConnStreams reports whether a newer connection to the same address receives events
 // although the silent stream is overdue: an engine serves all its streams in turn. Requests that
-// wait are no evidence: more urgent ones overtake them, and plain requests each take a time of
-// their own.
+// wait are no evidence: more urgent ones overtake them, and the durations of plain requests differ.
 func newerConnStreams(silent attemptSnapshot, all []attemptSnapshot) bool {
 	if !silent.streaming {
 		return false
--- a/pkg/gateway/silence_detector.go
+++ b/pkg/gateway/silence_detector.go
@@ -16,7 +16,7 @@
 	// processPauseThreshold is the delay of a check that shows that this process itself was
 	// paused, so that bytes which came meanwhile are not read yet.
 	processPauseThreshold = 4 * silenceCheckInterval
-	// defaultQuiet stands in for the recent time without any event while too few samples are
+	// defaultQuiet replaces the longest recent time without any event while too few samples are
 	// known: twice the pass of an engine that reads a prompt.
 	defaultQuiet = 200 * time.Millisecond
 	// maxEndedAttempts bounds the ended attempts that are kept as evidence.
@@ -51,7 +51,7 @@
 
 const (
 	timingEventGap      timingKind = "pause"    // between two events
-	timingWait          timingKind = "wait"     // for the first event, or for an answer that is no stream
+	timingWait          timingKind = "wait"     // for the first event, or for an answer that is not a stream
 	timingForecastError timingKind = "lateness" // of a first event after its forecast
 	timingRun           timingKind = "run"      // of a request; at an engine, per second of its estimate
 )
@@ -114,7 +114,7 @@
 	return gaps.limit(now, 0, q.route.GapObjective())
 }
 
-// record records a duration.
+// record adds a duration to a series of timings.
 func (s *silenceDetector) record(key timingKey, now time.Time, took time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/pkg/gateway/slot_share.go
+++ b/pkg/gateway/slot_share.go
@@ -44,7 +44,7 @@
 	return reportedLoad{load: l, at: now, sentBefore: previous.sent, rounding: rand.Float64()}
 }
 
-// isFresh tells whether the report is newer than reportTTL.
+// isFresh reports whether the report is newer than reportTTL.
 func (r reportedLoad) isFresh(now time.Time) bool { return !r.at.IsZero() && now.Sub(r.at) < reportTTL }
 
 // estimatedRequests is the number of requests at the engine, with those of this gateway that the
@@ -53,7 +53,7 @@
 	return r.load.Running() + r.load.Queued() + r.sent + r.sentBefore/2
 }
 
-// hasSlot tells whether a gateway with a share of the slots may send one more request.
+// hasSlot reports whether a gateway with a share of the slots may send one more request.
 func (r reportedLoad) hasSlot(e serviceconfig.Engine, share float64, now time.Time) bool {
 	return float64(r.sent+1) <= share*r.freeSlots(e, now)+r.rounding
 }
--- a/pkg/gateway/stop.go
+++ b/pkg/gateway/stop.go
@@ -1,14 +1,14 @@
 // ================================================================
 // The planned stop (graceful shutdown). The gateway reports not ready, accepts callers for some
-// more time, and exits once no connection is in use or its time is over.
+// more time, and exits once no connection is in use or its time limit has passed.
 //
 // Every response written during the stop announces that its connection closes. A stream that
 // began earlier could not announce it in its head, and its caller sends the next request over
 // the same connection; that request is answered, with the announcement. So no connection closes
 // right after a response that did not announce it, only after being idle for a while.
 //
-// The gateway does not start late what the end of the process may abort. An estimate of the
-// running time alone does not suffice: engines may become slower after the signal.
+// Late in the stop the gateway starts no request that the end of the process may abort. An estimate
+// of the run time alone does not suffice: engines may become slower after the signal.
 //
 // http.Server.Shutdown is not used. It closes such a connection as its stream ends, and resets
 // connections that the kernel has accepted and the process has not.
@@ -30,7 +30,7 @@
 )
 
 const (
-	// stopMargin is the safety margin to the configured limit of a planned stop.
+	// stopMargin is how long before its configured limit a planned stop must be over.
 	stopMargin = 300 * time.Millisecond
 	// maxSignalDelay is how late a signal may be received. A busy VM may delay a process by
 	// some 100 ms, and the time of a stop counts from the sending.
@@ -117,14 +117,14 @@
 }
 
 // checkStop returns why a request must not be sent to a backend server during a planned stop;
-// nil if it may. What might still run at the end of the stop is refused at once: its caller has
-// time to retry at another gateway, and an incomplete response is of no use.
+// nil if it may. A request that might still run at the end of the stop is refused at once: its
+// caller has time to retry at another gateway, and an incomplete response is of no use.
 //
-// Late in the stop the gateway starts only what it will not abort. A stream is started if its
-// own deadline ends before the stop does, and not because it is estimated to be over by then:
-// an estimate knows neither what engines will do next nor, just after a start, what they did.
-// Other responses are relayed whole or replaced by a refusal even at the end of the stop, and
-// are started if recent ones took less than the time left.
+// Late in the stop the gateway starts only requests that it will not abort. A stream is started if
+// its own deadline ends before the stop does, and not because it is estimated to be over by then:
+// an estimate knows neither what engines will do next nor, just after a start, what they did. Other
+// responses are relayed whole or replaced by a refusal even at the end of the stop, and are started
+// if recent ones took less than the time left.
 //
 // Early in the stop all callers still arrive, since no other gateway may be ready, and only
 // requests estimated to be aborted are refused.
@@ -146,7 +146,8 @@
 	return f.WithRetryAfter(retryAfterSoon) // other gateways serve, unless all stop at once
 }
 
-// lateStopStart returns from when on a planned stop starts nothing that it may abort.
+// lateStopStart returns when the late part of a planned stop begins, in which the gateway starts no
+// request that it may abort.
 func (g *Gateway) lateStopStart() time.Time {
 	return g.stop.signalledAt.time().Add(g.settings.DrainNotice() - maxSignalDelay)
 }
--- a/pkg/gateway/stream.go
+++ b/pkg/gateway/stream.go
@@ -1,7 +1,7 @@
 // ================================================================
 // Relays event streams, whole events only. The response head goes to the caller with the first
-// event: before it another backend server can take over unnoticed, and after it a stream can
-// resume there behind the last event.
+// event. Until then the request can be retried at another backend server without the caller noticing;
+// afterwards the stream can resume there behind the last event.
 // ================================================================
 
 package gateway
@@ -93,10 +93,10 @@
 	return q.write(unsent)
 }
 
-// nominalGap is the pause between events that corresponds to a pace of 1.
+// nominalGap is the gap between events that corresponds to a slowdown of 1.
 const nominalGap = 50 * time.Millisecond
 
-// eventGapMeter measures the pauses between events.
+// eventGapMeter measures the gaps between events.
 type eventGapMeter struct {
 	count       int
 	first, last time.Time
@@ -110,7 +110,7 @@
 	m.count++
 }
 
-// mean returns the mean pause; false if there were too few events.
+// mean returns the mean gap; false if there were too few events.
 func (m *eventGapMeter) mean() (time.Duration, bool) {
 	const minEvents = 4
 	if m.count < minEvents {
--- a/pkg/gateway/version_expiry.go
+++ b/pkg/gateway/version_expiry.go
@@ -1,6 +1,6 @@
 // ================================================================
-// The expiry of weights versions. The version that a backend server serves expires at the end of
-// the agreed period of the next version. No request may begin on it afterwards.
+// The expiry of weights versions. The version that a backend server serves expires when the next
+// version has been named for the rollout limit. No request may begin on it afterwards.
 //
 // Three mechanisms ensure this; each covers a gap of the others:
 //
@@ -14,8 +14,8 @@
 //     recent run times, it carries the remaining time as its deadline, and the backend server
 //     drops it after that.
 //
-// A request may run past the expiry once it has begun. The backend server can't tell running from
-// waiting by a deadline, so no deadline is sent where a cancellation works.
+// A request may run past the expiry once it has begun. A deadline would also end a request that
+// already runs, so none is sent where the gateway can cancel the request.
 // ================================================================
 
 package gateway
@@ -49,20 +49,20 @@
 	boundsDeadline bool          // whether the expiry limits the deadline of this request
 }
 
-// needsVersionDeadline tells whether the request carries the expiry of its version as its
+// needsVersionDeadline reports whether the request carries the expiry of its version as its
 // deadline: it is not idempotent and should end in time, also by recent run times.
 func (x *exchange) needsVersionDeadline(now time.Time) bool {
 	q := x.request
 	return !q.route.Idempotent() && q.versionExpiry.expires() && q.versionExpiry.deadlineLeft() > max(q.maxRunTime(&x.gateway.silenceDetector, now), minAttemptTime)
 }
 
-// mustCancel tells whether it is time to cancel a waiting request.
+// mustCancel reports whether it is time to cancel a waiting request.
 func (e versionExpiry) mustCancel() bool { return e.expires() && time.Until(e.at) <= e.cancelMargin }
 
 // deadlineLeft is the longest deadline that a request may get now.
 func (e versionExpiry) deadlineLeft() time.Duration { return time.Until(e.at) - e.deadlineMargin }
 
-// expires tells whether the version has an expiry.
+// expires reports whether the version has an expiry.
 func (e versionExpiry) expires() bool { return !e.at.IsZero() }
 
 // versionExpiryOf returns the expiry of the version that a backend server serves of a request's
@@ -119,7 +119,7 @@
 	return left
 }
 
-// versionDeadlinePassed tells whether the deadline that came from the expiry of the version has
+// versionDeadlinePassed reports whether the deadline that came from the expiry of the version has
 // passed. The backend server counts whole milliseconds and may end a little earlier.
 func (q *request) versionDeadlinePassed() bool {
 	return q.versionExpiry.boundsDeadline && q.remaining() > minAttemptTime && q.timeAllowed() < minAttemptTime
@@ -134,7 +134,7 @@
 }
 
 // cancelExpired cancels the attempt if it still waits for its first event and the version there
-// is about to expire. It tells whether it did.
+// is about to expire. It reports whether it did.
 func (w *watchdog) cancelExpired() bool {
 	left, expires := w.untilCancel()
 	if !expires || left > 0 {
--- a/pkg/gateway/versions.go
+++ b/pkg/gateway/versions.go
@@ -1,11 +1,11 @@
 // ================================================================
-// The weights versions that a request may use. For a time after a version is named both the old
-// and the new one serve; some time before the end of that period requests go to the new one only.
-// How long before depends on the recent latency to the first event at the backend server and on
-// the run time of the request: one that ends within the period can't begin late. Only if no other
-// server has a free slot may the request begin where it runs past the end.
+// The weights versions that a request may use. After a version is named both the old and the new
+// one serve until the old one expires; some time before that requests go to the new one only. How
+// long before depends on the recent latency to the first event at the backend server and on the run
+// time of the request, so that it ends before the expiry. Only if no other server has a free slot
+// may the request begin where it runs past the expiry.
 //
-// Rejected: the same margin for all backend servers. A margin of 1.2 s took old engines out too
+// One margin for all backend servers would not fit: 1.2 s excluded engines with the old version too
 // early when all were fast, and was too short behind a slow link.
 // ================================================================
 
@@ -14,8 +14,8 @@
 import "time"
 
 const (
-	// minVersionMargin and maxVersionMargin bound how long before the end of the period a request
-	// must have begun on an old version.
+	// minVersionMargin and maxVersionMargin bound how long before the expiry of an old version a
+	// request must have begun on it.
 	minVersionMargin = 300 * time.Millisecond
 	maxVersionMargin = 3 * time.Second
 )
@@ -28,7 +28,7 @@
 	return g.versions.Due(model, g.settings.RolloutLimit()-margin, time.Now())
 }
 
-// mayRunPastExpiry tells whether a request that would still run when a version expires may begin
+// mayRunPastExpiry reports whether a request that would still run when a version expires may begin
 // on it now.
 func (g *Gateway) mayRunPastExpiry(q *request) bool {
 	return q.model != "" && g.minUsableVersion(q.model, 0, 0, defaultCancelMargin) < g.minUsableVersion(q.model, 0, q.maxRun, defaultCancelMargin)
@@ -41,9 +41,9 @@
 	return w
 }
 
-// expectedVersion returns the version that the backend server is told to insist on: the newest
-// named one if it serves that. It returns 0 for none, because the backend server may switch to a
-// later version while the request waits there.
+// expectedVersion returns the only version with which the backend server may run the request: the
+// newest named one if it serves that. It returns 0 for none, because the backend server may switch
+// to a later version while the request waits there.
 func (g *Gateway) expectedVersion(q *request, b *backend) uint64 {
 	layers := q.service.Engine().Layers()
 	if q.service.Engine().Slots() == 0 || q.model == "" {
--- a/pkg/gateway/watchdog.go
+++ b/pkg/gateway/watchdog.go
@@ -2,11 +2,11 @@
 // The watchdog of an attempt aborts its connection when the backend server makes no progress for
 // too long and the request may be retried elsewhere.
 //
-// An engine under load is slow to begin, and a request that leaves its queue has waited in vain.
-// So before the first event an attempt is aborted early only when the backend server is silent to
-// all requests of this gateway and the stager beside it reports nothing either, or when the
-// version of the weights there is about to expire. Without the stager's reports, a gateway with a
-// single request at an engine (the usual case with hundreds of gateways) aborted it after a
+// An engine under load is slow to begin, and a request that is aborted there loses its position in
+// the queue. So before the first event an attempt is aborted early only when the backend server is
+// silent to all requests of this gateway and its stager reports nothing either, or when
+// the version of the weights there is about to expire. Without the stager's reports, a gateway with
+// a single request at an engine (the usual case with hundreds of gateways) aborted it after a
 // second.
 // ================================================================
 
@@ -26,7 +26,7 @@
 	// maxAttemptSilence is the longest time without progress for any attempt.
 	maxAttemptSilence = 2 * time.Second
 	// maxEventGap is the longest time between two events, and resumeMargin how much of the
-	// caller's patience must be left for a stream to resume elsewhere.
+	// caller's timeout must be left for a stream to resume elsewhere.
 	maxEventGap  = 1200 * time.Millisecond
 	resumeMargin = 2 * resumeLatency
 )
@@ -73,8 +73,8 @@
 }
 
 // untilNextCheck returns the time to the next check. No check comes after the moment at which the
-// version requires the attempt to be interrupted; news of a version takes effect at the next
-// check.
+// version requires the attempt to be interrupted; a version update takes effect at the
+// next check.
 func (w *watchdog) untilNextCheck() time.Duration {
 	left, expires := w.untilCancel()
 	if !expires || w.streaming.Load() {
@@ -134,9 +134,10 @@
 	return now.Sub(w.exchange.started) - time.Duration(w.lastProgress.Load())
 }
 
-// gapLimit returns how long the attempt may be silent between two events. An engine that sends
-// other signs of life but no event to any stream is reading prompts. Elsewhere the stream would
-// wait as long for its own prompt to be read again, so it stays as long as its caller waits.
+// gapLimit returns how long the attempt may be silent between two events. An engine that
+// sends nothing to any request although its stager reports its load is reading prompts. At another
+// engine the stream would wait as long for its own prompt to be read again, so it stays while its
+// caller waits.
 func (w *watchdog) gapLimit() time.Duration {
 	x := w.exchange
 	last := x.started.Add(time.Duration(w.lastProgress.Load()))
--- a/pkg/gateway/yield.go
+++ b/pkg/gateway/yield.go
@@ -1,15 +1,15 @@
 // ================================================================
-// Priority of first attempts over requests that lost a silent connection. The engines don't
-// notice the silence and run the lost requests to the end, so a retry takes a second slot for as
-// long as the request runs. A late answer loses nothing by one more second, but a first attempt
-// without a slot is refused. So a retry after a silent connection takes only slots that no other
-// request waits for, and waits for one until its lost run must be over.
+// Priority of first attempts over requests that lost a silent connection. The engines don't notice
+// the silence and run the lost requests to the end, so a retry takes a second slot for as long as
+// the request runs. An answer that is late already gets little worse by one more second, but a
+// first attempt without a slot is refused. So a retry after a silent connection takes only slots
+// that no other request waits for, and waits for one until its lost run must be over.
 //
 // A stream that broke for another reason takes any slot. It waits for a slot, and for a retry
 // from the budget, as long as its caller does; otherwise its connection would be closed.
 //
-// Rejected: to let retries whose next event can still be in time queue at engines as other
-// requests do. Most are refused there, which spends the retry budget of all.
+// Retries whose next event can still be in time don't queue at engines as other requests do: most
+// are rejected there, which spends the retry budget of all.
 // ================================================================
 
 package gateway
@@ -19,13 +19,13 @@
 )
 
 const (
-	// yieldRetryInterval is the time between two searches for an idle slot. Up to half as much is
+	// yieldRetryInterval is the time between two searches for a free slot. Up to half as much is
 	// added at random, so that waiting requests don't search at the same time.
 	yieldRetryInterval = 100 * time.Millisecond
 	// yieldReservationAttempts is how many engines each search asks. All requests that were lost
 	// together ask, and each reservation request is work for a stager.
 	yieldReservationAttempts = 2
-	// maxYield bounds the wait for an idle slot.
+	// maxYield bounds the wait for a free slot.
 	maxYield = 1500 * time.Millisecond
 	// resumeLatency is the time from a granted slot to the next event: the engine repeats the
 	// prefill behind the prompts of others. At least this much of the caller's timeout must be
@@ -33,19 +33,19 @@
 	resumeLatency = 500 * time.Millisecond
 )
 
-// yields tells whether the request takes only an idle slot, because its lost run may still hold
+// yields reports whether the request takes only a free slot, because its lost run may still hold
 // one and there is time to run it afterwards.
 func (q *request) yields(now time.Time) bool {
 	return !q.runLostAt.IsZero() && now.Sub(q.runLostAt) < min(q.maxRun, maxYield) && q.localDeadline().Sub(now) > q.maxRun
 }
 
-// awaitBackend chooses a backend server. While the request yields it takes only an idle slot,
+// awaitBackend chooses a backend server. While the request yields it takes only a free slot,
 // unless no server is available. A started stream also waits for a server to become available.
 func (g *Gateway) awaitBackend(q *request, w requirements) (b *backend, loaded bool) {
-	idle := w
-	idle.maxWait = q.maxWait()
+	free := w
+	free.maxWait = q.maxWait()
 	for q.yields(time.Now()) && q.ctx.Err() == nil {
-		if b, loaded = g.chooseBeforeExpiry(q, idle); b != nil {
+		if b, loaded = g.chooseBeforeExpiry(q, free); b != nil {
 			return b, loaded
 		}
 		if !loaded {
@@ -119,7 +119,7 @@
 	}
 }
 
-// mayKeepWaiting tells whether the request is a started stream that may still be resumed: its
+// mayKeepWaiting reports whether the request is a started stream that may still be resumed: its
 // caller has part of the answer, so a refusal can't be sent. Engines that broke it off for an
 // order or were full accept it some 100 ms later.
 func (g *Gateway) mayKeepWaiting(q *request, now time.Time) bool {
