--- a/pkg/admission/admission_test.go
+++ b/pkg/admission/admission_test.go
@@ -54,7 +54,7 @@
 	}
 }
 
-func TestReleaseTwiceFreesOnePlace(t *testing.T) {
+func TestReleaseTwiceFreesOneSlot(t *testing.T) {
 	c := NewController(2)
 	ticket, err := c.Admit(Organisation{Name: "larder", Weight: 1}, now.Add(time.Minute), now)
 	if err != nil {
--- a/pkg/control/cluster_test.go
+++ b/pkg/control/cluster_test.go
@@ -328,12 +328,12 @@
 func TestDrainingRequiresQuorum(t *testing.T) {
 	c := newCluster(t, 3)
 	c.awaitVoters(c.nodes...)
-	leaving := registry.NewRegistration("i-1", "menu", "10.0.0.1:80", "north", "v1", 4, registry.Draining, 0, nil, 2, 0)
-	c.eventually("drain", func() error { return c.nodes[0].node.service.ReceiveHeartbeat(leaving) })
+	draining := registry.NewRegistration("i-1", "menu", "10.0.0.1:80", "north", "v1", 4, registry.Draining, 0, nil, 2, 0)
+	c.eventually("drain", func() error { return c.nodes[0].node.service.ReceiveHeartbeat(draining) })
 	c.stop(c.nodes[1])
 	c.stop(c.nodes[2])
 	c.eventually("refusal", func() error {
-		if err := c.nodes[0].node.service.ReceiveHeartbeat(leaving); err == nil || !strings.Contains(err.Error(), "quorum") {
+		if err := c.nodes[0].node.service.ReceiveHeartbeat(draining); err == nil || !strings.Contains(err.Error(), "quorum") {
 			return fmt.Errorf("acknowledged without a quorum: %v", err)
 		}
 		return nil
--- a/pkg/control/member.go
+++ b/pkg/control/member.go
@@ -48,8 +48,8 @@
 //
 //wire:generate
 type joinRequest struct {
-	// voter is the node that wants to join; zero if there is none.
-	voter controllog.Member
+	// joining is the node that wants to join; zero if there is none.
+	joining controllog.Member
 }
 
 // joinResponse is the answer to a joinRequest.
@@ -161,7 +161,7 @@
 			return nil
 		}
 		if message.FromLeader() {
-			m.noteLeaderMessage(s.Peer().Address())
+			m.recordLeaderMessage(s.Peer().Address())
 		}
 		if r := m.runner.Load(); r != nil {
 			r.Deliver(message)
@@ -177,9 +177,9 @@
 	return controllog.State{}
 }
 
-// noteLeaderMessage stores the address of the leader that sent a message. A node whose disk fails
+// recordLeaderMessage stores the address of the leader that sent a message. A node whose disk fails
 // runs no log that knows the leader, and needs the address to forward calls.
-func (m *member) noteLeaderMessage(address string) {
+func (m *member) recordLeaderMessage(address string) {
 	m.lastLeader.Store(&address)
 	now := int64(time.Since(m.started))
 	m.leaderKnownAt.Store(now)
@@ -236,9 +236,9 @@
 		m.leaderKnownAt.Store(int64(time.Since(m.started)))
 	}
 	switch {
-	case isVoter(state, *self) && m.quorumConfirmedOrStarting():
+	case isMember(state, *self) && m.quorumConfirmedOrStarting():
 		if state.Role == controllog.Leader {
-			m.removeDeadVoter(ctx, *self, state)
+			m.removeSilentMember(ctx, *self, state)
 		}
 	case len(state.Members) == 0 && m.mayBootstrap(ctx, *self):
 		if err := m.runner.Load().Bootstrap(ctx); err != nil {
@@ -255,8 +255,8 @@
 	return m.quorumConfirmed() || time.Since(m.started) < 2*quorumValidity
 }
 
-// isVoter reports whether this incarnation of the node is among the members.
-func isVoter(s controllog.State, self controllog.Member) bool {
+// isMember reports whether this incarnation of the node is among the members.
+func isMember(s controllog.State, self controllog.Member) bool {
 	for _, v := range s.Members {
 		if v.MemberID() == self.MemberID() {
 			return true
@@ -294,7 +294,7 @@
 			continue
 		}
 		tried[address] = true
-		answer, err := m.callJoin(ctx, address, joinRequest{voter: self})
+		answer, err := m.callJoin(ctx, address, joinRequest{joining: self})
 		if err == nil && answer.leader != "" && !tried[answer.leader] {
 			queue = append([]string{answer.leader}, queue...)
 		}
@@ -336,17 +336,17 @@
 	m.mu.Unlock()
 	state := m.state()
 	answer := joinResponse{formed: len(state.Members) > 0, leader: state.Leader.Address()}
-	if state.Role == controllog.Leader && j.voter.ID() != "" {
-		if err := m.addVoter(ctx, state, j.voter); err != nil {
-			_ = level.Info(m.config.logger).Log("msg", "adding a voter failed", "member", string(j.voter.MemberID()), "err", err)
+	if state.Role == controllog.Leader && j.joining.ID() != "" {
+		if err := m.addMember(ctx, state, j.joining); err != nil {
+			_ = level.Info(m.config.logger).Log("msg", "adding a voter failed", "member", string(j.joining.MemberID()), "err", err)
 		}
 	}
 	return s.Send(answer)
 }
 
-// addVoter adds a node to the cluster as a learner, unless it is a member already.
-func (m *member) addVoter(ctx context.Context, state controllog.State, v controllog.Member) error {
-	if isVoter(state, v) {
+// addMember adds a node to the cluster as a learner, unless it is a member already.
+func (m *member) addMember(ctx context.Context, state controllog.State, v controllog.Member) error {
+	if isMember(state, v) {
 		return nil
 	}
 	runner := m.runner.Load()
@@ -356,19 +356,19 @@
 	return runner.AddMember(ctx, controllog.NewMember(v.ID(), v.Incarnation(), v.Address(), true, ""))
 }
 
-// removeDeadVoter removes one voter that is silent and not needed: without it, a quorum may survive
+// removeSilentMember removes one voter that is silent and not needed: without it, a quorum may survive
 // a later loss that it would not survive otherwise. A removed voter that comes back joins again.
-func (m *member) removeDeadVoter(ctx context.Context, self controllog.Member, state controllog.State) {
+func (m *member) removeSilentMember(ctx context.Context, self controllog.Member, state controllog.State) {
 	if !state.CanChangeMembers {
 		return
 	}
 	needed := 2*m.config.toleratedFailures + 1
 	voters, alive := 0, 0
-	var dead controllog.Member
+	var silentMember controllog.Member
 	for _, v := range state.Members {
 		silent := state.TicksSinceResponse[v.MemberID()] > removalTicks && v.MemberID() != self.MemberID()
-		if silent && dead.ID() == "" {
-			dead = v
+		if silent && silentMember.ID() == "" {
+			silentMember = v
 		}
 		if v.Learner() {
 			continue
@@ -378,11 +378,11 @@
 			alive++
 		}
 	}
-	if dead.ID() == "" || (!dead.Learner() && (voters <= needed || alive < needed)) {
+	if silentMember.ID() == "" || (!silentMember.Learner() && (voters <= needed || alive < needed)) {
 		return
 	}
-	_ = level.Info(m.config.logger).Log("msg", "removing a silent voter", "member", string(dead.MemberID()), "voters", voters, "alive", alive)
-	if err := m.runner.Load().RemoveMember(ctx, dead.MemberID()); err != nil {
+	_ = level.Info(m.config.logger).Log("msg", "removing a silent voter", "member", string(silentMember.MemberID()), "voters", voters, "alive", alive)
+	if err := m.runner.Load().RemoveMember(ctx, silentMember.MemberID()); err != nil {
 		_ = level.Info(m.config.logger).Log("msg", "removing a voter failed", "err", err)
 	}
 }
--- a/pkg/control/node.go
+++ b/pkg/control/node.go
@@ -42,9 +42,9 @@
 	// shutdownTimeout is how long a graceful shutdown waits for calls in progress. A change takes
 	// about 100 ms to commit; one that finds no quorum must not delay the shutdown longer.
 	shutdownTimeout = 2 * time.Second
-	// memoryLimitShare is the memory limit of the garbage collector as a share of the memory that
+	// goMemoryShare is the memory limit of the garbage collector as a share of the memory that
 	// the settings allow the process.
-	memoryLimitShare = 0.7
+	goMemoryShare = 0.7
 )
 
 // Protocol is an HTTP protocol for operators and backend servers.
@@ -84,7 +84,7 @@
 // reload; it may be empty. origin is the protocol of the origin of weights; nil disables the
 // weights cache.
 func New(s settings.Control, path string, protocol Protocol, origin *staging.Protocol, seams Hooks) (*Node, error) {
-	debug.SetMemoryLimit(int64(float64(s.Memory()) * memoryLimitShare))
+	debug.SetMemoryLimit(int64(float64(s.Memory()) * goMemoryShare))
 	process, err := daemon.New(s.Common().WithoutDataFolder(), vm.NewIncarnation(), seams.Hooks)
 	if err != nil {
 		return nil, err
--- a/pkg/control/node_follower.go
+++ b/pkg/control/node_follower.go
@@ -26,9 +26,9 @@
 	// relayedTimeout is the time after which a registration relayed by another node is marked
 	// silent: 2.5 times resendInterval.
 	relayedTimeout = 75 * time.Second
-	// forgetAfter is the time without news of a registration after which it is removed.
-	forgetAfter   = 2 * time.Minute
-	sweepInterval = time.Second
+	// registrationTTL is the time without news of a registration after which it is removed.
+	registrationTTL = 2 * time.Minute
+	sweepInterval   = time.Second
 )
 
 // newNodeFollower returns the follower of the other control nodes.
@@ -67,7 +67,7 @@
 // expireRegistrations publishes backend servers that have become silent, and removes what nodes and
 // followers reported once it is outdated.
 func (n *Node) expireRegistrations(ctx context.Context) error {
-	timeouts := registry.Timeouts{Direct: maxMissedHeartbeats * n.settings.Heartbeat(), Relayed: relayedTimeout, Expiry: forgetAfter}
+	timeouts := registry.Timeouts{Direct: maxMissedHeartbeats * n.settings.Heartbeat(), Relayed: relayedTimeout, Expiry: registrationTTL}
 	return daemon.Every(ctx, sweepInterval, func() {
 		changed := n.service.registry.Sweep(timeouts)
 		n.service.publisher.QueueRegistrations(changed...)
--- a/pkg/control/quarantine_records_test.go
+++ b/pkg/control/quarantine_records_test.go
@@ -47,8 +47,8 @@
 	g.follower.ReportRecords(changed)
 }
 
-// awaitBarred waits until the request is barred in a table.
-func (c *cluster) awaitBarred(name string, table *quarantine.Table) {
+// awaitQuarantined waits until the request is barred in a table.
+func (c *cluster) awaitQuarantined(name string, table *quarantine.Table) {
 	c.t.Helper()
 	c.eventually("barred at "+name, func() error {
 		if v, _ := table.BeginAttempt(testFingerprint); v != quarantine.Quarantined {
@@ -69,9 +69,9 @@
 		gateways[name].report(newTestRecord(0, name))
 	}
 	for name, g := range gateways {
-		c.awaitBarred(name, g.Table)
+		c.awaitQuarantined(name, g.Table)
 	}
-	c.awaitBarred("a gateway that starts later", c.gateway("d").Table)
+	c.awaitQuarantined("a gateway that starts later", c.gateway("d").Table)
 	for _, n := range c.nodes {
 		c.stop(n)
 		n.disk.Crash(0)
@@ -81,16 +81,16 @@
 		c.start(n)
 	}
 	for _, n := range c.nodes {
-		c.awaitBarred(n.name, n.node.service.quarantine)
+		c.awaitQuarantined(n.name, n.node.service.quarantine)
 	}
 }
 
 // One completed run of the request on any gateway clears it everywhere.
-func TestCompletedRunClearsBarEverywhere(t *testing.T) {
+func TestCompletedRunClearsQuarantineEverywhere(t *testing.T) {
 	c := newCluster(t, 3)
 	a, b := c.gateway("a"), c.gateway("b")
 	a.report(newTestRecord(0, "a", "b", "c"))
-	c.awaitBarred("b", b.Table)
+	c.awaitQuarantined("b", b.Table)
 	r, changed := b.RecordCompletion(testFingerprint, "v1/0")
 	if !changed {
 		t.Fatal("a completed run of a barred request does not change its record")
@@ -116,7 +116,7 @@
 	}
 	gateways["a"].report(newTestRecord(time.Minute, "a", "b", "c"))
 	for name, g := range gateways {
-		c.awaitBarred(name, g.Table)
+		c.awaitQuarantined(name, g.Table)
 	}
 	granted := map[string]bool{}
 	c.eventually("trial", func() error {
@@ -145,7 +145,7 @@
 }
 
 // All machines, gateways too, lose power at once: the records are on the disks of control nodes.
-func TestBarredRequestsSurvivePowerLoss(t *testing.T) {
+func TestQuarantinedRequestsSurvivePowerLoss(t *testing.T) {
 	c := newCluster(t, 3)
 	c.awaitVoters(c.nodes...)
 	c.nodes[0].node.service.mergeRecords([]quarantine.Record{newTestRecord(0, "a", "b", "c")})
@@ -163,8 +163,8 @@
 		n.bootstrap = false
 	}
 	c.start(c.nodes[1])
-	c.awaitBarred("one node alone", c.nodes[1].node.service.quarantine)
-	c.awaitBarred("a gateway that starts afterwards", c.gateway("e").Table)
+	c.awaitQuarantined("one node alone", c.nodes[1].node.service.quarantine)
+	c.awaitQuarantined("a gateway that starts afterwards", c.gateway("e").Table)
 }
 
 // The store works without a disk and replaces a file that it cannot read.
@@ -184,7 +184,7 @@
 	if err := store.writeIfChanged(); err != nil {
 		t.Errorf("after an unreadable file: %v", err)
 	}
-	if records, err := readBarred(memory.Folder()); err != nil || len(records) != 1 {
+	if records, err := readQuarantined(memory.Folder()); err != nil || len(records) != 1 {
 		t.Errorf("%d records, %v", len(records), err)
 	}
 }
--- a/pkg/control/quarantine_store.go
+++ b/pkg/control/quarantine_store.go
@@ -43,7 +43,7 @@
 
 // setFolder starts to use a folder that was opened, and merges the records that it contains.
 func (q *quarantineStore) setFolder(folder *disk.Folder) {
-	records, err := readBarred(folder)
+	records, err := readQuarantined(folder)
 	if err != nil {
 		// The next write replaces the file, and other nodes publish the same records.
 		_ = level.Warn(q.logger).Log("msg", "reading barred requests failed", "err", err)
@@ -61,8 +61,8 @@
 	q.folder = nil
 }
 
-// readBarred returns the stored records; none if there is no file.
-func readBarred(folder *disk.Folder) (records []quarantine.Record, err error) {
+// readQuarantined returns the stored records; none if there is no file.
+func readQuarantined(folder *disk.Folder) (records []quarantine.Record, err error) {
 	raw, err := folder.Read(quarantineFile)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil, nil
@@ -105,13 +105,13 @@
 	if !due {
 		return nil
 	}
-	var barred []quarantine.Record
+	var records []quarantine.Record
 	for _, r := range q.table.Records() {
 		if r.IsQuarantined() {
-			barred = append(barred, r)
+			records = append(records, r)
 		}
 	}
-	err := writeBarred(folder, barred)
+	err := writeQuarantined(folder, records)
 	if err != nil {
 		q.mu.Lock()
 		q.changed = true
@@ -120,14 +120,14 @@
 	return err
 }
 
-// writeBarred replaces the stored records. It creates no file as long as there are no records.
-func writeBarred(folder *disk.Folder, barred []quarantine.Record) error {
-	if len(barred) == 0 {
+// writeQuarantined replaces the stored records. It creates no file as long as there are no records.
+func writeQuarantined(folder *disk.Folder, records []quarantine.Record) error {
+	if len(records) == 0 {
 		if _, err := folder.Read(quarantineFile); errors.Is(err, os.ErrNotExist) {
 			return nil
 		}
 	}
-	raw, err := msgpack.Marshal(barred)
+	raw, err := msgpack.Marshal(records)
 	if err != nil {
 		return err
 	}
--- a/pkg/control/wire_generated.go
+++ b/pkg/control/wire_generated.go
@@ -123,8 +123,8 @@
 }
 
 // newJoinRequest returns a joinRequest with the given fields.
-func newJoinRequest(voter controllog.Member) joinRequest {
-	return joinRequest{voter: voter}
+func newJoinRequest(joining controllog.Member) joinRequest {
+	return joinRequest{joining: joining}
 }
 
 // EncodeMsgpack writes the fields in order, as one array.
@@ -132,7 +132,7 @@
 	if err := enc.EncodeArrayLen(1); err != nil {
 		return err
 	}
-	return enc.EncodeMulti(j.voter)
+	return enc.EncodeMulti(j.joining)
 }
 
 // DecodeMsgpack reads what EncodeMsgpack wrote, of this version or another.
@@ -141,7 +141,7 @@
 	if err != nil {
 		return err
 	}
-	fields := []any{&j.voter}
+	fields := []any{&j.joining}
 	for i := 0; i < count; i++ {
 		if i >= len(fields) {
 			err = dec.Skip()
--- a/pkg/feed/fallback.go
+++ b/pkg/feed/fallback.go
@@ -24,10 +24,10 @@
 )
 
 const (
-	// quietTimeout is how long the two nodes may send nothing: an update interval of the primary
+	// fallbackTimeout is how long the two nodes may send nothing: an update interval of the primary
 	// and the transit time. The backup sends less often, so the loss of the primary alone adds
 	// fallback nodes for a moment.
-	quietTimeout = gatewayUpdateInterval + 200*time.Millisecond
+	fallbackTimeout = gatewayUpdateInterval + 200*time.Millisecond
 	// firstFallbacks is the number of fallback nodes after quietTimeout. After twice that time
 	// without any Update all other nodes are followed; missing contact with the leader alone may be
 	// an election.
@@ -44,14 +44,14 @@
 	if quorumConfirmed {
 		f.lastQuorumAt = now
 	}
-	if f.quietTimer == nil {
+	if f.fallbackTimer == nil {
 		return
 	}
-	if sinceQuorum := now.Sub(f.lastQuorumAt); sinceQuorum < quietTimeout {
-		f.quietTimer.Reset(quietTimeout - sinceQuorum)
+	if sinceQuorum := now.Sub(f.lastQuorumAt); sinceQuorum < fallbackTimeout {
+		f.fallbackTimer.Reset(fallbackTimeout - sinceQuorum)
 		return
 	}
-	f.quietTimer.Reset(quietTimeout)
+	f.fallbackTimer.Reset(fallbackTimeout)
 	daemon.Wake(f.wake)
 }
 
@@ -59,7 +59,7 @@
 // lock.
 func (f *Follower) fallbackNodes(wanted []string, now time.Time) (nodes []string) {
 	sinceUpdate, sinceQuorum := now.Sub(f.lastUpdateAt), now.Sub(f.lastQuorumAt)
-	if f.Hello.role != RoleGateway || f.lastQuorumAt.IsZero() || sinceQuorum < quietTimeout {
+	if f.Hello.role != RoleGateway || f.lastQuorumAt.IsZero() || sinceQuorum < fallbackTimeout {
 		return nil
 	}
 	for _, c := range sortCandidates(f.Hello.self, f.candidates(now)) {
@@ -67,11 +67,11 @@
 			nodes = append(nodes, c.address)
 		}
 	}
-	if sinceUpdate >= 2*quietTimeout {
+	if sinceUpdate >= 2*fallbackTimeout {
 		return nodes
 	}
-	if sinceUpdate >= quietTimeout {
-		f.quietTimer.Reset(2*quietTimeout - sinceUpdate)
+	if sinceUpdate >= fallbackTimeout {
+		f.fallbackTimer.Reset(2*fallbackTimeout - sinceUpdate)
 	}
 	return nodes[:min(firstFallbacks, len(nodes))]
 }
--- a/pkg/feed/follower.go
+++ b/pkg/feed/follower.go
@@ -84,7 +84,7 @@
 	requestedAt     time.Time
 	lastUpdateAt    time.Time   // last Update of a node that is not a fallback
 	lastQuorumAt    time.Time   // last such Update of a node in contact with the leader
-	quietTimer      *time.Timer // wakes Run to add fallback nodes; nil before Run
+	fallbackTimer   *time.Timer // wakes Run to add fallback nodes; nil before Run
 }
 
 // followedNode is a node that a stream is kept to.
@@ -102,9 +102,9 @@
 	f.mu.Lock()
 	f.wake = make(chan struct{}, 1)
 	f.streams, f.nodeLists, f.lostAt = map[string]*followedNode{}, map[string][]Node{}, map[string]time.Time{}
-	f.quietTimer = time.AfterFunc(time.Hour, func() { daemon.Wake(f.wake) })
+	f.fallbackTimer = time.AfterFunc(time.Hour, func() { daemon.Wake(f.wake) })
 	f.mu.Unlock()
-	defer f.quietTimer.Stop()
+	defer f.fallbackTimer.Stop()
 	ticker := time.NewTicker(adjustInterval)
 	defer ticker.Stop()
 	for {
--- a/pkg/feed/follower_document.go
+++ b/pkg/feed/follower_document.go
@@ -63,7 +63,7 @@
 	defer f.mu.Unlock()
 	now := time.Now()
 	for _, s := range f.streams {
-		if s.stream != nil && f.isLocalDomain(s.stream) && now.Sub(s.quorumAt) < quietTimeout {
+		if s.stream != nil && f.isLocalDomain(s.stream) && now.Sub(s.quorumAt) < fallbackTimeout {
 			return true
 		}
 	}
--- a/pkg/feed/node_silence_test.go
+++ b/pkg/feed/node_silence_test.go
@@ -299,7 +299,7 @@
 			t.Fatalf("the gateway follows %v", pair)
 		}
 		m.silenceNodes(pair)
-		time.Sleep(quietTimeout + updateInterval/2)
+		time.Sleep(fallbackTimeout + updateInterval/2)
 		if all := g.followedNodes(); len(all) <= len(pair) {
 			t.Fatalf("the gateway follows %v while its nodes are silent", all)
 		}
--- a/pkg/feed/quarantine_records_test.go
+++ b/pkg/feed/quarantine_records_test.go
@@ -33,8 +33,8 @@
 	return g
 }
 
-// reportEnd makes the gateway observe that a backend server terminated during a request.
-func (g quarantineGateway) reportEnd(f quarantine.Fingerprint, server, domain string) {
+// reportCrash makes the gateway observe that a backend server terminated during a request.
+func (g quarantineGateway) reportCrash(f quarantine.Fingerprint, server, domain string) {
 	if r, changed := g.RecordCrash(f, quarantine.NewCrash(server, 1, domain, "v1/1", g.Crashes(f), 0)); changed {
 		g.follower.ReportRecords([]quarantine.Record{r})
 	}
@@ -69,11 +69,11 @@
 	for server := range clusterStagers {
 		for n := range requestsPerServer {
 			f := quarantine.NewFingerprint(quarantine.Content{Target: fmt.Sprintf("/%d/%d", server, n)})
-			gateways[(server*requestsPerServer+n)%clusterGateways].reportEnd(f, fmt.Sprintf("s-%d", server), "hall-1")
+			gateways[(server*requestsPerServer+n)%clusterGateways].reportCrash(f, fmt.Sprintf("s-%d", server), "hall-1")
 		}
 	}
 	for i := range quarantine.CrashesToQuarantine {
-		gateways[i*40].reportEnd(crashing, fmt.Sprintf("e-%d", i), fmt.Sprintf("hall-%d", i))
+		gateways[i*40].reportCrash(crashing, fmt.Sprintf("e-%d", i), fmt.Sprintf("hall-%d", i))
 	}
 	c.eventually("every gateway bars the request", func() bool {
 		for _, g := range gateways {
--- a/pkg/registry/table_test.go
+++ b/pkg/registry/table_test.go
@@ -20,7 +20,7 @@
 	}
 }
 
-func TestLeavingIsFinal(t *testing.T) {
+func TestDeregistrationIsFinal(t *testing.T) {
 	table := NewTable(nil)
 	table.Receive(newTestRegistration(5, Ready))
 	table.MarkGone("i-1")
@@ -140,7 +140,7 @@
 }
 
 // A leave applies to all starts until then; a later start is valid again.
-func TestLeaveCoversStartsUntilThen(t *testing.T) {
+func TestDeregistrationCoversEarlierStarts(t *testing.T) {
 	now := time.UnixMilli(1_000_000)
 	for _, known := range []bool{true, false} {
 		table := NewTable(func() time.Time { return now })
@@ -163,7 +163,7 @@
 }
 
 // A start time that is ahead because of clock skew must not prevent the leave.
-func TestLeaveOfAStartWithClockAhead(t *testing.T) {
+func TestDeregistrationOfStartWithClockAhead(t *testing.T) {
 	table := NewTable(func() time.Time { return time.UnixMilli(1_000_000) })
 	table.Receive(registrationOfStart(1_004_000, 2, Ready))
 	table.MarkGone("i-1")
--- a/pkg/serviceconfig/engines_test.go
+++ b/pkg/serviceconfig/engines_test.go
@@ -11,7 +11,7 @@
 
 // Processes on engine VMs get no routes, but must know whether the requests of a service may
 // continue at another backend server.
-func TestForEnginesSaysWhichServicesAreInterruptible(t *testing.T) {
+func TestForEnginesMarksInterruptibleServices(t *testing.T) {
 	services := []Service{
 		NewService("streams", "", 0, "", Engine{}, false),
 		NewService("mixed", "", 0, "", Engine{}, false),
--- a/pkg/staging/cache_test.go
+++ b/pkg/staging/cache_test.go
@@ -137,7 +137,7 @@
 	if due := m.nextDue("menu", 2); due.Version() != 3 || !due.NamedAt().Equal(now) {
 		t.Fatalf("version %d is due for an engine that serves 2", due.Version())
 	}
-	if want := m.wanted("menu"); want.Version() != 3 {
+	if want := m.newestNamed("menu"); want.Version() != 3 {
 		t.Fatalf("newest version is %d", want.Version())
 	}
 }
--- a/pkg/staging/copy.go
+++ b/pkg/staging/copy.go
@@ -26,7 +26,7 @@
 	mu              sync.Mutex
 	chunks          [][]byte
 	arrived         []chan struct{} // by chunk: closed when the chunk arrives
-	missing         int
+	missingCount    int
 	lastAdded       time.Time
 	complete        chan struct{}
 	holdingsChanged chan struct{}     // closed when other members are known to hold more chunks
@@ -38,7 +38,7 @@
 		manifest:        m,
 		chunks:          make([][]byte, len(m.digests)),
 		arrived:         make([]chan struct{}, len(m.digests)),
-		missing:         len(m.digests),
+		missingCount:    len(m.digests),
 		lastAdded:       time.Now(),
 		complete:        make(chan struct{}),
 		holdingsChanged: make(chan struct{}),
@@ -70,8 +70,8 @@
 	c.lastAdded = time.Now()
 	c.chunks[number] = data
 	close(c.arrived[number])
-	c.missing--
-	if c.missing == 0 {
+	c.missingCount--
+	if c.missingCount == 0 {
 		close(c.complete)
 	}
 	return true, nil
@@ -108,8 +108,8 @@
 	}
 }
 
-// absent returns the numbers of the missing chunks.
-func (c *weightsCopy) absent() []int {
+// missingNumbers returns the numbers of the missing chunks.
+func (c *weightsCopy) missingNumbers() []int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var numbers []int
--- a/pkg/staging/copy_test.go
+++ b/pkg/staging/copy_test.go
@@ -30,7 +30,7 @@
 	if added, _ := c.add(1, data[1]); added {
 		t.Fatal("add reported a chunk as added twice")
 	}
-	if absent := c.absent(); len(absent) != 2 || c.isComplete() {
+	if absent := c.missingNumbers(); len(absent) != 2 || c.isComplete() {
 		t.Fatalf("absent chunks %v", absent)
 	}
 }
--- a/pkg/staging/fetch_scheduler.go
+++ b/pkg/staging/fetch_scheduler.go
@@ -66,7 +66,7 @@
 
 // next returns the request with the lowest cost; false if there is none now.
 func (g *fetchScheduler) next(now time.Time) (fetchStep, bool) {
-	absent := g.copy.absent()
+	absent := g.copy.missingNumbers()
 	rand.Shuffle(len(absent), func(i, j int) { absent[i], absent[j] = absent[j], absent[i] })
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/pkg/staging/member.go
+++ b/pkg/staging/member.go
@@ -112,8 +112,10 @@
 	return ""
 }
 
-// wanted returns the newest named version of a model.
-func (m *Member) wanted(model string) feed.VersionInfo { return orFirst(m.versions.Newest(model)) }
+// newestNamed returns the newest named version of a model.
+func (m *Member) newestNamed(model string) feed.VersionInfo {
+	return orFirstVersion(m.versions.Newest(model))
+}
 
 // nextDue returns the oldest named version above the served one: it is due first, whatever was
 // named after it. If later versions are due too, or become due together with it, nextDue returns
@@ -129,7 +131,7 @@
 	for n := next; n.Version() > 0 && n.NamedAt().Sub(first) < simultaneousSpan; n = m.versions.Next(model, n.Version()) {
 		next = n
 	}
-	return orFirst(next)
+	return orFirstVersion(next)
 }
 
 // simultaneousSpan is the greatest time between the naming of two versions that count as named
@@ -137,8 +139,8 @@
 // process knows their ages. The span is far less than the download of a copy takes.
 const simultaneousSpan = 100 * time.Millisecond
 
-// orFirst returns n, or the first version if none is named.
-func orFirst(n feed.VersionInfo) feed.VersionInfo {
+// orFirstVersion returns n, or the first version if none is named.
+func orFirstVersion(n feed.VersionInfo) feed.VersionInfo {
 	if n.Version() == 0 {
 		return feed.NewVersionInfo(firstVersion, time.Time{})
 	}
--- a/pkg/staging/stager.go
+++ b/pkg/staging/stager.go
@@ -141,7 +141,7 @@
 		// The engine is down, and it serves no version after its restart.
 		return idleInterval
 	}
-	want := s.wanted(model)
+	want := s.newestNamed(model)
 	served := completeVersion(report.Holdings, model, max(service.Engine().Layers(), 1))
 	s.metrics.version.Set(float64(served))
 	s.servedVersion.Store(served)
--- a/pkg/staging/target.go
+++ b/pkg/staging/target.go
@@ -34,7 +34,7 @@
 // an older version that arrived first from a restarted origin was obsolete 0.3 s later and delayed
 // the newest by 3 s.
 func (m *Member) target(model string, held uint64) feed.VersionInfo {
-	newest, due := m.wanted(model), m.nextDue(model, held)
+	newest, due := m.newestNamed(model), m.nextDue(model, held)
 	if due.Version() >= newest.Version() {
 		return newest
 	}
@@ -64,7 +64,9 @@
 
 // isNearlyComplete reports whether so few chunks are missing that the copy is finished before the
 // next version; this delays that version by up to a quarter of a second.
-func (c *weightsCopy) isNearlyComplete() bool { return missingDivisor*len(c.absent()) <= len(c.chunks) }
+func (c *weightsCopy) isNearlyComplete() bool {
+	return missingDivisor*len(c.missingNumbers()) <= len(c.chunks)
+}
 
 // isStalled reports whether the missing chunks of a version are unavailable now. A version without
 // any chunk here counts from when this process first knew of it and not from when it was named:
@@ -83,7 +85,7 @@
 	if c.isComplete() || c.timeSinceLastChunk(now) <= stallTimeout {
 		return false
 	}
-	for _, number := range c.absent() {
+	for _, number := range c.missingNumbers() {
 		if len(c.holdersOf(number)) > 0 {
 			return false
 		}
--- a/pkg/upstream/acknowledged_test.go
+++ b/pkg/upstream/acknowledged_test.go
@@ -14,7 +14,7 @@
 func TestNothingIsAcknowledgedOnLostConnections(t *testing.T) {
 	const silence = 50 * time.Millisecond
 	for name, c := range map[string]struct {
-		manner  faultproxy.SilenceOptions
+		options faultproxy.SilenceOptions
 		silent  bool
 		nothing bool
 	}{
@@ -36,7 +36,7 @@
 				t.Fatal(err)
 			}
 			if c.silent {
-				proxy.Silence(faultproxy.AllLabels, c.manner)
+				proxy.Silence(faultproxy.AllLabels, c.options)
 			}
 			ctx, cancel := context.WithTimeout(t.Context(), silence)
 			defer cancel()
