--- a/pkg/admission/admission.go
+++ b/pkg/admission/admission.go
@@ -130,12 +130,12 @@
 	return float64(c.limit) * float64(o.Weight) / sum
 }
 
-// retryAfter estimates when a place is free: the mean duration of a request, in bounds.
+// retryAfter estimates when a slot is free: the mean duration of a request, in bounds.
 func (c *Controller) retryAfter() time.Duration {
 	return min(max(c.meanDuration.Round(time.Second), minRetryAfter), maxRetryAfter)
 }
 
-// Release frees the place of the request. Later calls do nothing.
+// Release frees the slot of the request. Later calls do nothing.
 func (t *Ticket) Release(now time.Time) {
 	t.once.Do(func() { t.controller.release(t, now) })
 }
--- a/pkg/claim/table.go
+++ b/pkg/claim/table.go
@@ -82,8 +82,8 @@
 	return t.shards[xxhash.Sum64String(id.organisation+"\x00"+id.key)%shardCount]
 }
 
-// Acquire claims a request at the log time now. The first claim of a key is
-// granted; a repeated claim of the same attempt is granted again.
+// Acquire claims a request at the log time now. The first claim of a key is granted; a
+// retried claim of the same attempt is granted again.
 func (t *Table) Acquire(c contract.Claim, now int64) contract.ClaimResult {
 	id := claimKey{c.Organisation(), c.Key()}
 	s := t.shard(id)
--- a/pkg/control/cluster_test.go
+++ b/pkg/control/cluster_test.go
@@ -104,7 +104,7 @@
 
 func (n *testNode) dial(ctx context.Context, address string) (net.Conn, error) {
 	if n.unreachable[address] {
-		return nil, fmt.Errorf("%s is cut off from %s", n.name, address)
+		return nil, fmt.Errorf("%s is partitioned from %s", n.name, address)
 	}
 	var d net.Dialer
 	conn, err := d.DialContext(ctx, "tcp", address)
@@ -131,7 +131,8 @@
 	n.node = nil
 }
 
-// waitTimeout ends a test that waits in vain. It is not a bound on how long an operation may take.
+// waitTimeout ends a test whose condition does not come true. It does not bound how long an
+// operation may take.
 const waitTimeout = time.Minute
 
 // eventually calls attempt until it succeeds.
@@ -213,7 +214,7 @@
 	for _, n := range c.nodes {
 		c.requireRead(n, 7)
 	}
-	// A repeated number and an older one are acknowledged and change nothing.
+	// The same number again and a lower one are acknowledged and change nothing.
 	c.put(c.nodes[2], 7)
 	c.put(c.nodes[0], 5)
 	c.requireRead(c.nodes[2], 7)
@@ -324,7 +325,7 @@
 	}
 }
 
-// A node without contact to a quorum does not acknowledge that a backend server drains.
+// A node without contact with a quorum does not acknowledge that a backend server drains.
 func TestDrainingRequiresQuorum(t *testing.T) {
 	c := newCluster(t, 3)
 	c.awaitVoters(c.nodes...)
--- a/pkg/control/configuration_read_test.go
+++ b/pkg/control/configuration_read_test.go
@@ -8,11 +8,11 @@
 	"github.com/tidepost/tidepost/pkg/controllog"
 )
 
-// Failure: with documents of 12,000 routes no node answers a read of the configuration for 3 s,
-// although the configuration has long been in force. Links between regions are saturated with
-// documents for followers. If a node fetches the whole document from the leader for each read, that
-// does not fit into the 0.3 s for one call. The leader has to send only the number of a
-// configuration that the node has applied.
+// Guards against this failure: with documents of 12,000 routes no node answers a read of the
+// configuration for 3 s, although the configuration has long been in force. Links between regions
+// are saturated with documents for followers. If a node fetches the whole document from the leader
+// for each read, that does not fit into the 0.3 s for one call. The leader has to send only the
+// number of a configuration that the node has applied.
 func TestReadOmitsDocumentAppliedByNode(t *testing.T) {
 	const number = 7
 	c := newCluster(t, 3)
@@ -40,13 +40,13 @@
 			continue
 		}
 		for _, appliedNumber := range []uint64{number - 1, number} {
-			var answer leaderResponse
+			var response leaderResponse
 			c.eventually("ask", func() (err error) {
-				answer, err = s.callLeaderOnce(ctx, leaderRequest{appliedNumber: appliedNumber})
+				response, err = s.callLeaderOnce(ctx, leaderRequest{appliedNumber: appliedNumber})
 				return err
 			})
-			if sent := answer.configuration != nil; sent != (appliedNumber < number) || answer.number != number {
-				t.Errorf("a node that has applied %d got number %d, and a document: %t", appliedNumber, answer.number, sent)
+			if sent := response.configuration != nil; sent != (appliedNumber < number) || response.number != number {
+				t.Errorf("a node that has applied %d got number %d, and a document: %t", appliedNumber, response.number, sent)
 			}
 		}
 	}
--- a/pkg/control/late_apply_test.go
+++ b/pkg/control/late_apply_test.go
@@ -7,11 +7,11 @@
 	"github.com/tidepost/tidepost/pkg/feed"
 )
 
-// Failure: a request starts on old weights 0.1 s after their time limit. When links between regions
-// are saturated with documents, healthy nodes apply a new version up to 3.7 s after it was
-// acknowledged. If each publishes its own time of applying it, a gateway that follows two late
-// nodes (by more than 0.6 s) withdraws requests too late. Nodes have to take the age from each
-// other, also after a later version was named.
+// Guards against this failure: a request starts on old weights 0.1 s after their time limit. When
+// links between regions are saturated with documents, healthy nodes apply a new version up to 3.7 s
+// after it was acknowledged. If each publishes its own time of applying it, a gateway that follows
+// two late nodes (by more than 0.6 s) withdraws requests too late. Nodes have to take the age from
+// each other, also after a later version was named.
 func TestNodeApplyingLateGetsVersionAgeFromAnother(t *testing.T) {
 	update := feed.NewUpdate(0, nil, []feed.NamedVersion{feed.NewNamedVersion("menu", 2, clockAdvance)}, nil, true, nil, 0, false, nil, nil, nil, nil, nil, nil)
 	receive := func(n *testNode) { n.node.receiveNodeUpdate("10.0.0.9:7700", update) }
--- a/pkg/control/link_check.go
+++ b/pkg/control/link_check.go
@@ -1,8 +1,8 @@
 // ================================================================
 // Checks of the links between control nodes. Messages of the control log are one-way, over the link
-// that the sender dialed, so a lost message is reported to nobody. Missing heartbeats, or missing
-// answers to them, show that a link may be silent; it is then probed before an election starts. An
-// election takes a second, and its votes would be lost on the same links.
+// that the sender dialed, so neither side learns that a message was lost. Missing heartbeats, or
+// missing answers to them, show that a link may be silent; it is then probed before an election
+// starts. An election takes a second, and its votes would be lost on the same links.
 // ================================================================
 
 package control
--- a/pkg/control/link_silence_test.go
+++ b/pkg/control/link_silence_test.go
@@ -18,13 +18,13 @@
 	return term, leader
 }
 
-// Failure: when all open connections go silent while new ones work, control nodes acknowledge
-// nothing for seconds, and the leader changes. Heartbeats and their answers are one-way messages
-// over the connection that the sender dialed. They are lost until a ping detects the silent
-// connection after 2 to 4 s, but an election starts after 0.7 s without a leader. Missing heartbeats
-// have to trigger a probe of the connection, so that the leader keeps its term. On a slow machine a
-// single round may still change the leader, hence several rounds. Acknowledged changes are kept in
-// any case.
+// Guards against this failure: when all open connections go silent while new ones work, control
+// nodes acknowledge nothing for seconds, and the leader changes. Heartbeats and their answers are
+// one-way messages over the connection that the sender dialed. They are lost until a ping detects
+// the silent connection after 2 to 4 s, but an election starts after 0.7 s without a leader.
+// Missing heartbeats have to trigger a probe of the connection, so that the leader keeps its term.
+// On a slow machine a single round may still change the leader, hence several rounds. Acknowledged
+// changes are kept in any case.
 func TestLeaderKeepsLeadershipWhenLinksGoSilent(t *testing.T) {
 	c := newCluster(t, 3)
 	const rounds = 4
--- a/pkg/control/member.go
+++ b/pkg/control/member.go
@@ -1,9 +1,9 @@
 // ================================================================
 // The node as a member of the control log. At the very first start the first seed bootstraps a
 // cluster of one, and the others join it. Bootstrapping with all seeds at once would need every
-// seed's incarnation before there is a log to agree on it. The leader removes dead voters that are
-// not needed. A node whose disk fails keeps running: it reopens the disk until that succeeds, and
-// forwards calls to the leader meanwhile.
+// seed's incarnation before there is a log to agree on it. The leader removes silent voters that
+// are not needed. A node whose disk fails keeps running: it reopens the disk until that succeeds,
+// and forwards calls to the leader meanwhile.
 // ================================================================
 
 package control
@@ -36,23 +36,23 @@
 	joinTimeout = 900 * time.Millisecond
 	// electionTicks is the number of ticks of 100 ms without a leader that start an election.
 	electionTicks = 7
-	// removalTicks is the number of ticks for which a voter that is not needed may be silent
-	// before the leader removes it.
+	// removalTicks is the number of ticks for which a learner, or a voter that is not needed, may
+	// be silent before the leader removes it.
 	removalTicks = 15
-	// quorumValidity is how long a sign of a leader proves that a quorum exists.
+	// quorumValidity is how long contact with a leader proves that a quorum exists.
 	quorumValidity = 1500 * time.Millisecond
 )
 
-// joinRequest asks a node to add a voter. Without a voter it only asks whether the node belongs to
-// a cluster.
+// joinRequest asks a node to add a member. Without a joining node it only asks whether the node
+// belongs to a cluster.
 //
 //wire:generate
 type joinRequest struct {
-	// joining is the node that wants to join; zero if there is none.
+	// joining is the node to add; zero if there is none.
 	joining controllog.Member
 }
 
-// joinResponse is the answer to a joinRequest.
+// joinResponse is the response to a joinRequest.
 //
 //wire:generate
 type joinResponse struct {
@@ -225,8 +225,8 @@
 	_ = daemon.Every(ctx, membershipInterval, func() { m.checkMembership(ctx) })
 }
 
-// checkMembership removes a dead voter if this node leads, bootstraps the cluster if this node has
-// to, and asks to join if it is not a member.
+// checkMembership removes a silent member if this node leads, bootstraps the cluster if this node
+// has to, and asks to join if it is not a member.
 func (m *member) checkMembership(ctx context.Context) {
 	self, state := m.self.Load(), m.state()
 	if self == nil || m.runner.Load() == nil {
@@ -274,7 +274,7 @@
 		return false
 	}
 	for _, address := range seeds[1:] {
-		if answer, err := m.callJoin(ctx, address, joinRequest{}); err == nil && answer.formed {
+		if response, err := m.callJoin(ctx, address, joinRequest{}); err == nil && response.formed {
 			return false
 		}
 	}
@@ -282,7 +282,7 @@
 }
 
 // requestJoin asks one node after the other to join the cluster, until a leader has answered. The
-// leader that an answer names is asked next.
+// leader that a response names is asked next.
 func (m *member) requestJoin(ctx context.Context, self controllog.Member) {
 	tried := map[string]bool{self.Address(): true}
 	queue := append(m.memberAddresses(), m.config.seeds()...)
@@ -294,11 +294,11 @@
 			continue
 		}
 		tried[address] = true
-		answer, err := m.callJoin(ctx, address, joinRequest{joining: self})
-		if err == nil && answer.leader != "" && !tried[answer.leader] {
-			queue = append([]string{answer.leader}, queue...)
+		response, err := m.callJoin(ctx, address, joinRequest{joining: self})
+		if err == nil && response.leader != "" && !tried[response.leader] {
+			queue = append([]string{response.leader}, queue...)
 		}
-		if err == nil && answer.formed && answer.leader == address {
+		if err == nil && response.formed && response.leader == address {
 			return
 		}
 	}
@@ -320,12 +320,12 @@
 func (m *member) callJoin(ctx context.Context, address string, j joinRequest) (joinResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
-	var answer joinResponse
-	err := m.config.endpoint.Call(ctx, address, link.KindJoin, j, &answer)
-	return answer, err
+	var response joinResponse
+	err := m.config.endpoint.Call(ctx, address, link.KindJoin, j, &response)
+	return response, err
 }
 
-// serveJoin adds a node as a voter if this node leads, and answers with the leader's address.
+// serveJoin adds a node as a member if this node leads, and answers with the leader's address.
 func (m *member) serveJoin(ctx context.Context, s *link.Stream) error {
 	var j joinRequest
 	if err := s.Receive(&j); err != nil {
@@ -335,13 +335,13 @@
 	m.joinAddresses[s.Peer().Address()] = true
 	m.mu.Unlock()
 	state := m.state()
-	answer := joinResponse{formed: len(state.Members) > 0, leader: state.Leader.Address()}
+	response := joinResponse{formed: len(state.Members) > 0, leader: state.Leader.Address()}
 	if state.Role == controllog.Leader && j.joining.ID() != "" {
 		if err := m.addMember(ctx, state, j.joining); err != nil {
 			_ = level.Info(m.config.logger).Log("msg", "adding a voter failed", "member", string(j.joining.MemberID()), "err", err)
 		}
 	}
-	return s.Send(answer)
+	return s.Send(response)
 }
 
 // addMember adds a node to the cluster as a learner, unless it is a member already.
@@ -356,8 +356,9 @@
 	return runner.AddMember(ctx, controllog.NewMember(v.ID(), v.Incarnation(), v.Address(), true, ""))
 }
 
-// removeSilentMember removes one voter that is silent and not needed: without it, a quorum may survive
-// a later loss that it would not survive otherwise. A removed voter that comes back joins again.
+// removeSilentMember removes one learner that is silent, or one voter that is silent and not
+// needed: without it, a quorum may survive a later loss that it would not survive otherwise. A
+// removed member that comes back joins again.
 func (m *member) removeSilentMember(ctx context.Context, self controllog.Member, state controllog.State) {
 	if !state.CanChangeMembers {
 		return
--- a/pkg/control/native_protocol_test.go
+++ b/pkg/control/native_protocol_test.go
@@ -17,13 +17,13 @@
 	server.Config.ErrorLog = daemon.HTTPLog(log.NewNopLogger())
 	server.Start()
 	defer server.Close()
-	answer, err := http.Get(server.URL)
+	response, err := http.Get(server.URL)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer answer.Body.Close()
-	body, err := io.ReadAll(answer.Body)
-	if answer.StatusCode != http.StatusInternalServerError || err != nil || len(body) == 0 {
-		t.Errorf("%d %q %v", answer.StatusCode, body, err)
+	defer response.Body.Close()
+	body, err := io.ReadAll(response.Body)
+	if response.StatusCode != http.StatusInternalServerError || err != nil || len(body) == 0 {
+		t.Errorf("%d %q %v", response.StatusCode, body, err)
 	}
 }
--- a/pkg/control/node_follower.go
+++ b/pkg/control/node_follower.go
@@ -26,7 +26,7 @@
 	// relayedTimeout is the time after which a registration relayed by another node is marked
 	// silent: 2.5 times resendInterval.
 	relayedTimeout = 75 * time.Second
-	// registrationTTL is the time without news of a registration after which it is removed.
+	// registrationTTL is the time without a report of a registration after which it is removed.
 	registrationTTL = 2 * time.Minute
 	sweepInterval   = time.Second
 )
--- a/pkg/control/quarantine_records.go
+++ b/pkg/control/quarantine_records.go
@@ -1,7 +1,7 @@
 // ================================================================
 // Distribution of the quarantine records, which describe requests that crash backend servers. A
 // control node publishes the records that gateways report, and the leader decides which gateway may
-// try a barred request again.
+// try a quarantined request again.
 // ================================================================
 
 package control
@@ -23,7 +23,7 @@
 	quarantine.LogQuarantined(s.logger, changed)
 }
 
-// requestTrial asks the leader whether a gateway may try a barred request again. A single node
+// requestTrial asks the leader whether a gateway may try a quarantined request again. A single node
 // decides, so that only one gateway tries it.
 func (s *Service) requestTrial(f quarantine.Fingerprint, tester string) {
 	if _, err := s.callLeader(context.Background(), leaderRequest{trial: f, tester: tester}); err != nil {
@@ -32,7 +32,7 @@
 	}
 }
 
-// grantTrial allows a gateway to try a barred request again if a trial is due. It runs on the
+// grantTrial allows a gateway to try a quarantined request again if a trial is due. It runs on the
 // leader, after a quorum has confirmed the leadership.
 func (s *Service) grantTrial(f quarantine.Fingerprint, tester string) {
 	r, granted := s.quarantine.GrantTrial(f, tester)
--- a/pkg/control/quarantine_records_test.go
+++ b/pkg/control/quarantine_records_test.go
@@ -47,19 +47,19 @@
 	g.follower.ReportRecords(changed)
 }
 
-// awaitQuarantined waits until the request is barred in a table.
+// awaitQuarantined waits until the request is quarantined in a table.
 func (c *cluster) awaitQuarantined(name string, table *quarantine.Table) {
 	c.t.Helper()
-	c.eventually("barred at "+name, func() error {
+	c.eventually("quarantined at "+name, func() error {
 		if v, _ := table.BeginAttempt(testFingerprint); v != quarantine.Quarantined {
-			return fmt.Errorf("%s, %d ends", v, table.Crashes(testFingerprint))
+			return fmt.Errorf("%s, %d crashes", v, table.Crashes(testFingerprint))
 		}
 		return nil
 	})
 }
 
-// Three gateways see one crash each, and all of them get all three records. So does a gateway that
-// starts later, and restarted nodes get the records from gateways.
+// Three gateways observe one crash each, and all of them get all three records. So does a gateway
+// that starts later, and restarted nodes get the records from gateways.
 func TestGatewaysShareQuarantineRecords(t *testing.T) {
 	c := newCluster(t, 3)
 	c.awaitVoters(c.nodes...)
@@ -85,7 +85,7 @@
 	}
 }
 
-// One completed run of the request on any gateway clears it everywhere.
+// One completed run of the request on any gateway clears its quarantine everywhere.
 func TestCompletedRunClearsQuarantineEverywhere(t *testing.T) {
 	c := newCluster(t, 3)
 	a, b := c.gateway("a"), c.gateway("b")
@@ -93,7 +93,7 @@
 	c.awaitQuarantined("b", b.Table)
 	r, changed := b.RecordCompletion(testFingerprint, "v1/0")
 	if !changed {
-		t.Fatal("a completed run of a barred request does not change its record")
+		t.Fatal("a completed run of a quarantined request does not change its record")
 	}
 	b.follower.ReportRecords([]quarantine.Record{r})
 	for name, table := range map[string]*quarantine.Table{"a": a.Table, "control-2": c.nodes[2].node.service.quarantine} {
--- a/pkg/control/quarantine_store.go
+++ b/pkg/control/quarantine_store.go
@@ -1,5 +1,5 @@
 // ================================================================
-// Each control node stores the records of barred requests on its disk and publishes them again
+// Each control node stores the records of quarantined requests on its disk and publishes them again
 // when it starts. After a power loss of all machines each such request would otherwise crash three
 // more servers. The records need no quorum: they are merged by union, so an outdated copy on one
 // disk does no harm. Records of requests that are only suspected are not stored.
@@ -30,7 +30,8 @@
 	quarantineWriteInterval = time.Second
 )
 
-// quarantineStore writes the records of barred requests to the disk. It is safe for concurrent use.
+// quarantineStore writes the records of quarantined requests to the disk. It is safe for concurrent
+// use.
 type quarantineStore struct {
 	table        *quarantine.Table
 	mergeRecords func(records []quarantine.Record)
@@ -46,7 +47,7 @@
 	records, err := readQuarantined(folder)
 	if err != nil {
 		// The next write replaces the file, and other nodes publish the same records.
-		_ = level.Warn(q.logger).Log("msg", "reading barred requests failed", "err", err)
+		_ = level.Warn(q.logger).Log("msg", "reading quarantined requests failed", "err", err)
 	}
 	q.mu.Lock()
 	q.folder, q.changed = folder, true
@@ -73,7 +74,7 @@
 	return records, msgpack.Unmarshal(raw, &records)
 }
 
-// markChanged schedules a write if one of the changed records is barred, or was cleared by a
+// markChanged schedules a write if one of the changed records is quarantined, or was cleared by a
 // completed run. Other records are not stored.
 func (q *quarantineStore) markChanged(changed []quarantine.Record) {
 	for _, r := range changed {
@@ -90,13 +91,13 @@
 func (q *quarantineStore) run(ctx context.Context) error {
 	return daemon.Every(ctx, quarantineWriteInterval, func() {
 		if err := q.writeIfChanged(); err != nil {
-			_ = level.Warn(q.logger).Log("msg", "writing barred requests failed", "err", err)
+			_ = level.Warn(q.logger).Log("msg", "writing quarantined requests failed", "err", err)
 		}
 	})
 }
 
-// writeIfChanged writes the records of barred requests if they have changed and a folder is open.
-// After an error the next call tries again.
+// writeIfChanged writes the records of quarantined requests if they have changed and a folder is
+// open. After an error the next call tries again.
 func (q *quarantineStore) writeIfChanged() error {
 	q.mu.Lock()
 	folder, due := q.folder, q.changed && q.folder != nil
--- a/pkg/control/service.go
+++ b/pkg/control/service.go
@@ -1,7 +1,7 @@
 // ================================================================
 // The operations for operators and backend servers, independent of the protocol. Any node accepts
 // any call; commands and confirmed reads are forwarded to the leader. A command can only increase a
-// number or version, so a call whose outcome is unknown can be repeated.
+// number or version, so a call whose outcome is unknown can be retried.
 // ================================================================
 
 package control
@@ -35,7 +35,8 @@
 type leaderRequest struct {
 	// data is the encoded command; empty for a confirmed read or a trial request.
 	data []byte
-	// trial is the fingerprint of the barred request that a gateway asks to try again; else empty.
+	// trial is the fingerprint of the quarantined request that a gateway asks to try again; else
+	// empty.
 	trial quarantine.Fingerprint
 	// tester identifies the gateway that asks for the trial; else empty.
 	tester string
@@ -43,7 +44,7 @@
 	appliedNumber uint64
 }
 
-// leaderResponse is the leader's answer.
+// leaderResponse is the leader's response to a leaderRequest.
 //
 //wire:generate
 type leaderResponse struct {
@@ -105,13 +106,13 @@
 // applied it already, the leader sends only its number: on a link that is saturated with documents,
 // a large document takes longer than requestTimeout. It fails with UnknownObject if there is none.
 func (s *Service) ReadConfiguration(ctx context.Context) (Configuration, error) {
-	answer, err := s.callLeader(ctx, leaderRequest{appliedNumber: s.state.DocumentNumber()})
+	response, err := s.callLeader(ctx, leaderRequest{appliedNumber: s.state.DocumentNumber()})
 	switch {
 	case err != nil:
 		return Configuration{}, err
-	case answer.configuration != nil:
-		return *answer.configuration, nil
-	case answer.number == 0:
+	case response.configuration != nil:
+		return *response.configuration, nil
+	case response.number == 0:
 		return Configuration{}, failure.New(failure.UnknownObject, "no configuration has been set")
 	}
 	return *s.state.Configuration(), nil
@@ -184,13 +185,13 @@
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	for {
-		answer, err := s.callLeaderOnce(ctx, r)
+		response, err := s.callLeaderOnce(ctx, r)
 		if err == nil {
-			return answer, nil
+			return response, nil
 		}
 		select {
 		case <-ctx.Done():
-			return answer, failure.New(failure.NoQuorum, "no leader answered in time: %v", err)
+			return response, failure.New(failure.NoQuorum, "no leader answered in time: %v", err)
 		case <-time.After(leaderRetryDelay):
 		}
 	}
@@ -209,9 +210,9 @@
 	// successor.
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout/3)
 	defer cancel()
-	var answer leaderResponse
-	err := s.endpoint.Call(ctx, leader, link.KindControlCall, r, &answer)
-	return answer, err
+	var response leaderResponse
+	err := s.endpoint.Call(ctx, leader, link.KindControlCall, r, &response)
+	return response, err
 }
 
 // execute executes a request on the leader.
@@ -256,11 +257,11 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
-	answer, err := s.execute(ctx, r)
+	response, err := s.execute(ctx, r)
 	if err != nil {
 		return err
 	}
-	return stream.Send(answer)
+	return stream.Send(response)
 }
 
 // ----------------------------------------------------------------
--- a/pkg/control/shutdown_test.go
+++ b/pkg/control/shutdown_test.go
@@ -9,9 +9,10 @@
 	"testing"
 )
 
-// Failure: a control node that closes all connections at once when it is stopped leaves a change
-// that it has read, and may have proposed to the log, without an answer; the operator does not know
-// whether it is in force. Here the signal arrives in the middle of a request that names a version.
+// Guards against this failure: a control node that closes all connections at once when it is
+// stopped leaves a change that it has read, and may have proposed to the log, without an answer;
+// the operator does not know whether it is in force. Here the signal arrives in the middle of a
+// request that names a version.
 func TestShutdownAnswersCallsInProgress(t *testing.T) {
 	c := newCluster(t, 3)
 	c.awaitVoters(c.nodes...)
@@ -39,12 +40,12 @@
 	if _, err := io.WriteString(conn, "}"); err != nil {
 		t.Fatal(err)
 	}
-	answer, err := http.ReadResponse(reader, nil)
+	response, err := http.ReadResponse(reader, nil)
 	if err != nil {
 		t.Fatalf("no answer: %v", err)
 	}
-	if answer.StatusCode != http.StatusOK {
-		t.Errorf("status %d", answer.StatusCode)
+	if response.StatusCode != http.StatusOK {
+		t.Errorf("status %d", response.StatusCode)
 	}
 	<-n.result
 	n.node = nil
--- a/pkg/control/suspension_test.go
+++ b/pkg/control/suspension_test.go
@@ -7,8 +7,8 @@
 	"github.com/tidepost/tidepost/pkg/feed"
 )
 
-// The clock does not advance while a VM is suspended: after a suspension the last sign of a leader
-// is not recent, and versions are older.
+// The clock does not advance while a VM is suspended: after a suspension the last contact with a
+// leader is not recent, and versions are older.
 func TestSuspensionAgesLeaderAndVersions(t *testing.T) {
 	const suspended = 4 * time.Second
 	m := &member{started: time.Now().Add(-time.Minute)}
--- a/pkg/control/version_ages_test.go
+++ b/pkg/control/version_ages_test.go
@@ -71,10 +71,10 @@
 // clockAdvance is more time than a test takes.
 const clockAdvance = time.Hour
 
-// Failure: an engine with old weights gets a request after the time limit for them. A restarted
-// node takes the time at which it replays its log as the time at which the version was named, and
-// publishes that; a gateway that starts then gives the old engine the full time again. The node
-// has to take the age from the other nodes.
+// Guards against this failure: an engine with old weights gets a request after the time limit for
+// them. A restarted node takes the time at which it replays its log as the time at which the
+// version was named, and publishes that; a gateway that starts then gives the old engine the full
+// time again. The node has to take the age from the other nodes.
 func TestRestartedNodeGetsVersionAgeFromOtherNodes(t *testing.T) {
 	for name, replaceDisk := range map[string]func(*testNode){
 		"from its disk":          func(*testNode) {},
@@ -165,9 +165,9 @@
 	}
 }
 
-// Failure: an engine with old weights gets requests until the time limit of the later of two
-// versions. If nodes publish only the later version, a gateway that starts after both were named
-// does not know that the earlier one is due first.
+// Guards against this failure: an engine with old weights gets requests until the time limit of the
+// later of two versions. If nodes publish only the later version, a gateway that starts after both
+// were named does not know that the earlier one is due first.
 func TestNewFollowerReceivesEarlierVersion(t *testing.T) {
 	now := time.Unix(1000, 0)
 	s := newStateWithClock(&now)
--- a/pkg/controllog/agreement_test.go
+++ b/pkg/controllog/agreement_test.go
@@ -113,7 +113,7 @@
 		}
 		return 0
 	case p < 970:
-		m.frozen = !m.frozen
+		m.paused = !m.paused
 	case p < 985:
 		other := c.members[c.random.IntN(len(c.members))]
 		pair := [2]vm.ID{m.self.ID(), other.self.ID()}
@@ -124,7 +124,7 @@
 	case p < 994 && c.canReplaceDisk(m):
 		c.replaceDisk(m)
 	case p < 997 && c.killBeforeSyncs && m.runner != nil:
-		// The process dies at its next write, before the sync.
+		// The process is killed at its next write, before the sync.
 		m.disk.FailSync = func(string) error { return errKilled }
 	default:
 		c.blocked = map[[2]vm.ID]bool{}
@@ -153,7 +153,8 @@
 // runRandomHistory runs a random history and returns the violation found, or "".
 func runRandomHistory(seed uint64, faults Faults, skipSync bool) (string, faultCount, *simulatedCluster) {
 	c := newSimulatedCluster(rand.New(rand.NewPCG(seed, 1)), 3+int(seed%3), faults, skipSync)
-	// Few histories reveal a disabled safeguard, and fewer do when members die more often.
+	// Few histories reveal a disabled safeguard, and fewer do when members crash more
+	// often.
 	c.killBeforeSyncs = faults == Faults{} && !skipSync
 	n := c.runRandomSteps(stepsPerRun)
 	if c.violation == "" {
--- a/pkg/controllog/cluster_test.go
+++ b/pkg/controllog/cluster_test.go
@@ -26,7 +26,7 @@
 	self   Member
 	disk   *disk.Memory
 	runner *Runner           // nil while it is down
-	frozen bool              // it is paused: it neither ticks nor receives
+	paused bool              // it neither ticks nor receives messages
 	values map[string]string // the state of its state machine
 }
 
@@ -36,7 +36,7 @@
 	random          *rand.Rand
 	faults          Faults
 	skipSync        bool
-	killBeforeSyncs bool // members die between write and sync
+	killBeforeSyncs bool // members are killed between write and sync
 	members         []*simulatedMember
 	inFlight        []Message
 	blocked         map[[2]vm.ID]bool   // by sender and receiver
@@ -186,7 +186,7 @@
 	c.leaders[r.Term()] = m.self.MemberID()
 }
 
-func (c *simulatedCluster) running(m *simulatedMember) bool { return m.runner != nil && !m.frozen }
+func (c *simulatedCluster) running(m *simulatedMember) bool { return m.runner != nil && !m.paused }
 
 func (c *simulatedCluster) tick(m *simulatedMember) {
 	if c.running(m) {
@@ -229,7 +229,7 @@
 	if m.runner == nil {
 		return
 	}
-	m.runner, m.frozen = nil, false
+	m.runner, m.paused = nil, false
 	m.disk.Crash(c.random.IntN(40))
 }
 
@@ -306,7 +306,7 @@
 func (c *simulatedCluster) recoverAll() {
 	c.blocked = map[[2]vm.ID]bool{}
 	for _, m := range c.members {
-		m.frozen = false
+		m.paused = false
 		if m.runner == nil {
 			c.start(m)
 		}
--- a/pkg/controllog/election.go
+++ b/pkg/controllog/election.go
@@ -99,8 +99,8 @@
 	return free && r.leader == ""
 }
 
-// hasActiveLeader reports whether the replica leads or has heard from a leader
-// within the shortest election timeout.
+// hasActiveLeader reports whether the replica leads or has received a message
+// from a leader within the shortest election timeout.
 func (r *Replica) hasActiveLeader() bool {
 	if r.role == Leader {
 		return true
--- a/pkg/controllog/ready.go
+++ b/pkg/controllog/ready.go
@@ -57,7 +57,7 @@
 		r.hardState.term != r.savedHardState.term || r.hardState.vote != r.savedHardState.vote
 }
 
-// Persisted tells the replica that its log is synced up to the entry with the
+// Persisted informs the replica that its log is synced up to the entry with the
 // given index and term. It has no effect if that entry was replaced since.
 func (r *Replica) Persisted(index, term uint64) {
 	if t, ok := r.log.term(index); !ok || t != term || index <= r.stableIndex {
--- a/pkg/controllog/replica.go
+++ b/pkg/controllog/replica.go
@@ -367,7 +367,7 @@
 func decodeMembers(raw []byte) []Member {
 	var members []Member
 	if err := msgpack.Unmarshal(raw, &members); err != nil {
-		// The entry passed its checksum, so a member wrote it like this.
+		// The entry passed its checksum, so a member encoded it in this form.
 		panic(err)
 	}
 	return members
--- a/pkg/controllog/store.go
+++ b/pkg/controllog/store.go
@@ -137,9 +137,10 @@
 		}
 		repair = Repair{File: name, Bytes: len(raw) - valid}
 	}
-	// After a process died between a write and its sync, the data just read may be in
-	// the page cache only. Without this sync the member would acknowledge entries to a
-	// leader that a power loss still removes. The sync costs one disk write per start.
+	// After a process was killed between a write and its sync, the data just read
+	// may be in the page cache only. Without this sync the member would
+	// acknowledge entries to a leader that a power loss still removes. The sync
+	// costs one disk write per start.
 	return repair, s.file.Sync()
 }
 
--- a/pkg/controllog/unsynced_log_test.go
+++ b/pkg/controllog/unsynced_log_test.go
@@ -1,9 +1,9 @@
 // ================================================================
 // Test that a member syncs the log that it reads at the start. A member may be killed
-// between the write and the sync of an entry, and then reads the entry from the page
-// cache. If it acknowledged the entry without a sync, a power loss would remove the copy
-// that the leader has counted. An acknowledged configuration was lost like this after all
-// nodes lost power and one of them its disk.
+// between the write and the sync of an entry, and then reads the entry from the page cache.
+// If it acknowledged the entry without a sync, a power loss would remove the copy that the
+// leader has counted. An acknowledged configuration was lost in this way after all nodes
+// lost power and one of them its disk.
 // ================================================================
 
 package controllog
--- a/pkg/feed/fallback.go
+++ b/pkg/feed/fallback.go
@@ -9,8 +9,8 @@
 // A fallback node sends documents and versions only. Registrations and peers are many, and in a
 // partition all gateways look for fallback nodes at the same moment.
 //
-// A permanent third stream was rejected: it adds half as many streams to every node, and the third
-// node may be partitioned together with the two.
+// A permanent third stream would add half as many streams to every node, and the third node may be
+// partitioned together with the two.
 // ================================================================
 
 package feed
@@ -28,7 +28,7 @@
 	// and the transit time. The backup sends less often, so the loss of the primary alone adds
 	// fallback nodes for a moment.
 	fallbackTimeout = gatewayUpdateInterval + 200*time.Millisecond
-	// firstFallbacks is the number of fallback nodes after quietTimeout. After twice that time
+	// firstFallbacks is the number of fallback nodes after fallbackTimeout. After twice that time
 	// without any Update all other nodes are followed; missing contact with the leader alone may be
 	// an election.
 	firstFallbacks = 2
--- a/pkg/feed/follower.go
+++ b/pkg/feed/follower.go
@@ -27,8 +27,8 @@
 	// nodeTimeout is how long a node may send nothing: two and a half update intervals.
 	nodeTimeout = 2500 * time.Millisecond
 	// linkCheckDelay is how long a node may send nothing before its link is checked: one update
-	// interval and the time that an Update may wait behind chunks. A dead link is replaced without
-	// counting the node as lost.
+	// interval and the time that an Update may wait behind chunks. A silent link is replaced
+	// without counting the node as lost.
 	linkCheckDelay = 1200 * time.Millisecond
 	// minRedialDelay and maxRedialDelay bound the exponential backoff between two dials of a node.
 	minRedialDelay = 100 * time.Millisecond
@@ -40,12 +40,12 @@
 	// quorumTimeout is how long a node may lack contact with the leader before another one is
 	// followed in addition: an election takes a second.
 	quorumTimeout = 2 * time.Second
-	// maxInitialRecords bounds the quarantine records that a node gets when its stream opens, those
-	// with the most terminated servers first: about 10 KB.
+	// maxInitialRecords bounds the quarantine records that a node gets when its stream opens,
+	// those with the most crashes first: about 10 KB.
 	maxInitialRecords = 64
 	// primaryWarmup is how long a node must have been connected before it replaces a working
-	// primary. A node that has just started counts few gateways, and gateways that take its count
-	// for the total send engines more requests than they have slots.
+	// primary. A node that has just started counts few gateways, and gateways that use its count
+	// as the total send engines more requests than they have slots.
 	primaryWarmup = 2 * time.Second
 )
 
@@ -149,7 +149,7 @@
 	maps.Copy(messages, f.choosePrimary(wanted, now))
 	f.mu.Unlock()
 	for stream, m := range messages {
-		// The receiving goroutine sees the failure too and drops the stream.
+		// The receiving goroutine gets the failure too and drops the stream.
 		_ = stream.Send(m)
 	}
 }
@@ -282,8 +282,8 @@
 	}
 }
 
-// errLinkReplaced reports that a dead link was replaced by a new one: the node is not lost, and is
-// followed over the new link.
+// errLinkReplaced reports that a silent link was replaced by a new one: the node is not lost, and
+// is followed over the new link.
 var errLinkReplaced = errors.New("the link was replaced")
 
 func (f *Follower) followOnce(ctx context.Context, address string) error {
--- a/pkg/feed/follower_document.go
+++ b/pkg/feed/follower_document.go
@@ -16,13 +16,13 @@
 	// documentRetryDelay is the time after which the document is requested from another node.
 	documentRetryDelay = 400 * time.Millisecond
 	// remoteRequestDelay is how long a request to another failure domain waits for a node of the
-	// own one to have the document too.
+	// follower's own one to have the document too.
 	remoteRequestDelay = 150 * time.Millisecond
 )
 
-// requestDocument requests the document from a node: at once if the node is in the own failure
-// domain or no such node is connected, else after remoteRequestDelay unless the document has
-// arrived. The receiving goroutine handles a failure to send.
+// requestDocument requests the document from a node: at once if the node is in the follower's own
+// failure domain or no such node is connected, else after remoteRequestDelay unless the document
+// has arrived. The receiving goroutine handles a failure to send.
 func (f *Follower) requestDocument(stream *link.Stream, number uint64) {
 	send := func() {
 		if f.claimDocumentRequest(number) {
@@ -56,8 +56,8 @@
 	return stream.Peer().Domain() == f.Hello.Self().Domain()
 }
 
-// hasLocalNode reports whether a node of the own failure domain is connected and recent enough to
-// have a new document soon.
+// hasLocalNode reports whether a node of the follower's own failure domain is connected and recent
+// enough to have a new document soon.
 func (f *Follower) hasLocalNode() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/pkg/feed/follower_report.go
+++ b/pkg/feed/follower_report.go
@@ -21,8 +21,8 @@
 	f.sendToPrimary(FollowerMessage{demand: perSecond})
 }
 
-// RequestTrial asks the primary to let the local gateway run a barred request once more. If it may,
-// a quarantine record says so.
+// RequestTrial asks the primary to let the local gateway run a quarantined request once more. If it
+// may, a quarantine record says so.
 func (f *Follower) RequestTrial(request quarantine.Fingerprint) {
 	f.sendToPrimary(FollowerMessage{trialRequest: request})
 }
@@ -33,7 +33,7 @@
 		return
 	}
 	if known := truncateRecords(quarantine.SortByCrashes(f.Records()), maxInitialRecords); len(known) > 0 {
-		// The receiving goroutine sees the failure too.
+		// The receiving goroutine gets the failure too.
 		_ = stream.Send(FollowerMessage{records: known})
 	}
 }
@@ -61,7 +61,7 @@
 	}
 	f.mu.Unlock()
 	for _, stream := range connected {
-		// The receiving goroutine sees the failure too.
+		// The receiving goroutine gets the failure too.
 		_ = stream.Send(m)
 	}
 }
@@ -71,7 +71,7 @@
 	stream := f.primary
 	f.mu.Unlock()
 	if stream != nil {
-		// The receiving goroutine sees the failure too and drops the stream.
+		// The receiving goroutine gets the failure too and drops the stream.
 		_ = stream.Send(m)
 	}
 }
--- a/pkg/feed/link_silence_test.go
+++ b/pkg/feed/link_silence_test.go
@@ -59,9 +59,9 @@
 
 // Guards against this failure: all open connections went silent while new ones worked; gateways
 // received no loads for seconds and then switched to other control nodes. A follower waited two and
-// a half update intervals and took its node for lost, since it could not tell a silent link from a
-// lost node. A follower that checks its link after one interval reconnects to its node, keeps it as
-// the primary and never marks it lost, and the node counts the follower once.
+// a half update intervals and counted its node as lost, since it could not distinguish a silent
+// link from a lost node. A follower that checks its link after one interval reconnects to its node,
+// keeps it as the primary and never marks it lost, and the node counts the follower once.
 func TestFollowerReconnectsOverNewLink(t *testing.T) {
 	c := &testCluster{t: t, loads: map[string]int{}}
 	node, links := c.startNode("hall-0"), &silenceableLinks{}
--- a/pkg/feed/messages.go
+++ b/pkg/feed/messages.go
@@ -7,9 +7,9 @@
 // sends them. Control nodes follow all other nodes and forward only what followers report to them
 // directly, so that a message crosses between two failure domains once and not once per follower.
 //
-// Streams to all control nodes were rejected. With 274 followers and 5 nodes, each load was sent to
-// each gateway from wherever its engine was, and links between regions carried 264 MB in 22 s; each
-// start of a follower was sent to all others again.
+// A follower does not keep streams to all control nodes: with 274 followers and 5 nodes, each load
+// was sent to each gateway from wherever its engine was, and links between regions carried 264 MB
+// in 22 s; each start of a follower was sent to all others again.
 //
 //	follower -> node   Hello, then FollowerMessages such as a document request or a load
 //	node -> follower   Update at each change, and one per second without changes
@@ -73,7 +73,7 @@
 	// namedVersions are the named versions that the follower knows. A restarted node takes their ages
 	// from here, but never adds versions: those come only from the replicated log.
 	namedVersions []NamedVersion
-	// fallback says that the follower only wants documents and versions, because the nodes that it
+	// fallback is true if the follower only wants documents and versions, because the nodes that it
 	// follows are silent. A FollowerMessage with a subscription ends that.
 	fallback bool
 }
@@ -92,9 +92,9 @@
 	// subscription changes what the node sends to the follower.
 	subscription Subscription
 	// records are new quarantine records. The first message with records has all that the follower
-	// knows, so that a restarted node learns them.
+	// knows, so that a restarted node gets them.
 	records []quarantine.Record
-	// trialRequest is a barred request that a gateway asks to run once more; empty if none.
+	// trialRequest is a quarantined request that a gateway asks to run once more; empty if none.
 	trialRequest quarantine.Fingerprint
 	// retryUsage is the last message of a gateway that shuts down gracefully; nil in all others.
 	retryUsage *RetryUsage
@@ -118,9 +118,9 @@
 	queued int
 	// stepTimeRatio is the engine's current time per step divided by its usual one; 0 if not known.
 	stepTimeRatio float64
-	// busy says that an order is in progress: the engine accepts no new requests.
+	// busy is true while an order is in progress: the engine accepts no new requests.
 	busy bool
-	// transferring says that chunks are being transferred over the VM's link: a request to the
+	// transferring is true while chunks are being transferred over the VM's link: a request to the
 	// stager would be queued behind them.
 	transferring bool
 }
@@ -154,9 +154,9 @@
 	service string
 	// engine is the address of its engine.
 	engine string
-	// cache says that it is a cache: it has no engine.
+	// cache is true for a cache, which has no engine.
 	cache bool
-	// gateway says that it is a gateway.
+	// gateway is true for a gateway.
 	gateway bool
 }
 
@@ -184,14 +184,14 @@
 	namedVersions []NamedVersion
 	// registrations are those that this node has not sent to the follower yet.
 	registrations []registry.Registration
-	// quorumConfirmed says that the node recently heard from a leader that has a quorum.
+	// quorumConfirmed is true if the node was recently in contact with a leader that has a quorum.
 	quorumConfirmed bool
 	// nodes are all control nodes.
 	nodes []Node
 	// gateways is the number of gateways: of all nodes, or of this node only in an Update to
 	// another node.
 	gateways int
-	// allPeers says that peers is the complete list; otherwise it has only the added peers.
+	// allPeers is true if peers is the complete list; otherwise it has only the added peers.
 	allPeers bool
 	// peers are the peers of the follower, or those added since the last Update.
 	peers []Peer
--- a/pkg/feed/node_selection.go
+++ b/pkg/feed/node_selection.go
@@ -3,7 +3,7 @@
 //
 // The primary is in the follower's own failure domain if a node there can be reached: its messages
 // cross no narrow link, and it stays reachable when the failure domain is partitioned. The backup
-// is in another failure domain and has recently heard from the leader, so that a change also
+// is in another failure domain and was recently in contact with the leader, so that a change also
 // arrives when the primary is partitioned from the other nodes. Followers of one failure domain
 // spread their backups by rendezvous hash.
 // ================================================================
@@ -23,14 +23,14 @@
 type candidateRank int
 
 const (
-	// rankHealthy is a connected node that recently heard from the leader.
+	// rankHealthy is a connected node that was recently in contact with the leader.
 	rankHealthy candidateRank = iota
 	// rankFallback is a node connected as a fallback. It does not replace a healthy node, which may
 	// only be slow.
 	rankFallback
 	// rankUntried is a node that was not dialed recently.
 	rankUntried
-	// rankNoQuorum is a connected node that has not heard from the leader for quorumTimeout.
+	// rankNoQuorum is a connected node that has had no contact with the leader for quorumTimeout.
 	rankNoQuorum
 	// rankFailed is a node that recently did not answer.
 	rankFailed
--- a/pkg/feed/node_silence_test.go
+++ b/pkg/feed/node_silence_test.go
@@ -6,7 +6,7 @@
 // Update, or had been without a leader for 2 s; a dial and the transfer of the document came on
 // top.
 //
-// The three of eight nodes were cut off at 15.5 s and without a leader from 18.0 s; the gateway
+// The three of eight nodes were partitioned at 15.5 s and without a leader from 18.0 s; the gateway
 // followed two others at 20.01 s and had the document 40 ms later.
 //
 // The test silences or partitions nodes at several points of their update interval, over links of
@@ -174,7 +174,7 @@
 	return all
 }
 
-// silenceNodes cuts nodes off from all other nodes and gateways.
+// silenceNodes disconnects nodes from all other nodes and gateways.
 func (m *memCluster) silenceNodes(silent map[string]bool) {
 	for address := range silent {
 		for _, n := range m.nodes {
--- a/pkg/feed/publisher.go
+++ b/pkg/feed/publisher.go
@@ -2,10 +2,10 @@
 // Server side of the feed at a control node.
 //
 // What followers report directly is sent to the node's own primary followers and to the other
-// control nodes; what other nodes send is forwarded to the own followers only. So each message
-// reaches a gateway through at most two nodes, and none loops. Registrations are the exception:
-// each node that learns of a new one sends it to all its followers, because a backend server's
-// leave must also arrive when two nodes cannot reach each other.
+// control nodes; what other nodes send is forwarded to the node's own followers only. So each
+// message reaches a gateway through at most two nodes, and none loops. Registrations are the
+// exception: each node that learns of a new one sends it to all its followers, because the
+// deregistration of a backend server must also arrive when two nodes cannot reach each other.
 // ================================================================
 
 package feed
@@ -63,12 +63,13 @@
 	// a follower sends; nil if the node keeps none.
 	Records   func() []quarantine.Record
 	OnRecords func(records []quarantine.Record)
-	// OnTrialRequest handles a follower's request to run a barred request once more; nil to ignore
-	// it.
+	// OnTrialRequest handles a follower's request to run a quarantined request once more; nil to
+	// ignore it.
 	OnTrialRequest func(f quarantine.Fingerprint, tester string)
 	// Nodes returns the link addresses of the control nodes.
 	Nodes func() []string
-	// QuorumConfirmed reports whether the node recently heard from a leader that has a quorum.
+	// QuorumConfirmed reports whether the node was recently in contact with a leader that has a
+	// quorum.
 	QuorumConfirmed func() bool
 }
 
--- a/pkg/feed/quarantine_records.go
+++ b/pkg/feed/quarantine_records.go
@@ -1,13 +1,13 @@
 // ================================================================
 // Distribution of quarantine records: records of requests that were running when a backend server
-// terminated. All gateways must have them within a second or two, so they are distributed as
+// crashed. All gateways must have them within a second or two, so they are distributed as
 // registrations are: each node that learns of a new one sends it to all its gateways and nodes.
 //
-// They must not saturate links either. A backend server that terminates has tens of requests
-// running, nearly all of them harmless. So records with one termination are sent to nodes only,
-// which merge them, and the records of one Update are bounded. Sent to 149 gateways over two
-// streams each, 1,440 requests of 120 backend servers that terminate at once would be 1,440 x 298 x
-// 130 B, or 55 MB; this way all gateways have the relevant record after 0.5 MB.
+// They must not saturate links either. A backend server that crashes has tens of requests running,
+// nearly all of them harmless. So records with one crash are sent to nodes only, which merge them,
+// and the records of one Update are bounded. Sent to 149 gateways over two streams each, 1,440
+// requests of 120 backend servers that crash at once would be 1,440 x 298 x 130 B, or 55 MB; this
+// way all gateways have the relevant record after 0.5 MB.
 // ================================================================
 
 package feed
@@ -64,7 +64,7 @@
 	}
 }
 
-// isUrgent reports whether a record may soon bar its request, or clears it.
+// isUrgent reports whether a record may soon quarantine its request, or clears it.
 func isUrgent(r quarantine.Record) bool { return len(r.Crashes()) > 1 || len(r.CompletedOn()) > 0 }
 
 // dequeueRecords removes the most urgent records from the queue and returns them. The caller holds
--- a/pkg/feed/quarantine_records_test.go
+++ b/pkg/feed/quarantine_records_test.go
@@ -33,16 +33,16 @@
 	return g
 }
 
-// reportCrash makes the gateway observe that a backend server terminated during a request.
+// reportCrash makes the gateway observe that a backend server crashed during a request.
 func (g quarantineGateway) reportCrash(f quarantine.Fingerprint, server, domain string) {
 	if r, changed := g.RecordCrash(f, quarantine.NewCrash(server, 1, domain, "v1/1", g.Crashes(f), 0)); changed {
 		g.follower.ReportRecords([]quarantine.Record{r})
 	}
 }
 
-// At the size of the users' largest deployment, all engines terminate at once with all their
-// requests, and one request has terminated three servers. All gateways must bar that request, and
-// the records of the others must not load the links much.
+// At the size of the users' largest deployment, all engines crash at once with all their
+// requests, and one request has crashed three servers. All gateways must quarantine that request,
+// and the records of the others must not load the links much.
 func TestQuarantineRecordsReachAllGatewaysInFewBytes(t *testing.T) {
 	const (
 		requestsPerServer = 12
@@ -75,7 +75,7 @@
 	for i := range quarantine.CrashesToQuarantine {
 		gateways[i*40].reportCrash(crashing, fmt.Sprintf("e-%d", i), fmt.Sprintf("hall-%d", i))
 	}
-	c.eventually("every gateway bars the request", func() bool {
+	c.eventually("every gateway quarantines the request", func() bool {
 		for _, g := range gateways {
 			if v, _ := g.BeginAttempt(crashing); v != quarantine.Quarantined {
 				return false
--- a/pkg/feed/retry_usage.go
+++ b/pkg/feed/retry_usage.go
@@ -8,8 +8,8 @@
 // of the first gateway: each gateway that starts removes the entry at this node and, through the
 // peers that nodes send to each other, at all others.
 //
-// Continuous reports of the usage, which would cover killed gateways too, were rejected: the usage
-// after the last report would need a bound of its own.
+// Continuous reports of the usage would cover killed gateways too, but the usage after the last
+// report would need a bound of its own.
 // ================================================================
 
 package feed
--- a/pkg/feed/subscription.go
+++ b/pkg/feed/subscription.go
@@ -53,7 +53,7 @@
 	daemon.Wake(s.wakeNow)
 	for other := range p.subscribers {
 		// A gateway that reconnects before its old stream is detected as broken counts once: two
-		// would halve its share of the slots. Followers without an ID cannot be told apart.
+		// would halve its share of the slots. Followers without an ID cannot be distinguished.
 		if s.hello.self.ID() != "" && other.isSameFollower(s) && other.isPrimary() {
 			p.setPrimary(other, false)
 		}
--- a/pkg/feed/versions.go
+++ b/pkg/feed/versions.go
@@ -6,9 +6,9 @@
 // An age is a lower bound: the time since any process first knew of the version, on a monotonic
 // clock, and each transfer can only reduce it. So the greatest age that any running process knows
 // is closest to the truth, and a restarted process takes it from the others instead of counting
-// from its own first sight.
+// from when it first saw the version.
 //
-// Wall-clock times in the replicated log were rejected: clocks of machines differ and step by
+// Wall-clock times in the replicated log would not do: clocks of machines differ and step by
 // seconds, and a version would become due before it was named, or much too late.
 // ================================================================
 
--- a/pkg/feed/wire_generated.go
+++ b/pkg/feed/wire_generated.go
@@ -71,10 +71,10 @@
 func (f FollowerMessage) Subscription() Subscription { return f.subscription }
 
 // Records are new quarantine records. The first message with records has all that the follower
-// knows, so that a restarted node learns them.
+// knows, so that a restarted node gets them.
 func (f FollowerMessage) Records() []quarantine.Record { return f.records }
 
-// TrialRequest is a barred request that a gateway asks to run once more; empty if none.
+// TrialRequest is a quarantined request that a gateway asks to run once more; empty if none.
 func (f FollowerMessage) TrialRequest() quarantine.Fingerprint { return f.trialRequest }
 
 // RetryUsage is the last message of a gateway that shuts down gracefully; nil in all others.
@@ -129,7 +129,7 @@
 // from here, but never adds versions: those come only from the replicated log.
 func (h Hello) NamedVersions() []NamedVersion { return h.namedVersions }
 
-// Fallback says that the follower only wants documents and versions, because the nodes that it
+// Fallback is true if the follower only wants documents and versions, because the nodes that it
 // follows are silent. A FollowerMessage with a subscription ends that.
 func (h Hello) Fallback() bool { return h.fallback }
 
@@ -187,10 +187,10 @@
 // StepTimeRatio is the engine's current time per step divided by its usual one; 0 if not known.
 func (l Load) StepTimeRatio() float64 { return l.stepTimeRatio }
 
-// Busy says that an order is in progress: the engine accepts no new requests.
+// Busy is true while an order is in progress: the engine accepts no new requests.
 func (l Load) Busy() bool { return l.busy }
 
-// Transferring says that chunks are being transferred over the VM's link: a request to the
+// Transferring is true while chunks are being transferred over the VM's link: a request to the
 // stager would be queued behind them.
 func (l Load) Transferring() bool { return l.transferring }
 
@@ -320,10 +320,10 @@
 // Engine is the address of its engine.
 func (p Peer) Engine() string { return p.engine }
 
-// Cache says that it is a cache: it has no engine.
+// Cache is true for a cache, which has no engine.
 func (p Peer) Cache() bool { return p.cache }
 
-// Gateway says that it is a gateway.
+// Gateway is true for a gateway.
 func (p Peer) Gateway() bool { return p.gateway }
 
 // EncodeMsgpack writes the fields in order, as one array.
@@ -459,7 +459,7 @@
 // Registrations are those that this node has not sent to the follower yet.
 func (u Update) Registrations() []registry.Registration { return u.registrations }
 
-// QuorumConfirmed says that the node recently heard from a leader that has a quorum.
+// QuorumConfirmed is true if the node was recently in contact with a leader that has a quorum.
 func (u Update) QuorumConfirmed() bool { return u.quorumConfirmed }
 
 // Nodes are all control nodes.
@@ -469,7 +469,7 @@
 // another node.
 func (u Update) Gateways() int { return u.gateways }
 
-// AllPeers says that peers is the complete list; otherwise it has only the added peers.
+// AllPeers is true if peers is the complete list; otherwise it has only the added peers.
 func (u Update) AllPeers() bool { return u.allPeers }
 
 // Peers are the peers of the follower, or those added since the last Update.
--- a/pkg/registry/registration.go
+++ b/pkg/registry/registration.go
@@ -59,8 +59,8 @@
 	sequence uint64
 	// startedAt is when the backend server started, in Unix milliseconds; 0 if it does not report
 	// it. A server that restarts may keep its incarnation, and then restarts its sequence without
-	// holdings. In a registration with state Gone it is the latest start that the leave may refer
-	// to.
+	// holdings. In a registration with state Gone it is the latest start that the deregistration
+	// may refer to.
 	startedAt uint64
 }
 
@@ -112,7 +112,8 @@
 func (r Registration) Supersedes(old Registration) bool {
 	switch {
 	case r.state == Gone && old.state == Gone:
-		// Nodes send these to each other repeatedly: a known one must not count as received anew.
+		// Nodes send these to each other repeatedly: a known one must not restart the time since it
+		// was received.
 		return r.startedAt > old.startedAt
 	case r.state == Gone:
 		return r.startedAt == 0 || r.startedAt >= old.startedAt
--- a/pkg/registry/table.go
+++ b/pkg/registry/table.go
@@ -62,7 +62,7 @@
 
 // ReceiveRelayed stores a registration from another node, and returns what must be forwarded: r if
 // it is new or differs, or the stored registration if r reports a backend server as silent whose
-// heartbeats arrive here. A relayed registration does not tell when the next one is due.
+// heartbeats arrive here. A relayed registration does not show when the next one is due.
 func (t *Table) ReceiveRelayed(r Registration) (forward Registration, ok bool) {
 	old, known, stored := t.store(r, true)
 	if !stored {
@@ -92,13 +92,14 @@
 	return old, known, true
 }
 
-// maxClockSkew is how far clocks may differ. A backend server that leaves does not report its start
-// time, so the leave applies to all starts before the local time less this. A server that restarts
-// does so seconds later, so a skewed clock does not keep it out.
+// maxClockSkew is how far clocks may differ. A backend server that deregisters does not report its
+// start time, so the deregistration applies to all starts before the local time less this. A server
+// that restarts does so seconds later, so a skewed clock does not prevent its registration.
 const maxClockSkew = 10 * time.Second
 
 // MarkGone marks an incarnation as gone, and returns its last registration and whether it was not gone
-// before. A known start is gone whatever its start time is.
+// before. The start that the table knows is marked even if its start time is later than the local
+// clock.
 func (t *Table) MarkGone(incarnation string) (Registration, bool) {
 	s := t.shard(incarnation)
 	s.mu.Lock()
--- a/pkg/registry/table_test.go
+++ b/pkg/registry/table_test.go
@@ -26,7 +26,7 @@
 	table.MarkGone("i-1")
 	table.Receive(newTestRegistration(9, Ready))
 	if r, _ := table.Get("i-1"); r.State() != Gone {
-		t.Fatalf("a heartbeat after the leave set the state to %s", r.State())
+		t.Fatalf("a heartbeat after the deregistration set the state to %s", r.State())
 	}
 }
 
@@ -106,10 +106,10 @@
 		t.Fatalf("direct registrations %v", direct)
 	}
 	if _, forwarded := table.ReceiveRelayed(newTestRegistration(4, Gone)); !forwarded {
-		t.Fatal("a leave is not forwarded")
+		t.Fatal("a deregistration is not forwarded")
 	}
 	if _, forwarded := table.ReceiveRelayed(newTestRegistration(5, Ready)); forwarded {
-		t.Fatal("a later heartbeat is accepted after the leave")
+		t.Fatal("a later heartbeat is accepted after the deregistration")
 	}
 }
 
@@ -139,7 +139,7 @@
 	}
 }
 
-// A leave applies to all starts until then; a later start is valid again.
+// A deregistration applies to all starts until then; a later start is valid again.
 func TestDeregistrationCoversEarlierStarts(t *testing.T) {
 	now := time.UnixMilli(1_000_000)
 	for _, known := range []bool{true, false} {
@@ -149,7 +149,7 @@
 		}
 		gone, _ := table.MarkGone("i-1")
 		if table.Receive(registrationOfStart(900_000, 41, Ready)) {
-			t.Errorf("known %t: a late heartbeat was accepted after the leave", known)
+			t.Errorf("known %t: a late heartbeat was accepted after the deregistration", known)
 		}
 		if !table.Receive(registrationOfStart(1_003_000, 1, Ready)) {
 			t.Errorf("known %t: the next start was not accepted", known)
@@ -157,12 +157,12 @@
 		other := NewTable(nil)
 		other.Receive(registrationOfStart(1_003_000, 1, Ready))
 		if _, forwarded := other.ReceiveRelayed(gone); forwarded {
-			t.Errorf("known %t: the leave of an earlier start was applied to the next one at another node", known)
+			t.Errorf("known %t: the deregistration of an earlier start was applied to the next one at another node", known)
 		}
 	}
 }
 
-// A start time that is ahead because of clock skew must not prevent the leave.
+// A start time that is ahead because of clock skew must not prevent the deregistration.
 func TestDeregistrationOfStartWithClockAhead(t *testing.T) {
 	table := NewTable(func() time.Time { return time.UnixMilli(1_000_000) })
 	table.Receive(registrationOfStart(1_004_000, 2, Ready))
@@ -172,7 +172,8 @@
 	}
 }
 
-// Two nodes that both received the leave send it to each other repeatedly. It must still expire.
+// Two nodes that both received the deregistration send it to each other repeatedly. It must still
+// expire.
 func TestGoneExpiresDespiteResends(t *testing.T) {
 	now := time.UnixMilli(1_000_000)
 	clock := func() time.Time { return now }
--- a/pkg/registry/wire_generated.go
+++ b/pkg/registry/wire_generated.go
@@ -90,8 +90,8 @@
 
 // StartedAt is when the backend server started, in Unix milliseconds; 0 if it does not report
 // it. A server that restarts may keep its incarnation, and then restarts its sequence without
-// holdings. In a registration with state Gone it is the latest start that the leave may refer
-// to.
+// holdings. In a registration with state Gone it is the latest start that the deregistration
+// may refer to.
 func (r Registration) StartedAt() uint64 { return r.startedAt }
 
 // EncodeMsgpack writes the fields in order, as one array.
--- a/pkg/staging/copy_test.go
+++ b/pkg/staging/copy_test.go
@@ -30,8 +30,8 @@
 	if added, _ := c.add(1, data[1]); added {
 		t.Fatal("add reported a chunk as added twice")
 	}
-	if absent := c.missingNumbers(); len(absent) != 2 || c.isComplete() {
-		t.Fatalf("absent chunks %v", absent)
+	if missing := c.missingNumbers(); len(missing) != 2 || c.isComplete() {
+		t.Fatalf("missing chunks %v", missing)
 	}
 }
 
--- a/pkg/staging/drain.go
+++ b/pkg/staging/drain.go
@@ -37,7 +37,7 @@
 //
 // Ordering the engine to complete its requests instead would keep it from accepting new ones until
 // its longest stream ends, and callers would be refused. That is done only where a service has
-// routes whose requests may not be repeated, since interrupting them would lose answers.
+// routes whose requests are not repeatable, since interrupting them would lose answers.
 func (s *Stager) drain(ctx context.Context, slots int) (running int, endDrain func()) {
 	s.draining.Store(true)
 	s.reportLoadNow()
--- a/pkg/staging/due_test.go
+++ b/pkg/staging/due_test.go
@@ -18,7 +18,7 @@
 	return m
 }
 
-// Guards against this failure: a restarted stager or cache took the newest version for stalled,
+// Guards against this failure: a restarted stager or cache counted the newest version as stalled,
 // since it was named long ago and no chunk of it was here, and downloaded the previous one.
 func TestRestartedMemberDownloadsNewestVersion(t *testing.T) {
 	m := restartedMember(30*time.Second, 20*time.Second)
--- a/pkg/staging/fetch_scheduler.go
+++ b/pkg/staging/fetch_scheduler.go
@@ -66,8 +66,8 @@
 
 // next returns the request with the lowest cost; false if there is none now.
 func (g *fetchScheduler) next(now time.Time) (fetchStep, bool) {
-	absent := g.copy.missingNumbers()
-	rand.Shuffle(len(absent), func(i, j int) { absent[i], absent[j] = absent[j], absent[i] })
+	missing := g.copy.missingNumbers()
+	rand.Shuffle(len(missing), func(i, j int) { missing[i], missing[j] = missing[j], missing[i] })
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if now.Sub(g.plannedAt) > planTTL {
@@ -79,7 +79,7 @@
 	}
 	var best fetchStep
 	found, lowest := false, 0
-	for _, number := range absent {
+	for _, number := range missing {
 		if g.inFlight[number] || now.Before(g.retryAt[number]) {
 			continue
 		}
--- a/pkg/staging/plan.go
+++ b/pkg/staging/plan.go
@@ -195,7 +195,8 @@
 	return b
 }
 
-// selectHolders returns the holders in the own failure domain, or all holders if it has none.
+// selectHolders returns the holders in the member's own failure domain, or all holders if it has
+// none.
 func (p plan) selectHolders() []string {
 	var local, remote []string
 	for _, a := range slices.Sorted(maps.Keys(p.holders)) {
--- a/pkg/staging/reservations.go
+++ b/pkg/staging/reservations.go
@@ -76,10 +76,10 @@
 	busy := report.Busy || s.draining.Load()
 	work := reservation.Work{Running: report.Running, Queued: report.Queued, StepTimeRatio: report.StepTimeRatio}
 	var granted bool
-	var startsIn time.Duration
+	var firstEventIn time.Duration
 	if version > 0 && !busy {
-		granted, startsIn, work = s.reservations.Decide(time.Now(), service.Engine(), work, request)
+		granted, firstEventIn, work = s.reservations.Decide(time.Now(), service.Engine(), work, request)
 	}
 	load := feed.NewLoad(service.Name(), s.settings.Engine(), model, version, work.Running, work.Queued, work.StepTimeRatio, busy, s.isExchanging())
-	return reservation.NewResponse(granted, startsIn, load)
+	return reservation.NewResponse(granted, firstEventIn, load)
 }
--- a/pkg/staging/reservations_test.go
+++ b/pkg/staging/reservations_test.go
@@ -35,9 +35,9 @@
 	for _, test := range tests {
 		s := testStager(test.report)
 		s.draining.Store(test.draining)
-		answer := requestReservation(s, test.report)
-		if answer.Granted() != test.granted || answer.Load().Busy() != (test.draining || test.report.Busy) {
-			t.Errorf("%s: granted %t, busy %t", test.name, answer.Granted(), answer.Load().Busy())
+		response := requestReservation(s, test.report)
+		if response.Granted() != test.granted || response.Load().Busy() != (test.draining || test.report.Busy) {
+			t.Errorf("%s: granted %t, busy %t", test.name, response.Granted(), response.Load().Busy())
 		}
 	}
 }
--- a/pkg/staging/target.go
+++ b/pkg/staging/target.go
@@ -70,7 +70,7 @@
 
 // isStalled reports whether the missing chunks of a version are unavailable now. A version without
 // any chunk here counts from when this process first knew of it and not from when it was named:
-// otherwise a restarted member would take every version for stalled.
+// otherwise a restarted member would count every version as stalled.
 func (m *Member) isStalled(model string, n feed.VersionInfo, now time.Time) bool {
 	c := m.copyOf(model, n.Version())
 	if c == nil {
--- a/pkg/suspension/suspension.go
+++ b/pkg/suspension/suspension.go
@@ -5,8 +5,8 @@
 // of the two clocks shows it within a quarter of a second after the VM resumes.
 //
 // CLOCK_BOOTTIME is not used for all durations: most of them state how long this process
-// waited for another one, and a suspended process did not wait. A backend server that had
-// no chance to be heard would count as silent.
+// waited for another one, and a suspended process did not wait. A backend server whose
+// heartbeats could not arrive meanwhile would count as silent.
 // ================================================================
 
 // Package suspension detects suspensions of the VM after it resumes.
--- a/pkg/upstream/acknowledged_test.go
+++ b/pkg/upstream/acknowledged_test.go
@@ -9,7 +9,7 @@
 	"github.com/tidepost/tidepost/pkg/faultproxy"
 )
 
-// A request lost on a silent connection must be told apart from one that its server may
+// A request lost on a silent connection must be distinguished from one that its server may
 // have received. The connection has served an earlier request, whose bytes must not count.
 func TestNothingIsAcknowledgedOnLostConnections(t *testing.T) {
 	const silence = 50 * time.Millisecond
--- a/pkg/weights/copy.go
+++ b/pkg/weights/copy.go
@@ -108,7 +108,7 @@
 }
 
 // Read returns a held chunk after another verification: the disk may have damaged it, and a corrupt
-// chunk must not be passed on.
+// chunk must not be sent to others.
 func (c *Copy) Read(i int) ([]byte, error) {
 	if !c.Has(i) {
 		return nil, failure.New(failure.NotReady, "chunk %d of %s is missing", i, c.digest.Short())
