--- a/bench/burst_test.go
+++ b/bench/burst_test.go
@@ -36,7 +36,7 @@
 	chunks           = 512
 	blocksPerChunk   = 4
 	exchangeInterval = 200 * time.Millisecond
-	haveDelay        = 50 * time.Millisecond
+	announceDelay    = 50 * time.Millisecond
 	reportInterval   = time.Second
 	// frameOverhead is the size of a message besides its body, in bytes.
 	frameOverhead = 17 + 12
@@ -101,7 +101,7 @@
 	killed        bool
 	complete      bool
 	subscribers   map[vm.ID]bool // VMs that get this VM's announcements
-	settledLeases []uint32       // chunks whose lease ended since the last report, fetched or not
+	endedLeases   []uint32       // chunks whose lease ended since the last report, fetched or not
 	subscriptions map[vm.ID]bool // VMs whose announcements this VM gets
 	reporting     bool
 	reportAgain   bool
@@ -163,7 +163,7 @@
 	case <-b.done:
 	case <-time.After(maxDuration):
 	}
-	// Virtual time stops when this goroutine returns; the others need it to end.
+	// Virtual time stops when this goroutine returns, and the others end only after more of it.
 	time.Sleep(window)
 }
 
@@ -254,8 +254,8 @@
 func (v *burstVM) sendReports() {
 	for {
 		v.mu.Lock()
-		r := contract.NewSpreadReport(v.identity, digest, v.swarm.Held().Bytes(), v.settledLeases, !v.swarm.Done(), spread.NeighbourHash(v.swarm.Neighbours()))
-		v.settledLeases = nil
+		r := contract.NewSpreadReport(v.identity, digest, v.swarm.Held().Bytes(), v.endedLeases, !v.swarm.Done(), spread.NeighbourHash(v.swarm.Neighbours()))
+		v.endedLeases = nil
 		v.reportAgain = false
 		v.mu.Unlock()
 		time.Sleep(2 * time.Millisecond)
@@ -390,8 +390,8 @@
 	v.uploading--
 }
 
-// transfer sends a chunk block by block over both links. It reports false if an end died, the domains
-// were partitioned or the peer stalled.
+// transfer sends a chunk block by block over both links. It reports false if one of the VMs was
+// killed, the domains were partitioned or the peer stalled.
 func (v *burstVM) transfer(upLink *pacedLink, other *burstVM) bool {
 	for range blocksPerChunk {
 		if v.isKilled() || other != nil && other.isKilled() || v.burst.cutBetween(v, other) {
@@ -423,7 +423,7 @@
 	}
 	v.swarm.FetchFailed(f.Chunk, f.Peer.ID(), kind, time.Now())
 	if f.Peer.ID() == spread.Origin || f.Peer.Domain() != v.identity.Domain() {
-		v.settledLeases = append(v.settledLeases, uint32(f.Chunk))
+		v.endedLeases = append(v.endedLeases, uint32(f.Chunk))
 	}
 	v.mu.Unlock()
 	v.startFetches()
@@ -439,7 +439,7 @@
 	v.swarm.FetchSucceeded(f.Chunk, f.Peer.ID(), time.Now())
 	leased := other == nil || other.domain != v.domain
 	if leased {
-		v.settledLeases = append(v.settledLeases, uint32(f.Chunk))
+		v.endedLeases = append(v.endedLeases, uint32(f.Chunk))
 	}
 	finished := v.swarm.Done() && !v.complete
 	v.complete = v.swarm.Done()
@@ -473,7 +473,7 @@
 }
 
 func (v *burstVM) announce(chunk int, subscribers []vm.ID) {
-	time.Sleep(haveDelay)
+	time.Sleep(announceDelay)
 	for _, id := range subscribers {
 		other := v.burst.findVM(id)
 		other.mu.Lock()
@@ -660,7 +660,7 @@
 }
 
 // Shows the trade-off between time and bytes from the origin for several limits of concurrent
-// fetches from the origin (draws) and of concurrent fetches of a VM.
+// fetches from the origin, which the output calls draws, and of concurrent fetches of a VM.
 func TestBurstDraws(t *testing.T) {
 	for _, halfDuplex := range []bool{false, true} {
 		for _, originFetches := range []int{16, 32, 64} {
--- a/pkg/agent/agent.go
+++ b/pkg/agent/agent.go
@@ -3,7 +3,7 @@
 // plain services on the VM go through it.
 //
 //	config  -> assignments -> copier (chunks) -> loader (orders) -> ready
-//	request -> admission at the time of execution -> engine -> answer
+//	request -> admission at the time of execution -> engine -> response
 //
 // This file creates and runs the parts.
 // ================================================================
@@ -77,7 +77,7 @@
 	Services map[string]*engine.Engine
 	// FetchFromSource fetches a chunk from the source with the given URL.
 	FetchFromSource func(ctx context.Context, url string, a configstate.Assignment, chunk int) ([]byte, error)
-	// SendResponsePart sends one part of an answer to an entry.
+	// SendResponsePart sends one part of a response to an entry.
 	SendResponsePart func(send func(contract.ResponsePart) error, part contract.ResponsePart) error
 	// Faults disable safeguards.
 	Faults Faults
--- a/pkg/agent/copier.go
+++ b/pkg/agent/copier.go
@@ -51,7 +51,7 @@
 	subscriptions  map[vm.ID]context.CancelFunc
 	endedLeases    []uint32
 	reportInFlight bool
-	// reportAgain requests another report when the one in flight is answered.
+	// reportAgain requests another report after the response to the one in flight.
 	reportAgain bool
 	reportsSent int
 }
@@ -206,7 +206,7 @@
 const reportTimeout = 3 * time.Second
 
 // sendReport tries the entries in the order that all agents of the failure domain
-// share for this digest. The first one that answers is the coordinator.
+// share for this digest. The first one that responds is the coordinator.
 func (a *Agent) sendReport(ctx context.Context, r contract.SpreadReport) (contract.SpreadPlan, bool) {
 	for _, address := range a.rankedEntries(r.Digest().String()) {
 		callContext, cancel := context.WithTimeout(ctx, reportTimeout)
--- a/pkg/agent/drain.go
+++ b/pkg/agent/drain.go
@@ -1,5 +1,5 @@
 // ================================================================
-// Draining: on a signal or an operator's order the agent stops admitting requests,
+// Draining: on a signal or an operator's request the agent stops admitting requests,
 // informs every entry by heartbeat, waits for the requests in flight, at most for
 // drain.limit, and exits.
 // ================================================================
--- a/pkg/agent/loader.go
+++ b/pkg/agent/loader.go
@@ -43,7 +43,7 @@
 type loader struct {
 	agent       *Agent
 	wakeup      chan struct{}
-	nextOrderAt time.Time // no order is sent before
+	nextOrderAt time.Time // no order is sent before this time
 	fence       uint64
 
 	mu          sync.Mutex
@@ -52,7 +52,7 @@
 	failedPolls int
 }
 
-// newLoader reads the marker. newFolder is set when the data folder has none yet.
+// newLoader reads the marker. newFolder is set if the data folder is new and so has no marker.
 func newLoader(a *Agent, newFolder bool) *loader {
 	l := &loader{agent: a, wakeup: make(chan struct{}, 1)}
 	interrupted := newFolder
--- a/pkg/agent/requests.go
+++ b/pkg/agent/requests.go
@@ -1,6 +1,6 @@
 // ================================================================
 // Serves requests: admits them, sends them to the engine or a plain service, and sends
-// the answer back in parts.
+// the response back in parts.
 // ================================================================
 
 package agent
@@ -19,9 +19,9 @@
 )
 
 const (
-	// maxResponsePart is the largest part of an answer that one message carries, in bytes.
+	// maxResponsePart is the largest part of a response that one message carries, in bytes.
 	maxResponsePart = 32 << 10
-	// streamEndEvent is the last event of a complete streamed answer.
+	// streamEndEvent is the last event of a complete streamed response.
 	streamEndEvent = "data: [DONE]"
 	// streamTailSize is how many bytes at the end of a stream are searched for
 	// streamEndEvent.
@@ -42,7 +42,7 @@
 	ctx, cancel := context.WithDeadline(ctx, r.DeadlineTime())
 	defer cancel()
 	if r.Repeatable() {
-		// The request is cancelled when the caller disconnects, to free the engine. A
+		// The request is canceled when the caller disconnects, to free the engine. A
 		// request that may not be repeated runs to its end, so that its outcome is known.
 		s.OnPeerClosed(cancel)
 	}
@@ -93,7 +93,7 @@
 	return a.engine, true, nil
 }
 
-// execute sends the request to the backend server and the answer to the caller.
+// execute sends the request to the backend server and the response to the caller.
 func (a *Agent) execute(ctx context.Context, s *link.Stream, backend *engine.Engine, r contract.Request) error {
 	response, err := backend.SendRequest(ctx, r)
 	if err != nil {
@@ -106,18 +106,18 @@
 	return a.forwardResponse(s, r, response)
 }
 
-// checkDigest returns an error for an answer of another version than requested.
+// checkDigest returns an error for a response of another version than requested.
 func checkDigest(r contract.Request, h http.Header) error {
 	if r.Model() == "" {
 		return nil
 	}
 	servedDigest := h.Get(engine.DigestHeader)
 	return invariant.Check(servedDigest == "" || servedDigest == r.Digest().String(), "answer_of_other_version",
-		"attempt %s is pinned to digest %s, answered by digest %s", r.Attempt(), r.Digest(), servedDigest)
+		"attempt %s is pinned to digest %s, received a response of digest %s", r.Attempt(), r.Digest(), servedDigest)
 }
 
-// forwardResponse sends the answer in numbered parts. The last part marks the answer as
-// complete; a streamed answer is complete only if it ends with streamEndEvent.
+// forwardResponse sends the response in numbered parts. The last part marks the response
+// as complete; a streamed response is complete only if it ends with streamEndEvent.
 func (a *Agent) forwardResponse(s *link.Stream, r contract.Request, response *http.Response) error {
 	sequence := uint64(0)
 	send := func(status int, contentType string, body []byte, end bool) error {
@@ -142,7 +142,7 @@
 			break
 		}
 		if err != nil {
-			return failure.New(failure.BackendFailed, "reading the answer failed: %v", err).WithRan(failure.RanUnknown)
+			return failure.New(failure.BackendFailed, "reading the response failed: %v", err).WithRan(failure.RanUnknown)
 		}
 	}
 	streamed := r.Stream() && response.StatusCode == http.StatusOK
--- a/pkg/contract/change.go
+++ b/pkg/contract/change.go
@@ -14,14 +14,14 @@
 type Change struct {
 	// id is chosen by the client; a resent change has the same id.
 	id string
-	// operator is the operator's name, for the time line.
+	// operator is the operator's name, for the timeline.
 	operator string
 	// base is the revision that the change is based on.
 	base uint64
 	// objects are the objects to write, or to delete if their body is empty.
 	objects []Object
 	// content is the digest of the client's request before version names in it are
-	// resolved; it tells a resent change from a different one with the same id.
+	// resolved; it distinguishes a resent change from a different one with the same id.
 	content Digest
 }
 
@@ -61,7 +61,7 @@
 type ProposalResult struct {
 	// body is the encoded result of the command.
 	body []byte
-	// leader is the link address of the leader, if the process asked knows it.
+	// leader is the link address of the leader, if the responding process knows it.
 	leader string
 	// refusal is set if the command was not accepted, or may not have been.
 	refusal *failure.Failure
@@ -96,7 +96,7 @@
 	revision uint64
 	// objects are the changed objects.
 	objects []Object
-	// quorumConfirmed is true if the sender has recently heard from a leader with a quorum.
+	// quorumConfirmed is true if the sender has recently seen a leader with a quorum.
 	quorumConfirmed bool
 }
 
--- a/pkg/contract/operator.go
+++ b/pkg/contract/operator.go
@@ -113,7 +113,7 @@
 type DrainRequest struct {
 	// vm is the VM to drain; empty for the process that receives the message.
 	vm vm.ID
-	// reason is recorded in the time line.
+	// reason is recorded in the timeline.
 	reason string
 }
 
@@ -125,7 +125,7 @@
 	after event.Stamp
 }
 
-// Timeline is a process's part of the time line.
+// Timeline is a process's part of the timeline.
 //
 //wire:generate
 type Timeline struct {
--- a/pkg/contract/wire_generated.go
+++ b/pkg/contract/wire_generated.go
@@ -135,7 +135,7 @@
 // ID is chosen by the client; a resent change has the same id.
 func (c Change) ID() string { return c.id }
 
-// Operator is the operator's name, for the time line.
+// Operator is the operator's name, for the timeline.
 func (c Change) Operator() string { return c.operator }
 
 // Base is the revision that the change is based on.
@@ -145,7 +145,7 @@
 func (c Change) Objects() []Object { return c.objects }
 
 // Content is the digest of the client's request before version names in it are
-// resolved; it tells a resent change from a different one with the same id.
+// resolved; it distinguishes a resent change from a different one with the same id.
 func (c Change) Content() Digest { return c.content }
 
 // EncodeMsgpack writes the fields in order, as one array.
@@ -492,7 +492,7 @@
 // Objects are the changed objects.
 func (d Delta) Objects() []Object { return d.objects }
 
-// QuorumConfirmed is true if the sender has recently heard from a leader with a quorum.
+// QuorumConfirmed is true if the sender has recently seen a leader with a quorum.
 func (d Delta) QuorumConfirmed() bool { return d.quorumConfirmed }
 
 // EncodeMsgpack writes the fields in order, as one array.
@@ -616,7 +616,7 @@
 // VM is the VM to drain; empty for the process that receives the message.
 func (d DrainRequest) VM() vm.ID { return d.vm }
 
-// Reason is recorded in the time line.
+// Reason is recorded in the timeline.
 func (d DrainRequest) Reason() string { return d.reason }
 
 // EncodeMsgpack writes the fields in order, as one array.
@@ -1328,7 +1328,7 @@
 // Body is the encoded result of the command.
 func (p ProposalResult) Body() []byte { return p.body }
 
-// Leader is the link address of the leader, if the process asked knows it.
+// Leader is the link address of the leader, if the responding process knows it.
 func (p ProposalResult) Leader() string { return p.leader }
 
 // Refusal is set if the command was not accepted, or may not have been.
--- a/pkg/daemon/daemon.go
+++ b/pkg/daemon/daemon.go
@@ -208,7 +208,7 @@
 	return ServeHTTP(ctx, &http.Server{Handler: router, ReadHeaderTimeout: readHeaderTimeout}, l)
 }
 
-// Healthy is an HTTP handler that always answers 200: it shows that the process runs.
+// Healthy is an HTTP handler that always responds with 200: it shows that the process runs.
 func Healthy(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok\n") }
 
 // ----------------------------------------------------------------
--- a/pkg/daemon/reload_test.go
+++ b/pkg/daemon/reload_test.go
@@ -10,9 +10,9 @@
 	"github.com/go-kit/log"
 )
 
-// A SIGHUP that arrives after NewReloadable and before Run causes a reload. While nothing handled
-// the signal in that window, a gateway that was told to reload during its start was terminated with
-// all its connections. Without the handler this test ends its own process.
+// A SIGHUP that arrives after NewReloadable and before Run causes a reload. When nothing handled
+// the signal in that window, a gateway that got a SIGHUP during its start was terminated with all its
+// connections. Without the handler this test ends its own process.
 func TestSIGHUPBeforeRunReloads(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "settings")
 	write := func(text string) {
--- a/pkg/entry/callers.go
+++ b/pkg/entry/callers.go
@@ -216,7 +216,7 @@
 	return errorBody{errorDetail{string(f.Kind()), f.Message(), f.Remedy(), f.Ran().String(), f.RetryAfter().Seconds()}}
 }
 
-// writeError answers with an error. No part of the response may have been written.
+// writeError responds with an error. No part of the response may have been written.
 func (e *Entry) writeError(w http.ResponseWriter, err error) {
 	f := failure.Of(err)
 	e.metrics.requests.WithLabelValues(string(f.Kind())).Inc()
@@ -230,7 +230,7 @@
 	_ = json.NewEncoder(w).Encode(newErrorBody(f))
 }
 
-// newStreamSink returns a sink that writes and flushes each part of an answer to
+// newStreamSink returns a sink that writes and flushes each part of a response to
 // the caller as it arrives.
 func (e *Entry) newStreamSink(w http.ResponseWriter) *sink {
 	controller := http.NewResponseController(w)
--- a/pkg/entry/calls.go
+++ b/pkg/entry/calls.go
@@ -44,7 +44,7 @@
 	return c, pending, err
 }
 
-// servePending executes a request and answers its caller.
+// servePending executes a request and responds to its caller.
 func (e *Entry) servePending(w http.ResponseWriter, r *http.Request, pending *pendingRequest, c callHeaders) {
 	// The deadline bounds all further steps, including the quorum write of the claim.
 	ctx, cancel := context.WithDeadline(r.Context(), pending.request.DeadlineTime())
@@ -59,7 +59,7 @@
 }
 
 // serveClaimed executes a request that has an idempotency key and may not be
-// repeated. It buffers the whole answer, because the same bytes are stored and
+// repeated. It buffers the whole response, because the same bytes are stored and
 // returned when the caller sends the request again.
 func (e *Entry) serveClaimed(ctx context.Context, w http.ResponseWriter, pending *pendingRequest, key string) {
 	outcome, err := e.executeClaimed(ctx, pending, key)
--- a/pkg/entry/claims.go
+++ b/pkg/entry/claims.go
@@ -56,14 +56,14 @@
 	}
 }
 
-// storedOutcome returns a stored outcome, or an error when the answer was lost or
+// storedOutcome returns a stored outcome, or an error when the response was lost or
 // exceeded the size that is stored.
 func storedOutcome(o contract.Outcome, key string) (contract.Outcome, error) {
 	if !o.Known() {
-		return o, failure.New(failure.OutcomeUnknown, "the request with key %q was sent and its answer was lost", key).WithRan(failure.RanUnknown)
+		return o, failure.New(failure.OutcomeUnknown, "the request with key %q was sent and its response was lost", key).WithRan(failure.RanUnknown)
 	}
 	if o.Truncated() {
-		return o, failure.New(failure.OutcomeUnknown, "the request with key %q ran; its answer was longer than the %d bytes that are stored",
+		return o, failure.New(failure.OutcomeUnknown, "the request with key %q ran; its response was longer than the %d bytes that are stored",
 			key, contract.MaxStoredBody).WithRan(failure.RanYes)
 	}
 	return o, nil
@@ -98,9 +98,9 @@
 }
 
 // ----------------------------------------------------------------
-// Collecting an answer
+// Collecting a response
 
-// collector assembles an answer from its parts.
+// collector assembles a response from its parts.
 type collector struct {
 	status      int
 	contentType string
--- a/pkg/entry/coordinators.go
+++ b/pkg/entry/coordinators.go
@@ -1,8 +1,8 @@
 // ================================================================
 // The coordinators of weight distribution on this entry: one for each digest that
 // agents report here. They are not elected: the agents of a failure domain rank the
-// entries alike and report to the first that answers. Coordinators of different failure
-// domains tell each other which chunks their domains hold.
+// entries alike and report to the first that responds. Coordinators of different failure
+// domains exchange which chunks their domains hold.
 // ================================================================
 
 package entry
@@ -46,7 +46,7 @@
 }
 
 // exchangeDue reports whether to start an exchange with the other domains, and then
-// records its time. A coordinator that needs no chunks only answers others.
+// records its time. A coordinator that needs no chunks only responds to others.
 func (c *lockedCoordinator) exchangeDue(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -111,7 +111,7 @@
 	return s.Send(plan)
 }
 
-// serveSources answers an exchange of the coordinator of another failure domain.
+// serveSources responds to an exchange of the coordinator of another failure domain.
 func (c *coordinators) serveSources(_ context.Context, s *link.Stream) error {
 	var remote contract.DomainSources
 	if err := s.Receive(&remote); err != nil {
@@ -161,7 +161,7 @@
 }
 
 // exchange calls the entries of all other domains in parallel and returns without
-// waiting. Each answer is passed to the coordinator as it arrives.
+// waiting. Each response is passed to the coordinator as it arrives.
 func (c *coordinators) exchange(ctx context.Context, digest contract.Digest, found *lockedCoordinator) {
 	found.mu.Lock()
 	local := found.coordinator.Sources(time.Now())
--- a/pkg/entry/drain.go
+++ b/pkg/entry/drain.go
@@ -19,7 +19,7 @@
 // drainPollInterval is the interval between checks for requests in flight.
 const drainPollInterval = 20 * time.Millisecond
 
-// serveDrain drains this entry, or forwards the order to an agent.
+// serveDrain drains this entry, or forwards the request to an agent.
 func (e *Entry) serveDrain(ctx context.Context, s *link.Stream) error {
 	var d contract.DrainRequest
 	if err := s.Receive(&d); err != nil {
--- a/pkg/entry/entry.go
+++ b/pkg/entry/entry.go
@@ -79,7 +79,7 @@
 	SkipClaim bool
 	// RetryAlways retries non-repeatable requests even if they may have run.
 	RetryAlways bool
-	// SkipResponseCheck passes on parts of answers without checkPart.
+	// SkipResponseCheck passes on parts of responses without checkPart.
 	SkipResponseCheck bool
 	// ReportNotRun reports every failure as "not run".
 	ReportNotRun bool
--- a/pkg/entry/execute.go
+++ b/pkg/entry/execute.go
@@ -1,7 +1,7 @@
 // ================================================================
-// Executes one request: chooses a replica, sends the request and passes the answer on.
+// Executes one request: chooses a replica, sends the request and passes the response on.
 //
-// A failed attempt is retried only if no part of an answer was sent to the caller, and
+// A failed attempt is retried only if no part of a response was sent to the caller, and
 // the request certainly did not run or may be repeated, and the retry budget allows it.
 // Any other failure ends the request.
 // ================================================================
@@ -42,14 +42,14 @@
 	replica *route.Replica // nil when the target is another entry
 }
 
-// sink receives the parts of an answer. started is set once a part was written to
+// sink receives the parts of a response. started is set once a part was written to
 // the caller.
 type sink struct {
 	write   func(contract.ResponsePart) error
 	started bool
 }
 
-// execute runs a request with retries and writes its answer to out.
+// execute runs a request with retries and writes its response to out.
 func (e *Entry) execute(ctx context.Context, p *pendingRequest, out *sink) error {
 	e.inFlight.Add(1)
 	defer e.inFlight.Add(-1)
@@ -130,7 +130,7 @@
 // Choosing
 
 // chooseTarget picks a replica of this failure domain, or else an entry of another
-// failure domain that has the digest ready or fronts the service.
+// failure domain that has the digest ready or serves the service.
 func (e *Entry) chooseTarget(p *pendingRequest) (target, error) {
 	now := time.Now()
 	candidates := e.candidates(p, now)
@@ -255,7 +255,7 @@
 // ----------------------------------------------------------------
 // Sending
 
-// send sends one attempt and writes the parts of the answer to out, after checkPart.
+// send sends one attempt and writes the parts of the response to out, after checkPart.
 func (e *Entry) send(ctx context.Context, t target, r contract.Request, out *sink) error {
 	e.hooks.BeforeSend(r.Attempt())
 	// The deadline is checked again, because the process may have been suspended since
@@ -288,7 +288,7 @@
 			}
 		}
 		if err := out.write(part); err != nil {
-			return failure.New(failure.Unreachable, "sending the answer to the caller failed: %v", err).WithRan(failure.RanYes)
+			return failure.New(failure.Unreachable, "sending the response to the caller failed: %v", err).WithRan(failure.RanYes)
 		}
 		out.started = true
 		if part.End() {
@@ -297,7 +297,7 @@
 	}
 }
 
-// classifyAttemptError returns the failure of an attempt whose answer is incomplete. A
+// classifyAttemptError returns the failure of an attempt whose response is incomplete. A
 // typed failure of the agent is returned unchanged; for a lost connection the outcome
 // is unknown.
 func (e *Entry) classifyAttemptError(ctx context.Context, f *failure.Failure, r contract.Request) error {
@@ -305,7 +305,7 @@
 		return f
 	}
 	if ctx.Err() != nil && !time.Now().Before(r.DeadlineTime()) {
-		return failure.New(failure.DeadlineExceeded, "no complete answer before the deadline").WithRan(failure.RanUnknown)
+		return failure.New(failure.DeadlineExceeded, "no complete response before the deadline").WithRan(failure.RanUnknown)
 	}
 	return failure.New(failure.OutcomeUnknown, "the link to the backend server's agent broke: %s", f.Message()).WithRan(failure.RanUnknown)
 }
--- a/pkg/entry/answer_check.go
+++ b/pkg/entry/response_check.go
@@ -1,5 +1,5 @@
 // ================================================================
-// Checks each part of an answer that an agent or another entry sends: it must
+// Checks each part of a response that an agent or another entry sends: it must
 // belong to the attempt, follow the part before it and be of the pinned version.
 // ================================================================
 
@@ -13,8 +13,8 @@
 )
 
 // checkPart returns an error for a part of another attempt, of another version,
-// or out of order. An answer that an entry of another failure domain forwards
-// carries that entry's attempt ID, which has ours and a slash as its prefix.
+// or out of order. A response that an entry of another failure domain forwards
+// carries that entry's attempt ID, which begins with the ID of r and a slash.
 func checkPart(part contract.ResponsePart, r contract.Request, sequence uint64) error {
 	own := part.Attempt() == r.Attempt() || strings.HasPrefix(part.Attempt(), r.Attempt()+"/")
 	if err := invariant.Check(own, "answer_of_other_request", "attempt %s received a part of attempt %s", r.Attempt(), part.Attempt()); err != nil {
--- a/pkg/entry/services.go
+++ b/pkg/entry/services.go
@@ -1,6 +1,6 @@
 // ================================================================
 // Calls to plain services: /services/ordering/orders?x=1 is sent as /orders?x=1 to a
-// backend server that fronts the service "ordering".
+// backend server that runs the service "ordering".
 // ================================================================
 
 package entry
@@ -22,7 +22,7 @@
 		if !ok {
 			return nil, failure.New(failure.UnknownService, "service %q", name)
 		}
-		// A caller can forbid repeats that the configuration allows, but not the
+		// A caller can forbid retries that the configuration allows, but not the
 		// reverse: a header set by mistake must not execute an order twice.
 		repeatable := spec.Repeatable() && (c.repeatable == nil || *c.repeatable)
 		request := contract.NewRequest(e.nextRequestID(), c.organisation.Name, "", contract.Digest{}, name,
--- a/pkg/event/clock.go
+++ b/pkg/event/clock.go
@@ -5,7 +5,7 @@
 // ================================================================
 
 // Package event records the events of a process. Their timestamps, from a hybrid logical clock, order
-// the events of all processes in one time line.
+// the events of all processes in one timeline.
 package event
 
 //go:generate go run github.com/tidepost/tidepost/tools/wiregen
--- a/pkg/event/recorder.go
+++ b/pkg/event/recorder.go
@@ -1,7 +1,7 @@
 // ================================================================
 // The recorder keeps the events of one process in a ring buffer in memory, and also in a file of JSON
 // lines if the VM has a disk. Record stamps and stores an event synchronously instead of sending it
-// through the message router: so the order of the time line is that of the calls, and events before a
+// through the message router: so the order of the timeline is that of the calls, and events before a
 // crash are in the file.
 // ================================================================
 
@@ -78,7 +78,7 @@
 	Detail  string `json:"detail,omitempty"`
 }
 
-// MarshalJSON writes the event as one line of a time line file.
+// MarshalJSON writes the event as one line of a timeline file.
 func (e Event) MarshalJSON() ([]byte, error) {
 	return json.Marshal(jsonEvent{
 		Time: e.stamp.Time().UTC().Format(time.RFC3339Nano), Wall: e.stamp.wall, Counter: e.stamp.counter,
--- a/pkg/failuredomain/failuredomain.go
+++ b/pkg/failuredomain/failuredomain.go
@@ -35,7 +35,7 @@
 	return best, found
 }
 
-// Rank returns the rendezvous hash of a subject and a member.
+// Rank returns the rendezvous hash of a subject and a candidate for it.
 func Rank(subject, candidate string) uint64 {
 	return xxhash.Sum64String(subject + separator + candidate)
 }
--- a/pkg/fake/service.go
+++ b/pkg/fake/service.go
@@ -43,7 +43,7 @@
 	return runs
 }
 
-// orderResponse is the response to an order.
+// orderResponse is the body of the response to an order.
 type orderResponse struct {
 	Order string `json:"order"`
 	Runs  int    `json:"runs"`
--- a/pkg/faultproxy/proxied_conn.go
+++ b/pkg/faultproxy/proxied_conn.go
@@ -22,7 +22,7 @@
 	dialer, target     *net.TCPConn
 	toTarget, toDialer *pipe
 	label              string                         // guarded by Proxy.mu
-	pendingSilence     atomic.Pointer[SilenceOptions] // set if it goes silent within the next block
+	pendingSilence     atomic.Pointer[SilenceOptions] // set if silence begins within the next block
 	halfSent           atomic.Bool                    // half of that block was sent
 }
 
@@ -81,9 +81,8 @@
 	both.Wait()
 }
 
-// forwardPipe copies bytes in one direction. An end of stream is forwarded as an end of stream and
-// any
-// other error as a reset of both sockets; a silent pipe forwards neither.
+// forwardPipe copies bytes in one direction. An end of stream is forwarded as an end of
+// stream and any other error as a reset of both sockets; a silent pipe forwards neither.
 func (c *proxiedConn) forwardPipe(p *pipe, onFirst func(first []byte), delay func() time.Duration) {
 	defer close(p.done)
 	buffer := make([]byte, maxBlockBytes)
--- a/pkg/faultproxy/silence.go
+++ b/pkg/faultproxy/silence.go
@@ -44,7 +44,7 @@
 // by label. New connections are not affected. After it returns, no more data passes in the affected
 // directions, except with SilenceOptions.Midway, where the silence begins with the next block.
 //
-// A silent connection is not read: reading and discarding would let a writer send for ever, while
+// A silent connection is not read: reading and discarding would let a writer send forever, while
 // on a broken network its buffer fills up and it blocks.
 func (p *Proxy) Silence(match func(label string) bool, o SilenceOptions) map[string]int {
 	matched, count := p.matching(match)
@@ -70,7 +70,7 @@
 func AllLabels(string) bool { return true }
 
 // dropPackets drops every packet that arrives at a socket before TCP processes it, with a socket
-// filter, which needs no privilege. Without it the kernel would acknowledge data that nobody reads,
+// filter, which needs no privilege. Without it the kernel would acknowledge data that is never read,
 // while on a network that loses packets the writer notices the loss by TCP_USER_TIMEOUT or keep-alive
 // probes. If the kernel does not support the filter, data is still acknowledged.
 func dropPackets(conn *net.TCPConn) {
--- a/pkg/invariant/invariant.go
+++ b/pkg/invariant/invariant.go
@@ -2,7 +2,7 @@
 // Runtime checks of invariants.
 //
 // A broken invariant is counted, reported to the listener (the timeline) and returned as a
-// failure, so that the caller refuses the request instead of giving a wrong answer. In tests
+// failure, so that the caller refuses the request instead of sending a wrong response. In tests
 // the listener fails the test.
 //
 //	if err := invariant.Check(applied <= committed, "log_apply_order", ...); err != nil {
--- a/pkg/link/accept.go
+++ b/pkg/link/accept.go
@@ -133,8 +133,8 @@
 	}
 }
 
-// recoverStream answers a panic of a handler with a failure, so that the process and all
-// other work in flight go on. Whether the request ran is then unknown.
+// recoverStream responds to a panic of a handler with a failure, so that the process and all
+// other work in flight continue. Whether the request ran is then unknown.
 func (e *Endpoint) recoverStream(s *Stream) {
 	if r := recover(); r != nil {
 		_ = level.Error(e.config.Logger).Log("msg", "handler panicked", "panic", r, "stack", string(debug.Stack()))
--- a/pkg/link/endpoint_test.go
+++ b/pkg/link/endpoint_test.go
@@ -100,8 +100,8 @@
 	}
 }
 
-// A panic in a handler is answered with a failure of unknown outcome, and the endpoint goes
-// on serving other streams.
+// A panic in a handler is answered with a failure of unknown outcome, and the endpoint
+// continues to serve other streams.
 func TestPanicEndsOneStreamOnly(t *testing.T) {
 	server := testEndpoint("server", "", 0)
 	server.Handle(KindQuery, func(context.Context, *Stream) error { panic("handler defect") })
--- a/pkg/link/frame_test.go
+++ b/pkg/link/frame_test.go
@@ -37,8 +37,8 @@
 	})
 }
 
-// Frames over the size limit are refused in both directions, and a truncated frame is told
-// from the end of the input.
+// Frames over the size limit are refused in both directions, and a truncated frame is
+// distinguished from the end of the input.
 func TestFrameBounds(t *testing.T) {
 	tooLong := []byte{0x7f, 0, 0, 0, 1}
 	if _, err := readFrame(bytes.NewReader(tooLong)); !failure.Is(err, failure.TooLarge) {
--- a/pkg/link/kinds.go
+++ b/pkg/link/kinds.go
@@ -28,7 +28,7 @@
 	KindRequest                       // a caller's request, from an entry to an agent or entry
 	KindChunk                         // reads a chunk of weights from an agent
 	KindSpread                        // an agent's report to the spreading coordinator
-	KindTimeline                      // reads the event time line of a process
+	KindTimeline                      // reads the event timeline of a process
 	KindDrain                         // drains a process
 	KindApply                         // submits a configuration change to an entry
 	KindPropose                       // sends a command to the leader of the control log
--- a/pkg/link/probe.go
+++ b/pkg/link/probe.go
@@ -225,7 +225,7 @@
 
 // probeOthers probes all other connections that have received nothing since the probe of a
 // silent one started. The same fault may have silenced many connections, and their next
-// callers then need not wait to find out. Each probe costs a ping.
+// callers then need not wait to find out. Each probe costs one ping.
 func (e *Endpoint) probeOthers(probed string, since time.Time) {
 	e.mu.Lock()
 	var others []string
--- a/pkg/link/probe_test.go
+++ b/pkg/link/probe_test.go
@@ -17,7 +17,7 @@
 )
 
 const (
-	// testTimeout fails a test that waits in vain; it is not a limit that is under test.
+	// testTimeout fails a test whose condition does not become true; it is not a limit under test.
 	testTimeout = 20 * time.Second
 	// callTimeout is the deadline of a call in these tests.
 	callTimeout = 200 * time.Millisecond
@@ -75,7 +75,7 @@
 }
 
 // newEchoServer returns a server that echoes each call and passes one-way messages to the
-// channel. It passes the call "wait" to the channel too, and answers it at the end of the
+// channel. It passes the call "wait" to the channel too, and responds to it at the end of the
 // test.
 func newEchoServer(t *testing.T) (server *Endpoint, received chan string) {
 	t.Helper()
@@ -276,7 +276,7 @@
 	})
 }
 
-// A probe tells an unreachable peer from a silent connection, and repeated probes do not
+// A probe distinguishes an unreachable peer from a silent connection, and repeated probes do not
 // dial the peer again before the backoff has passed.
 func TestUnreachablePeerIsNotRedialedAtOnce(t *testing.T) {
 	server, _ := newEchoServer(t)
--- a/pkg/link/silence_test.go
+++ b/pkg/link/silence_test.go
@@ -36,7 +36,7 @@
 // periodic ping, whether it is idle or a call is waiting on it, and the next call dials
 // again.
 func TestSilentConnectionsAreClosedByPings(t *testing.T) {
-	for name, waits := range map[string]bool{"at rest": false, "in the middle of an exchange": true} {
+	for name, waits := range map[string]bool{"idle connection": false, "call in progress": true} {
 		t.Run(name, func(t *testing.T) { testSilentConnection(t, waits) })
 	}
 }
--- a/pkg/link/tcp.go
+++ b/pkg/link/tcp.go
@@ -1,6 +1,6 @@
 // ================================================================
 // TCP dialing and options of a link. A VM that lost its power or its network
-// answers nothing, and by default a connection to it hangs for many minutes;
+// does not respond, and by default a connection to it hangs for many minutes;
 // with these options it fails in about two seconds and is dialed again.
 // The kernel sends the probes without waking the process.
 // ================================================================
@@ -36,7 +36,7 @@
 	return dialWithRetries(ctx, firstDialTimeout, func(ctx context.Context) (net.Conn, error) { return d.DialContext(ctx, "tcp", address) })
 }
 
-// dialWithRetries dials again while the peer does not answer. The kernel retransmits a
+// dialWithRetries dials again while the peer does not respond. The kernel retransmits a
 // lost SYN packet only after a second: VMs that regained power together connected a second
 // late, since their first packets went to VMs that were not up yet.
 func dialWithRetries(ctx context.Context, timeout time.Duration, dial func(context.Context) (net.Conn, error)) (net.Conn, error) {
--- a/pkg/link/tcp_test.go
+++ b/pkg/link/tcp_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// A dial without an answer is retried before the kernel retransmits its SYN packet after a
+// A dial without a response is retried before the kernel retransmits its SYN packet after a
 // second: VMs that regained power together connected a second late without this.
 func TestUnansweredDialIsRetried(t *testing.T) {
 	attempts := 0
--- a/pkg/membership/view.go
+++ b/pkg/membership/view.go
@@ -1,9 +1,9 @@
 // ================================================================
 // An entry's view of the agents of its failure domain, from their heartbeats and the
 // platform's list of VMs. It needs no consensus: a wrong view costs a retry and never a
-// wrong answer, since the agent checks everything again when it executes the request.
+// wrong response, since the agent checks everything again when it executes the request.
 //
-//	larder-07: heard 0.4 s ago, revision 41, ready menu@3f2a, not leaving
+//	larder-07: last heartbeat 0.4 s ago, revision 41, ready menu@3f2a, not leaving
 // ================================================================
 
 // Package membership tracks live agents by their heartbeats.
--- a/pkg/metric/table.go
+++ b/pkg/metric/table.go
@@ -71,7 +71,7 @@
 	{ControlLogStopped, "entry", "1 if the voter on this VM has stopped, for instance after a disk error.", "read its log line, repair the disk and restart; or replace the voter"},
 	{AgentRequests, "agent", "Requests by result: answered, or the kind of failure.", "look up the kind in ERRORS.md"},
 	{AgentChunksServed, "agent", "Chunks sent to other agents.", "if it stays 0 on a VM that has a copy during a burst, its link is stalled"},
-	{AgentCorruptChunks, "agent", "Received chunks refused because their digest was wrong.", "the time line names the senders (chunk_refused); if the sender is the origin, apply the model again"},
+	{AgentCorruptChunks, "agent", "Received chunks refused because their digest was wrong.", "the timeline names the senders (chunk_refused); if the sender is the origin, apply the model again"},
 	{AgentSourceRefusals, "agent", "Downloads that the origin or the weight store refused.", "the source is over its rate limit; the copy continues from other VMs"},
 	{ControlHeartbeats, "control", "Heartbeats of backend servers accepted by this control node.", "if it stops growing while backend servers run, they connect to other nodes; this one may be partitioned"},
 	{ControlConfigNumber, "control", "Number of the newest service configuration applied on this control node.", "if it is behind the other nodes, this one is partitioned or its disk fails"},
--- a/pkg/operator/apply.go
+++ b/pkg/operator/apply.go
@@ -84,7 +84,7 @@
 	return s.show(report{notes: []string{note}, data: appliedView{revision, waited}})
 }
 
-// submit sends a change until it is answered, fails for a reason that a retry does not change, or ctx
+// submit sends a change until it gets a result, fails for a reason that a retry does not change, or ctx
 // ends. An empty id stands for a new one, a negative base for the current revision.
 func (s *client) submit(ctx context.Context, p parsedDocument, id string, base int64) (contract.ChangeResult, error) {
 	if id == "" {
--- a/pkg/operator/command.go
+++ b/pkg/operator/command.go
@@ -175,7 +175,7 @@
 	}
 }
 
-// operatorName returns the operating system's name of the user, which the time line shows as the author
+// operatorName returns the operating system's name of the user, which the timeline shows as the author
 // of a change.
 func operatorName() string {
 	if u, err := user.Current(); err == nil {
@@ -210,7 +210,7 @@
 	return s.endpoint, nil
 }
 
-// call sends a request to one entry after another until one answers. Only the failures in
+// call sends a request to one entry after another until one responds. Only the failures in
 // tryNextEntry lead to the next entry; any other is returned at once.
 func (s *client) call(ctx context.Context, kind link.Kind, request, response any) error {
 	endpoint, err := s.open()
@@ -226,7 +226,7 @@
 	return err
 }
 
-// tryNextEntry are the kinds of failures after which another entry may still answer.
+// tryNextEntry are the kinds of failures after which another entry may still accept the request.
 var tryNextEntry = map[failure.Kind]bool{
 	failure.Unreachable: true,
 	failure.NotLeader:   true,
--- a/pkg/operator/document.go
+++ b/pkg/operator/document.go
@@ -114,8 +114,8 @@
 // goTypePattern matches what the YAML library's errors say about Go types.
 var goTypePattern = regexp.MustCompile(`(?s) in type .*|yaml: unmarshal errors:\n +`)
 
-// withoutGoTypes returns the text of a YAML error without the names of Go types. The line and the
-// field are left, which the author of the document knows.
+// withoutGoTypes returns the text of a YAML error without the names of Go types, which mean
+// nothing to the author of the document. The line and the field remain.
 func withoutGoTypes(err error) string { return goTypePattern.ReplaceAllString(err.Error(), "") }
 
 // addObject encodes an object and adds it to the document.
--- a/pkg/operator/drain.go
+++ b/pkg/operator/drain.go
@@ -24,13 +24,13 @@
 
 func buildDrain(c *cobra.Command, s *client) func(context.Context, []string) error {
 	c.Args = cobra.ExactArgs(1)
-	reason := c.Flags().String("reason", "an operator asked", "reason, shown in the time line")
+	reason := c.Flags().String("reason", "an operator asked", "reason, shown in the timeline")
 	return func(ctx context.Context, arguments []string) error {
 		return runDrain(ctx, s, contract.NewDrainRequest(vm.ID(arguments[0]), *reason))
 	}
 }
 
-// runDrain sends the request to one entry after another until one knows the VM.
+// runDrain sends the request to one entry after another until one has the VM in its failure domain.
 func runDrain(ctx context.Context, s *client, d contract.DrainRequest) error {
 	endpoint, err := s.open()
 	if err != nil {
--- a/pkg/operator/output.go
+++ b/pkg/operator/output.go
@@ -60,7 +60,7 @@
 	return e.Encode(r.data)
 }
 
-// writeJSONLines writes each element of a list on its own line, which is the format of a time line
+// writeJSONLines writes each element of a list on its own line, which is the format of a timeline
 // file. Other data is written as one line.
 func writeJSONLines(w io.Writer, r report) error {
 	e := json.NewEncoder(w)
--- a/pkg/operator/replay.go
+++ b/pkg/operator/replay.go
@@ -1,5 +1,5 @@
 // ================================================================
-// The command replay: checks a recorded time line against the invariants of pkg/replay.
+// The command replay: checks a recorded timeline against the invariants of pkg/replay.
 // ================================================================
 
 package operator
@@ -17,7 +17,7 @@
 
 var replayCommand = subcommand{
 	name:    "replay FILE",
-	summary: "Check a recorded time line against the invariants, and against the outcome that it states",
+	summary: "Check a recorded timeline against the invariants, and against the outcome that it states",
 	example: "  tidepost timeline -o jsonl > run.jsonl\n  tidepost replay run.jsonl",
 	build:   buildReplay,
 }
--- a/pkg/replay/replay.go
+++ b/pkg/replay/replay.go
@@ -1,5 +1,5 @@
 // ================================================================
-// Check of a recorded time line against invariants, and against the outcome that it may state:
+// Check of a recorded timeline against invariants, and against the outcome that it may state:
 //
 //	tidepost timeline -o jsonl > run.jsonl   record
 //	tidepost replay run.jsonl                check
@@ -10,7 +10,7 @@
 //	{"outcome": "broken", "rule": "one_leader_a_term"}
 // ================================================================
 
-// Package replay checks a recorded time line of events against invariants.
+// Package replay checks a recorded timeline of events against invariants.
 package replay
 
 import (
@@ -25,9 +25,9 @@
 )
 
 const (
-	// Holds is the outcome of a time line that satisfies all rules.
+	// Holds is the outcome of a timeline that satisfies all rules.
 	Holds = "holds"
-	// Broken is the outcome of a time line that violates a rule.
+	// Broken is the outcome of a timeline that violates a rule.
 	Broken = "broken"
 	// maxLine is the maximum length of a line in bytes.
 	maxLine = 1 << 20
@@ -70,7 +70,7 @@
 	return names
 }
 
-// Run replays a recorded time line. stated is the outcome in its first line, and nil if there is none.
+// Run replays a recorded timeline. stated is the outcome in its first line, and nil if there is none.
 // A line that is no event is a BadDocument failure.
 func Run(r io.Reader) (result Outcome, stated *Outcome, err error) {
 	events, stated, err := readEvents(r)
--- a/pkg/route/replica.go
+++ b/pkg/route/replica.go
@@ -1,5 +1,5 @@
 // ================================================================
-// What an entry knows of a replica: its last report, which lags, corrected by the requests
+// The state of a replica as an entry sees it: its last report, which lags, corrected by the requests
 // that this entry has sent and seen end since, and the measured output rate.
 // ================================================================
 
--- a/pkg/route/router.go
+++ b/pkg/route/router.go
@@ -1,5 +1,5 @@
 // ================================================================
-// Router of one entry: the replicas it knows, and the selection among the candidates for a
+// Router of one entry: the table of replicas, and the selection among the candidates for a
 // request.
 // ================================================================
 
--- a/pkg/spread/coordinator.go
+++ b/pkg/spread/coordinator.go
@@ -43,7 +43,7 @@
 	// often and hold no leases.
 	completeAgentTimeout = 13 * time.Second
 	// startupDelay is how long a new coordinator waits before it grants origin fetches, so
-	// that it first hears from the other domains and its agents.
+	// that it first receives the messages of the other domains and its agents.
 	startupDelay = 300 * time.Millisecond
 	// stuckTimeout is how long a domain may gain no chunk before it loses the ownership of
 	// its chunks.
@@ -67,7 +67,7 @@
 	Random           *rand.Rand
 }
 
-// agentState is an agent that has reported.
+// agentState is the state of an agent that has reported.
 type agentState struct {
 	identity   vm.Identity
 	held       Bitmap
@@ -102,7 +102,7 @@
 	config       CoordinatorConfig
 	agents       map[vm.ID]*agentState
 	leases       map[int]lease
-	holderCounts []int       // per chunk, how many members hold it
+	holderCounts []int       // per chunk, how many agents hold it
 	firstHeldAt  []time.Time // per chunk, when it got its first holder
 	remotes      map[string]remoteDomain
 	owners       []string // per chunk, the domain that fetches it from the origin
@@ -139,10 +139,10 @@
 
 // Report takes an agent's report and returns its plan.
 func (c *Coordinator) Report(r contract.SpreadReport, now time.Time) contract.SpreadPlan {
-	m := c.update(r, now)
+	a := c.update(r, now)
 	c.expire(now)
-	originChunks, imports := c.leasesOf(m, now)
-	neighbours := c.neighboursOf(m)
+	originChunks, imports := c.leasesOf(a, now)
+	neighbours := c.neighboursOf(a)
 	if NeighbourHash(neighbours) == r.Neighbours() {
 		// Unchanged neighbours are not sent again: two dozen identities per second and
 		// agent were most of a coordinator's traffic.
@@ -162,26 +162,26 @@
 
 func (c *Coordinator) update(r contract.SpreadReport, now time.Time) *agentState {
 	id := r.From().ID()
-	m := c.agents[id]
-	if m != nil && !m.identity.SameIncarnation(r.From()) {
+	a := c.agents[id]
+	if a != nil && !a.identity.SameIncarnation(r.From()) {
 		c.dropAgent(id)
-		m = nil
+		a = nil
 	}
-	if m == nil {
-		m = &agentState{identity: r.From(), held: NewBitmap(c.config.Total)}
-		c.agents[id] = m
+	if a == nil {
+		a = &agentState{identity: r.From(), held: NewBitmap(c.config.Total)}
+		c.agents[id] = a
 	}
-	m.identity, m.incomplete, m.lastSeen = r.From(), r.Incomplete(), now
-	c.updateHeld(m, BitmapOf(r.Held(), c.config.Total), now)
+	a.identity, a.incomplete, a.lastSeen = r.From(), r.Incomplete(), now
+	c.updateHeld(a, BitmapOf(r.Held(), c.config.Total), now)
 	for _, chunk := range r.Released() {
 		c.releaseLease(int(chunk), id)
 	}
-	return m
+	return a
 }
 
-func (c *Coordinator) updateHeld(m *agentState, held Bitmap, now time.Time) {
+func (c *Coordinator) updateHeld(a *agentState, held Bitmap, now time.Time) {
 	for i := range c.config.Total {
-		was, is := m.held.Has(i), held.Has(i)
+		was, is := a.held.Has(i), held.Has(i)
 		if was == is {
 			continue
 		}
@@ -193,9 +193,9 @@
 		if c.holderCounts[i] == 1 {
 			c.firstHeldAt[i] = now
 		}
-		c.releaseLease(i, m.identity.ID())
+		c.releaseLease(i, a.identity.ID())
 	}
-	m.held = held
+	a.held = held
 }
 
 // releaseLease ends the lease of a chunk if the given agent holds it.
@@ -210,13 +210,13 @@
 	if l.fromOrigin {
 		c.originLeases--
 	}
-	if m := c.agents[l.agent]; m != nil {
-		m.leases--
+	if a := c.agents[l.agent]; a != nil {
+		a.leases--
 	}
 }
 
-func (m *agentState) timeout() time.Duration {
-	if m.incomplete {
+func (a *agentState) timeout() time.Duration {
+	if a.incomplete {
 		return agentTimeout
 	}
 	return completeAgentTimeout
@@ -224,8 +224,8 @@
 
 // Incomplete reports whether an agent of the domain lacks chunks.
 func (c *Coordinator) Incomplete() bool {
-	for _, m := range c.agents {
-		if m.incomplete {
+	for _, a := range c.agents {
+		if a.incomplete {
 			return true
 		}
 	}
@@ -234,8 +234,8 @@
 
 // expire drops agents and domains that have timed out, and expired leases.
 func (c *Coordinator) expire(now time.Time) {
-	for id, m := range c.agents {
-		if now.Sub(m.lastSeen) > m.timeout() {
+	for id, a := range c.agents {
+		if now.Sub(a.lastSeen) > a.timeout() {
 			c.dropAgent(id)
 		}
 	}
@@ -252,12 +252,12 @@
 }
 
 func (c *Coordinator) dropAgent(id vm.ID) {
-	m := c.agents[id]
-	if m == nil {
+	a := c.agents[id]
+	if a == nil {
 		return
 	}
 	for i := range c.config.Total {
-		if m.held.Has(i) {
+		if a.held.Has(i) {
 			c.holderCounts[i]--
 		}
 	}
@@ -272,13 +272,13 @@
 // ----------------------------------------------------------------
 // Neighbours
 
-// neighboursOf keeps the neighbours of an agent that are still members and replaces the
+// neighboursOf keeps the neighbours of an agent that still report and replaces the
 // others at random. Random neighbours keep the domain connected without any agent knowing
 // all others.
-func (c *Coordinator) neighboursOf(m *agentState) []vm.Identity {
+func (c *Coordinator) neighboursOf(a *agentState) []vm.Identity {
 	var kept []vm.ID
-	chosen := map[vm.ID]bool{m.identity.ID(): true}
-	for _, id := range m.neighbours {
+	chosen := map[vm.ID]bool{a.identity.ID(): true}
+	for _, id := range a.neighbours {
 		if c.agents[id] != nil {
 			kept = append(kept, id)
 			chosen[id] = true
@@ -287,8 +287,8 @@
 	if len(kept) < c.config.Neighbours {
 		kept = append(kept, c.pickAgents(chosen, c.config.Neighbours-len(kept))...)
 	}
-	m.neighbours = kept
-	// The plan does not say what the neighbours hold: they tell the agent directly, which
+	a.neighbours = kept
+	// The plan does not say what the neighbours hold: they announce it to the agent directly, which
 	// is faster.
 	identities := make([]vm.Identity, 0, len(kept))
 	for _, id := range kept {
--- a/pkg/spread/coordinator_domains.go
+++ b/pkg/spread/coordinator_domains.go
@@ -38,9 +38,9 @@
 	c.expire(now)
 	ids := make([]vm.ID, 0, len(c.agents))
 	incomplete := false
-	for id, m := range c.agents {
+	for id, a := range c.agents {
 		ids = append(ids, id)
-		incomplete = incomplete || m.incomplete
+		incomplete = incomplete || a.incomplete
 	}
 	sort.Slice(ids, func(i, j int) bool { return ids[i] < ids[j] })
 	agents := make([]vm.Identity, 0, len(ids))
--- a/pkg/spread/coordinator_leases.go
+++ b/pkg/spread/coordinator_leases.go
@@ -18,15 +18,15 @@
 // leasesOf grants an incomplete agent further leases and returns all that it holds, as the
 // chunks to fetch from the origin and the imports. Each response carries all leases, so
 // that a lost response loses none.
-func (c *Coordinator) leasesOf(m *agentState, now time.Time) ([]uint32, []contract.Import) {
-	if m.incomplete {
-		c.addLeases(m, now)
+func (c *Coordinator) leasesOf(a *agentState, now time.Time) ([]uint32, []contract.Import) {
+	if a.incomplete {
+		c.addLeases(a, now)
 	}
 	var originChunks []uint32
 	var imports []contract.Import
 	for chunk, l := range c.leases {
 		switch {
-		case l.agent != m.identity.ID():
+		case l.agent != a.identity.ID():
 		case l.fromOrigin:
 			originChunks = append(originChunks, uint32(chunk))
 		default:
@@ -40,21 +40,21 @@
 
 // addLeases grants the agent leases up to leasesPerAgent. It starts at a random chunk, so
 // that domains and agents do not all begin with the first one.
-func (c *Coordinator) addLeases(m *agentState, now time.Time) {
+func (c *Coordinator) addLeases(a *agentState, now time.Time) {
 	c.assignOwners(now)
 	start := c.config.Random.IntN(max(c.config.Total, 1))
 	for k := range c.config.Total {
-		if m.leases >= leasesPerAgent {
+		if a.leases >= leasesPerAgent {
 			return
 		}
 		chunk := (start + k) % c.config.Total
-		if m.held.Has(chunk) || !c.missing(chunk, now) {
+		if a.held.Has(chunk) || !c.missing(chunk, now) {
 			continue
 		}
 		if _, taken := c.leases[chunk]; taken {
 			continue
 		}
-		c.leaseChunk(m, chunk, now)
+		c.leaseChunk(a, chunk, now)
 	}
 }
 
@@ -68,8 +68,8 @@
 // leaseChunk grants the agent a lease to fetch a chunk from the origin, if the domain may
 // do so, or else from a holder in another domain. It grants none if the domain has reached
 // its limit of origin fetches or if no other domain holds the chunk.
-func (c *Coordinator) leaseChunk(m *agentState, chunk int, now time.Time) {
-	l := lease{agent: m.identity.ID(), expires: now.Add(c.config.LeaseDuration)}
+func (c *Coordinator) leaseChunk(a *agentState, chunk int, now time.Time) {
+	l := lease{agent: a.identity.ID(), expires: now.Add(c.config.LeaseDuration)}
 	if c.mayFetchFromOrigin(chunk, now) {
 		if c.originLeases >= max(minOriginFetches, c.config.MaxOriginFetches/c.ownerDomains) {
 			return
@@ -84,7 +84,7 @@
 		l.holder = holder
 	}
 	c.leases[chunk] = l
-	m.leases++
+	a.leases++
 }
 
 // mayFetchFromOrigin reports whether the domain fetches the chunk from the origin: the
--- a/pkg/spread/spread_test.go
+++ b/pkg/spread/spread_test.go
@@ -70,7 +70,7 @@
 }
 
 // A new coordinator must not fetch chunks from the origin that another domain owns, before
-// it has heard from that domain.
+// it has received a message of that domain.
 func TestNoOriginFetchDuringStartupDelay(t *testing.T) {
 	now := time.Unix(1000, 0)
 	plan := testCoordinator("a", now).Report(reportOf(testIdentity("a1", "a"), NewBitmap(16), true), now)
--- a/prove/backends_test.go
+++ b/prove/backends_test.go
@@ -25,7 +25,7 @@
 	"github.com/tidepost/tidepost/pkg/fake"
 )
 
-// tokenInterval is the time between two tokens of an engine's answer.
+// tokenInterval is the time between two tokens of an engine's response.
 const tokenInterval = 10 * time.Millisecond
 
 // runRecord counts the executions of requests on all backend servers, and collects violations.
@@ -103,7 +103,7 @@
 	return &engine.Engine{SendOrder: m.sendOrder, ReadState: m.readState, SendRequest: m.sendRequest}
 }
 
-// blockResponses stalls every answer until unblockAnswers, so that a VM that drains does not end.
+// blockResponses stalls every response until unblockResponses, so that a VM that drains does not end.
 func (m *modelEngine) blockResponses() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -202,7 +202,7 @@
 	return s
 }
 
-// sendRequest streams tokens that contain the request's body, so that an answer identifies its request.
+// sendRequest streams tokens that contain the request's body, so that a response identifies its request.
 func (m *modelEngine) sendRequest(ctx context.Context, r contract.Request) (*http.Response, error) {
 	m.mu.Lock()
 	digest := r.Digest().String()
@@ -216,7 +216,7 @@
 		return newResponse(http.StatusNotFound, "text/plain", digest, strings.NewReader("not loaded")), nil
 	}
 	if content != digest {
-		m.record.addViolation("an answer was computed with weights %.12s but labelled with digest %.12s", content, digest)
+		m.record.addViolation("a response was computed with weights %.12s but labelled with digest %.12s", content, digest)
 	}
 	reader, writer := io.Pipe()
 	go func() {
@@ -244,10 +244,10 @@
 	return newResponse(http.StatusOK, "text/event-stream", digest, reader), nil
 }
 
-// responseTokens is the number of tokens of every answer.
+// responseTokens is the number of tokens of every response.
 const responseTokens = 12
 
-// completeResponse returns the answer that a caller must get for a body.
+// completeResponse returns the response that a caller must get for a body.
 func completeResponse(body string) string {
 	var b strings.Builder
 	for i := range responseTokens {
@@ -279,7 +279,7 @@
 	mode string
 }
 
-// The modes of a plainService: it answers, or it executes the call and loses the answer.
+// The modes of a plainService: it responds, or it executes the call and loses the response.
 const (
 	modeNormal       = ""
 	modeLoseResponse = "lose_answer"
--- a/prove/cluster_test.go
+++ b/prove/cluster_test.go
@@ -90,7 +90,7 @@
 	// faultRandom is used by hooks that run concurrently with the scenario, each under its own
 	// lock. Only the scenario uses random, so that its sequence depends on the seed alone.
 	faultRandom *rand.Rand
-	// damagesResponses is set if the scenario damages answers on purpose.
+	// damagesResponses is set if the scenario damages responses on purpose.
 	damagesResponses bool
 
 	mu             sync.Mutex
@@ -122,7 +122,7 @@
 	})
 	cl.removeListener = invariant.Listen(func(name, detail string) {
 		if cl.damagesResponses && strings.HasPrefix(name, "answer_") {
-			// The scenario damages answers, so this invariant is expected to report them.
+			// The scenario damages responses, so this invariant is expected to report them.
 			return
 		}
 		cl.record.addViolation("invariant %s: %s", name, detail)
@@ -393,12 +393,12 @@
 	aborted bool
 }
 
-// isComplete reports whether the caller must take the answer as complete.
+// isComplete reports whether the caller must take the response as complete.
 func (a callerResponse) isComplete() bool {
 	return a.status == http.StatusOK && !a.aborted && !strings.Contains(a.body, "event: error")
 }
 
-// saysNotRun reports whether the caller was told that the request was not executed.
+// saysNotRun reports whether the response states that the request was not executed.
 func (a callerResponse) saysNotRun() bool {
 	return a.status != http.StatusOK && a.ran == failure.NotRun.String()
 }
@@ -426,7 +426,7 @@
 	return callerResponse{recorder.Code, recorder.Body.String(), recorder.Header().Get(entry.HeaderRan), aborted}
 }
 
-// chat sends a chat request and returns its body, which is unique to the name, with the answer.
+// chat sends a chat request and returns its body, which is unique to the name, with the response.
 func (cl *cluster) chat(at, name string) (string, callerResponse) {
 	body := fmt.Sprintf(`{"model":"menu","stream":true,"name":%q}`, name)
 	return body, cl.post(at, "/v1/chat/completions", body, nil)
--- a/prove/promises_test.go
+++ b/prove/promises_test.go
@@ -22,7 +22,7 @@
 var allAgents = []string{"agent-1", "agent-2", "agent-3", "agent-4", "agent-5"}
 
 // sendChats sends n chats through random entries at random times within over, and calls check with
-// each answer. It does not wait for them.
+// each response. It does not wait for them.
 func (cl *cluster) sendChats(n int, over time.Duration, check func(body string, a callerResponse)) {
 	for i := range n {
 		at, after := cl.pick(allEntries...), cl.randomMillis(int(over/time.Millisecond))
@@ -34,11 +34,11 @@
 	}
 }
 
-// checkComplete records a violation if an answer looks complete but is not the one that belongs to
+// checkComplete records a violation if a response looks complete but is not the one that belongs to
 // the request.
 func (cl *cluster) checkComplete(body string, a callerResponse) {
 	if a.isComplete() && a.body != completeResponse(body) {
-		cl.record.addViolation("answer to %s: %q", body, a.body)
+		cl.record.addViolation("response to %s: %q", body, a.body)
 	}
 }
 
@@ -80,7 +80,7 @@
 
 func TestPromise2WholeAnswers(t *testing.T) {
 	damageResponses := func(cl *cluster) {
-		// Answer parts are duplicated, swapped with the next one, or dropped.
+		// Response parts are duplicated, swapped with the next one, or dropped.
 		var mu sync.Mutex
 		held := map[string]contract.ResponsePart{}
 		cl.sendResponse = func(send func(contract.ResponsePart) error, part contract.ResponsePart) error {
@@ -211,7 +211,7 @@
 					time.Sleep(after)
 					body, key := fmt.Sprintf("order-%d", i), fmt.Sprintf("key-%d", i)
 					for _, entry := range at {
-						// A caller without an answer retries through another entry, with the same key.
+						// A caller without a response retries through another entry, with the same key.
 						if a := cl.orderFromService(entry, key, body); a.isComplete() {
 							return
 						}
@@ -362,7 +362,7 @@
 					continue
 				}
 				// Two operators change the same object against the same base revision, through
-				// different entries; each resends until it gets an answer.
+				// different entries; each resends until it gets a result.
 				for _, operator := range []string{"ann", "bob"} {
 					at := []string{cl.pick(allEntries...), cl.pick(allEntries...), cl.pick(allEntries...)}
 					cl.background(func() {
--- a/prove/refusals_test.go
+++ b/prove/refusals_test.go
@@ -61,7 +61,7 @@
 	})
 }
 
-// refusal sends a request to entry-1 and returns the error that it answers with, on one line.
+// refusal sends a request to entry-1 and returns the error in the response, on one line.
 func (cl *cluster) refusal(path, body string, headers map[string]string) string {
 	r := httptest.NewRequest("POST", path, strings.NewReader(body))
 	r.Header.Set(entry.HeaderOrganisation, "larder")
@@ -104,7 +104,7 @@
 }
 
 // Guards against a caller's header that overrides the configuration: a call of a service that is
-// not repeatable must not be executed a second time after its answer was lost.
+// not repeatable must not be executed a second time after its response was lost.
 func TestCallerCannotMakeAnOrderRepeatable(t *testing.T) {
 	bubble.Run(t, func(t *testing.T) {
 		cl := newCluster(t, 1)
@@ -118,7 +118,7 @@
 		cl.service.setMode(modeLoseResponse)
 		a := cl.post("entry-1", "/services/ordering/orders", "flour", map[string]string{entry.HeaderRepeatable: "true"})
 		if n := cl.record.runCount("flour"); n != 1 || a.saysNotRun() {
-			t.Errorf("executed %d times, answer %+v; want 1 and no answer that says not run", n, a)
+			t.Errorf("executed %d times, response %+v; want 1 and no response that says not run", n, a)
 		}
 	})
 }
--- a/soak/aim_test.go
+++ b/soak/aim_test.go
@@ -43,7 +43,7 @@
 	baselinePeriod = 12 * time.Second
 	// completionWait is the time until the last request of a window has finished.
 	completionWait = 7 * time.Second
-	// callerTimeout is how long callers wait for an answer.
+	// callerTimeout is how long callers wait for a response.
 	callerTimeout = 6 * time.Second
 	// longRolloutDeadline is the time within which a new version of the weights must be in use.
 	longRolloutDeadline = 10 * time.Second
@@ -262,7 +262,7 @@
 	return fmt.Sprintf(detailFormat, fmt.Sprintf("every %.1f s, from -%.1f s", timelineStep.Seconds(), timelineLead.Seconds()), strings.Join(steps, " "))
 }
 
-// maxResponseTime is longer than the longest answer of a busy engine takes.
+// maxResponseTime is longer than the longest response of a busy engine takes.
 const maxResponseTime = 2 * time.Second
 
 // count assigns the requests to the periods in which they were sent.
--- a/soak/cluster_test.go
+++ b/soak/cluster_test.go
@@ -92,7 +92,7 @@
 	chunkServiceTime = 25 * time.Millisecond
 )
 
-// cluster is a running cluster with its programs, proxies and simulated servers.
+// cluster is a running cluster with its programs, proxies and stand-in servers.
 type cluster struct {
 	t        *testing.T
 	config   clusterConfig
@@ -225,7 +225,7 @@
 }
 
 // ----------------------------------------------------------------
-// Simulated servers
+// Stand-in servers
 
 func (cl *cluster) controlAddresses() []string {
 	var addresses []string
--- a/soak/crash_request_test.go
+++ b/soak/crash_request_test.go
@@ -1,7 +1,7 @@
 // ================================================================
 // Guards against a request that crashes every server that runs it: its callers retry it at
-// any gateway, and when gateways kept no record of it and shared none, nothing stopped it and
-// two fifths of all other work was lost. The real programs run here with a popular request,
+// any gateway. When gateways neither recorded such requests nor shared their records, it was never
+// refused, and two fifths of all other work was lost. The real programs run here with a popular request,
 // failing racks and restarting gateways beside it; pkg/gateway tests the individual causes.
 // The incident is described in docs/incidents/.
 // ================================================================
@@ -47,7 +47,7 @@
 	background sync.WaitGroup
 	mu         sync.Mutex
 	total      map[string]int // finished background requests by name
-	complete   map[string]int // those of them with a complete answer
+	complete   map[string]int // those of them with a complete response
 }
 
 func newCrashRun(cl *cluster, kind standin.Kind, seed uint64) *crashRun {
@@ -78,8 +78,8 @@
 	r.background.Go(func() {
 		for n := 0; ctx.Err() == nil; n++ {
 			first := random.IntN(r.cluster.config.gateways)
-			c := standin.Caller{Gateway: func(try int) string {
-				return r.cluster.address(gatewayVMs, (first+try)%r.cluster.config.gateways, callersPort)
+			c := standin.Caller{Gateway: func(number int) string {
+				return r.cluster.address(gatewayVMs, (first+number)%r.cluster.config.gateways, callersPort)
 			}}
 			ask := sized(standin.Request{ID: fmt.Sprintf("%s-%d-%d", name, random.Uint32(), n), Kind: kind, Body: body, Timeout: deadline})
 			a := c.Do(context.WithoutCancel(ctx), ask)
--- a/soak/ends_size_test.go
+++ b/soak/ends_size_test.go
@@ -33,7 +33,7 @@
 const (
 	// crashRunSeconds is the duration of a run unless TIDEPOST_SECONDS is set.
 	crashRunSeconds = 24
-	// crashReportTime is the time within which all gateways must know of a crash.
+	// crashReportTime is the time within which all gateways must have learned of a crash.
 	crashReportTime = 3 * time.Second
 	// maxLateCrashes is how often the request may reach servers more than crashReportTime after
 	// its third crash.
@@ -73,8 +73,8 @@
 }
 
 func (l *openLoad) sendOne(name string, a standin.Request, first int) {
-	c := standin.Caller{Gateway: func(try int) string {
-		return l.cluster.address(gatewayVMs, (first+try)%l.cluster.config.gateways, callersPort)
+	c := standin.Caller{Gateway: func(number int) string {
+		return l.cluster.address(gatewayVMs, (first+number)%l.cluster.config.gateways, callersPort)
 	}}
 	do := c.Do
 	if name == "ending" {
--- a/soak/final_test.go
+++ b/soak/final_test.go
@@ -27,7 +27,7 @@
 	controlNodes = 6
 	maxLostDisks = 2
 	catchUpTime  = 6 * time.Second
-	// recoveryTime is the time within which every node must answer again.
+	// recoveryTime is the time within which every node must respond again.
 	recoveryTime = 15 * time.Second
 	// maxChanges is the largest number of configuration changes before a fault unless
 	// TIDEPOST_CHANGES is set. maxExtraRoutes is the largest number of routes that a
--- a/soak/keepalive_test.go
+++ b/soak/keepalive_test.go
@@ -17,7 +17,7 @@
 )
 
 const (
-	// streamDeadline and plainDeadline are how long callers wait for the answer to a stream and to a
+	// streamDeadline and plainDeadline are how long callers wait for the response to a stream and to a
 	// request to a plain server.
 	streamDeadline = 6 * time.Second
 	plainDeadline  = 1200 * time.Millisecond
--- a/soak/limits_series_test.go
+++ b/soak/limits_series_test.go
@@ -113,7 +113,7 @@
 // changeLimits makes each server announce randomly drawn limits.
 func (f *faultInjector) changeLimits(ctx context.Context, servers []limitedServer) {
 	for _, server := range servers {
-		f.repeat(ctx, "word", limitChangePause, func(r *rand.Rand) { server.limit.Advertise(limitTexts[r.IntN(len(limitTexts))]) })
+		f.repeat(ctx, "limit", limitChangePause, func(r *rand.Rand) { server.limit.Advertise(limitTexts[r.IntN(len(limitTexts))]) })
 	}
 }
 
@@ -134,7 +134,7 @@
 }
 
 // reportLimits prints how limits were kept and used, and fails if one was exceeded, if too
-// little of the limits was used in a run without fault series, or if an answer was wrong or
+// little of the limits was used in a run without fault series, or if a response was wrong or
 // missing.
 func (cl *cluster) reportLimits(t *testing.T, servers []limitedServer, v verdict, counts map[string]int) {
 	maxCount, received, allowed := 0, 0.0, 0.0
@@ -164,7 +164,7 @@
 		t.Errorf("%s: %s", k.ID, k.Reason)
 	}
 	if n := v.ends[standin.TimedOut]; n > 0 {
-		t.Errorf("%d requests had no answer", n)
+		t.Errorf("%d requests had no response", n)
 	}
 }
 
--- a/soak/limits_test.go
+++ b/soak/limits_test.go
@@ -1,6 +1,6 @@
 // ================================================================
 // Guards against gateways that ignore the rate limits of backend servers. A server announces
-// its limit in its answers, to whichever gateway it answers. When gateways only passed the
+// its limit in its responses, to whichever gateway sent the request. When gateways only passed the
 // limit on to callers, servers with limits of 1 and 1.9 requests a second got 18 and 23
 // requests in 4 s, where 11 and 16 are allowed; this test measured 33 to 290 on that code.
 // ================================================================
--- a/soak/limits_verdict_test.go
+++ b/soak/limits_verdict_test.go
@@ -1,6 +1,6 @@
 // ================================================================
 // Decides whether all gateways together kept to the limits that backend servers announced. It
-// uses only the requests that arrived at a server and the limits in its answers, so it does
+// uses only the requests that arrived at a server and the limits in its responses, so it does
 // not depend on how gateways implement limits.
 // ================================================================
 
@@ -22,13 +22,13 @@
 	limitWindow = 4 * time.Second
 	limitFactor = 1.5
 	limitSlack  = 5
-	// limitGrace is the time from an answer that announces a limit until the requests of the
+	// limitGrace is the time from a response that announces a limit until the requests of the
 	// gateway that got it count.
 	limitGrace = 500 * time.Millisecond
 	// maxLimitPerSecond is the largest rate that is a valid limit.
 	maxLimitPerSecond = 1e6
 	// limitUseDelay is the time from the announcement of a limit until its use is measured. All
-	// gateways know the limit by then.
+	// gateways have received the limit by then.
 	limitUseDelay = time.Second
 )
 
@@ -89,7 +89,7 @@
 }
 
 // countedArrivals returns the arrivals that the rule counts: those from gateways whose current
-// process had got an answer with a limit at least limitGrace before.
+// process had got a response with a limit at least limitGrace before.
 func (cl *cluster) countedArrivals(s limitedServer, periods []limitPeriod) (counted []standin.RequestTime) {
 	informed := map[string][]time.Time{}
 	for _, a := range s.limit.LimitedResponses() {
--- a/soak/load_test.go
+++ b/soak/load_test.go
@@ -21,7 +21,7 @@
 	loadShare = 0.7
 	// plainShare is the share of requests to plain servers; half of these are unsafe.
 	plainShare = 0.3
-	// minTokens and maxTokens bound the length of an answer; their mean is
+	// minTokens and maxTokens bound the length of a response; their mean is
 	// engineFigures.Answer. minPrompt and maxPrompt bound the length of a prompt.
 	minTokens, maxTokens = 40, 120
 	minPrompt, maxPrompt = 400, 1200
@@ -107,8 +107,8 @@
 // start sends a request, and returns a channel that is closed when it has ended.
 func (l *load) start(ctx context.Context, a standin.Request, gateway int, keepAlive bool) <-chan struct{} {
 	done := make(chan struct{})
-	c := standin.Caller{Gateway: func(try int) string {
-		return l.cluster.address(gatewayVMs, (gateway+try)%l.cluster.config.gateways, callersPort)
+	c := standin.Caller{Gateway: func(number int) string {
+		return l.cluster.address(gatewayVMs, (gateway+number)%l.cluster.config.gateways, callersPort)
 	}}
 	if keepAlive {
 		c.KeepAliveClient = l.keepAlive[gateway]
--- a/soak/lost_test.go
+++ b/soak/lost_test.go
@@ -20,12 +20,12 @@
 	"time"
 )
 
-// maxUnanswered is how many requests over keep-alive connections may end without an answer
+// maxUnanswered is how many requests over keep-alive connections may end without a response
 // outside of planned stops.
 const maxUnanswered = 3
 
-// userTokens and userPrompt are the lengths of the users' answers and prompts, in tokens. An
-// answer takes an engine 0.4 to 4.5 s, and its prompt up to 0.2 s before that.
+// userTokens and userPrompt are the lengths of the users' responses and prompts, in tokens. A
+// response takes an engine 0.4 to 4.5 s, and its prompt up to 0.2 s before that.
 var userTokens, userPrompt = bounds{40, 480}, bounds{100, 3880}
 
 // envNumber returns the number in an environment variable, or fallback if it is not set.
@@ -41,7 +41,7 @@
 	return n
 }
 
-// Guards against answers that are cut off while programs are stopped gracefully.
+// Guards against responses that are cut off while programs are stopped gracefully.
 func TestNothingIsLost(t *testing.T) {
 	runFaultSeries(t).report(t)
 }
@@ -108,7 +108,7 @@
 		fmt.Println("lost: " + c.reportLine())
 	}
 	if n := v.lostOutsideStops(); n > maxUnanswered {
-		t.Errorf("%d requests over keep-alive connections ended without an answer; at most %d are allowed", n, maxUnanswered)
+		t.Errorf("%d requests over keep-alive connections ended without a response; at most %d are allowed", n, maxUnanswered)
 	}
 	if n := v.stopViolations(); n > 0 {
 		t.Errorf("planned stops cut %d requests that they must not cut", n)
@@ -128,7 +128,7 @@
 	return n
 }
 
-// lostOutsideStops returns how many requests were left without an answer while their gateway
+// lostOutsideStops returns how many requests were left without a response while their gateway
 // was not being stopped.
 func (v verdict) lostOutsideStops() int {
 	return v.countCuts(func(c cutRequest) bool { return c.lostResponse && c.stop == nil })
--- a/soak/programs_test.go
+++ b/soak/programs_test.go
@@ -1,5 +1,5 @@
 // ================================================================
-// Runs the programs as child processes. One locked thread starts all of them and lives until
+// Runs the programs as child processes. One locked thread starts all of them and runs until
 // the end: the kernel kills a child with the parent-death signal when its starting thread
 // ends, so no program outlives the test process.
 // ================================================================
--- a/soak/silence_test.go
+++ b/soak/silence_test.go
@@ -51,7 +51,7 @@
 	const next = standin.FirstVersion + 1
 	cl.nameVersion(ctx, next)
 	l.send(ctx, requestsPerPhase/2)
-	// Some requests run at a server when the connections go silent: the answers to those
+	// Some requests run at a server when the connections go silent: the responses to those
 	// that must not run again are lost.
 	l.sendUnsafe(ctx, inFlightRequests)
 	silenced := cl.silence(connectionKinds, faultproxy.SilenceOptions{})
@@ -97,11 +97,11 @@
 			t.Errorf("%s (%s) was not served: %+v", a.Request.ID, a.Request.Kind, a.Attempts)
 		}
 		runs := 0
-		for _, try := range a.Attempts {
-			n := cl.runLog.Runs(try.ID)
+		for _, attempt := range a.Attempts {
+			n := cl.runLog.Runs(attempt.ID)
 			runs += n
-			if try.RefusalStatus != 0 && n > 0 {
-				t.Errorf("%s was refused with %d and ran %d times", try.ID, try.RefusalStatus, n)
+			if attempt.RefusalStatus != 0 && n > 0 {
+				t.Errorf("%s was refused with %d and ran %d times", attempt.ID, attempt.RefusalStatus, n)
 			}
 		}
 		if a.Request.Kind == standin.Unsafe && runs > 1 {
--- a/soak/stop_test.go
+++ b/soak/stop_test.go
@@ -1,5 +1,5 @@
 // ================================================================
-// Guards against requests over keep-alive connections that end without an answer while their
+// Guards against requests over keep-alive connections that end without a response while their
 // gateways are restarted, reloaded or short of processor time. The real programs are stopped,
 // reloaded and suspended here, with a fixed seed and without measuring times: every request
 // that ran at a server must be answered. pkg/gateway tests the individual causes. The incident
@@ -25,7 +25,7 @@
 var smallClusterConfig = clusterConfig{control: 3, gateways: 2, engines: 3, plain: 2, plainServiceTime: plainServiceTime, rolloutDeadline: longDeadline}
 
 // startKeepAliveCallers starts callers with keep-alive connections to all gateways. The
-// function that it returns stops them and waits for the last answers.
+// function that it returns stops them and waits for the last responses.
 func (cl *cluster) startKeepAliveCallers(t *testing.T) (end func() []standin.KeepAliveRequest) {
 	ctx, cancel := context.WithCancel(t.Context())
 	l := &keepAliveLoad{cluster: cl, streams: 3, plain: 3, pause: 20 * time.Millisecond, deadline: longDeadline}
@@ -119,7 +119,7 @@
 const pausedRequestID = "paused-0"
 
 // A gateway is suspended until long after the deadline of a running request and then resumes.
-// The caller is still waiting and gets an answer.
+// The caller is still waiting and gets a response.
 func TestAnswerAfterAPauseIsWritten(t *testing.T) {
 	cl := startCluster(t, smallClusterConfig, logFolder(t))
 	k := cl.requestDuringPause(t, standin.Request{Kind: standin.Unsafe, Timeout: plainDeadline}, 0, 2*plainDeadline)
--- a/soak/verdict_test.go
+++ b/soak/verdict_test.go
@@ -43,13 +43,13 @@
 	return s.gateway == k.Gateway && k.Ended.After(s.from) && k.Sent.Before(s.to.Add(time.Second))
 }
 
-// cutRequest is a request over a keep-alive connection that ended without a complete answer.
+// cutRequest is a request over a keep-alive connection that ended without a complete response.
 type cutRequest struct {
 	standin.KeepAliveRequest
 	ran  int       // how often it ran at a server
 	stop *stopSpan // the planned stop during which it was in flight; nil for none
-	// cutByStop is true if a planned stop cut the request though it must not. lostAnswer is true
-	// if the request ran and got no answer before its deadline, whatever the cause.
+	// cutByStop is true if a planned stop cut the request though it must not. lostResponse is true
+	// if the request ran and got no response before its deadline, whatever the cause.
 	cutByStop, lostResponse bool
 	logLines                []string // the gateways' log lines on the request
 }
@@ -58,7 +58,7 @@
 type verdict struct {
 	ends map[standin.Outcome]int
 	cuts []cutRequest
-	// wrongResponses are complete answers whose content does not match their requests.
+	// wrongResponses are complete responses whose content does not match their requests.
 	wrongResponses []standin.KeepAliveRequest
 	// interrupted counts the running streams that gateways interrupted, by reason.
 	interrupted map[string]int
@@ -137,7 +137,7 @@
 	if c.stop != nil {
 		stopTimes = fmt.Sprintf(", sent %+.2f s from the signal, exit at %.2f", c.Sent.Sub(c.stop.from).Seconds(), c.stop.to.Sub(c.stop.from).Seconds())
 	}
-	return fmt.Sprintf("%s %s (%s, %d before): %s after %.2f s, ran %d, reset %t, cut by stop %t, lost answer %t%s; %s; log %q",
+	return fmt.Sprintf("%s %s (%s, %d before): %s after %.2f s, ran %d, reset %t, cut by stop %t, lost response %t%s; %s; log %q",
 		c.Ended.Format("05.000"), c.ID, c.Kind, c.AnsweredBefore, c.Outcome, c.Ended.Sub(c.Sent).Seconds(), c.ran, c.Reset, c.cutByStop, c.lostResponse, stopTimes, c.Reason, c.logLines)
 }
 
