--- a/Makefile
+++ b/Makefile
@@ -41,8 +41,8 @@
 # failure domain or all, and soon again; others stops control nodes and stagers in order.
 # LONG=1 has answers and prompts as long as the users', SLOW engines so many times as slow
 # while gateways are stopped together, PLAIN_MS how long plain servers take, RESERVE the
-# repeats besides a share; GATEWAYS and ENGINES are counts. LOGS is a new folder for the
-# programs' logs. TEST=TestNoStreamUnderWayIsInterrupted asks for what guards of gateways end instead.
+# retries besides a share; GATEWAYS and ENGINES are counts. LOGS is a new folder for the
+# programs' logs. TEST=TestNoStreamUnderWayIsInterrupted counts the streams that gateways interrupt instead.
 lost:
 	TIDEPOST_SEED=$(or $(SEED),1) TIDEPOST_SECONDS="$(SECONDS)" TIDEPOST_LOAD="$(LOAD)" TIDEPOST_BUSY="$(BUSY)" \
 	TIDEPOST_SERIES="$(SERIES)" TIDEPOST_GATEWAYS="$(GATEWAYS)" TIDEPOST_ENGINES="$(ENGINES)" TIDEPOST_SOAK_LOGS="$(LOGS)" \
@@ -55,7 +55,7 @@
 	go test -count=1 -v -timeout 60m -tags bench ./pkg/gateway -run 'TestNoStreamIsLost|TestNoDeadlineOfAGateway' \
 	| grep -E 'seed [0-9]+:|^ *---|FAIL|^ok'
 
-# A request that ends the servers that run it: make ends SEED=1 KIND=unsafe SAME=1 RACKS=1
+# A request that crashes the servers that run it: make ends SEED=1 KIND=unsafe SAME=1 RACKS=1
 # RESTARTS=1 ENDING=0 SECONDS=24, each of them optional.
 ends:
 	TIDEPOST_SEED=$(or $(SEED),1) TIDEPOST_KIND="$(KIND)" TIDEPOST_SAME="$(SAME)" TIDEPOST_RACKS="$(RACKS)" \
@@ -67,10 +67,10 @@
 	TIDEPOST_SEED=$(or $(SEED),1) TIDEPOST_ROUNDS="$(ROUNDS)" TIDEPOST_BUSY="$(BUSY)" TIDEPOST_SOAK_LOGS="$(LOGS)" \
 	go test -count=1 -v -timeout 60m -tags bench ./soak -run TestAcknowledgedSurvives | grep -E '^final|final_test|FAIL|^ok'
 
-# Limits that backend servers name: make limits SEED=1 SERIES="roll fall freeze cut hush dark
+# Limits that backend servers advertise: make limits SEED=1 SERIES="roll fall freeze cut hush dark
 # kill change" SECONDS=30 GATEWAYS=6 ENGINES=9 LOAD=0.8 ALL=1 STEADY=1.9, each optional. ALL has
-# all servers name limits, else a third; STEADY has them name one all the time, else words are
-# drawn. fall kills gateways, cut and hush cut their links to each other, dark kills all
+# all servers advertise limits, else a third; STEADY has them advertise one all the time, else
+# the headers are random. fall kills gateways, cut and hush cut their links to each other, dark kills all
 # control nodes.
 limits:
 	TIDEPOST_SEED=$(or $(SEED),1) TIDEPOST_SECONDS="$(SECONDS)" TIDEPOST_SERIES="$(SERIES)" TIDEPOST_GATEWAYS="$(GATEWAYS)" \
