--- a/pkg/agent/configuration.go
+++ b/pkg/agent/configuration.go
@@ -138,22 +138,22 @@
 		}
 		a.removeCopy(digest)
 	}
-	a.removeLeftovers(view, wanted)
+	a.removeUnopenedCopies(view, wanted)
 }
 
-// removeLeftovers removes files of copies that the configuration doesn't name. Leftovers
+// removeUnopenedCopies removes files of copies that the configuration doesn't name. Leftovers
 // arise only when the configuration changes, so the folder is read once for each
 // revision and not in each reconciliation.
-func (a *Agent) removeLeftovers(view *configstate.View, wanted map[contract.Digest]configstate.Assignment) {
+func (a *Agent) removeUnopenedCopies(view *configstate.View, wanted map[contract.Digest]configstate.Assignment) {
 	if a.sweptRevision == view.Revision() {
 		return
 	}
-	leftovers, err := a.store.UnopenedCopies()
+	unopened, err := a.store.UnopenedCopies()
 	if err != nil {
 		return
 	}
 	a.sweptRevision = view.Revision()
-	for _, digest := range leftovers {
+	for _, digest := range unopened {
 		_, inUse := wanted[digest]
 		if _, known := view.ModelByDigest(digest); !known && !inUse {
 			_ = a.store.RemoveUnopenedCopy(digest)
--- a/pkg/agreed/machine.go
+++ b/pkg/agreed/machine.go
@@ -95,7 +95,7 @@
 var appliers = map[CommandKind]func(*Machine, []byte) (any, error){
 	CommandChange:          (*Machine).applyChange,
 	CommandClaim:           (*Machine).applyClaim,
-	CommandClaimSettlement: (*Machine).applySettle,
+	CommandClaimSettlement: (*Machine).applyClaimSettlement,
 }
 
 // Apply applies the command of the entry at index. It returns a ChangeResult,
@@ -138,7 +138,7 @@
 	return m.claims.Acquire(c, m.time), nil
 }
 
-func (m *Machine) applySettle(body []byte) (any, error) {
+func (m *Machine) applyClaimSettlement(body []byte) (any, error) {
 	var s contract.ClaimSettlement
 	if err := msgpack.Unmarshal(body, &s); err != nil {
 		return nil, failure.New(failure.BadRequest, "the outcome of a claim cannot be decoded: %v", err)
--- a/pkg/control/node.go
+++ b/pkg/control/node.go
@@ -83,9 +83,9 @@
 // New returns a node that is not running yet. path is its settings file, which is read again on a
 // reload; it may be empty. origin is the protocol of the origin of weights; nil disables the
 // weights cache.
-func New(s settings.Control, path string, protocol Protocol, origin *staging.Protocol, seams Hooks) (*Node, error) {
+func New(s settings.Control, path string, protocol Protocol, origin *staging.Protocol, hooks Hooks) (*Node, error) {
 	debug.SetMemoryLimit(int64(float64(s.Memory()) * goMemoryShare))
-	process, err := daemon.New(s.Common().WithoutDataFolder(), vm.NewIncarnation(), seams.Hooks)
+	process, err := daemon.New(s.Common().WithoutDataFolder(), vm.NewIncarnation(), hooks.Hooks)
 	if err != nil {
 		return nil, err
 	}
@@ -115,7 +115,7 @@
 	n.server = n.newServer()
 	n.quarantineStore = &quarantineStore{table: n.service.quarantine, mergeRecords: n.service.mergeRecords, logger: process.Logger}
 	n.service.onRecordsChanged = n.quarantineStore.markChanged
-	n.member = newMember(n.memberConfig(seams))
+	n.member = newMember(n.memberConfig(hooks))
 	n.service.member = n.member
 	n.nodeFollower = n.newNodeFollower()
 	n.suspension.OnResume(n.service.state.addSuspension)
@@ -138,8 +138,8 @@
 	return link.WithPortOf(n.seeds.Get(), n.process.Identity.Address())
 }
 
-func (n *Node) memberConfig(seams Hooks) memberConfig {
-	open := seams.OpenFolder
+func (n *Node) memberConfig(hooks Hooks) memberConfig {
+	open := hooks.OpenFolder
 	if open == nil {
 		open = func() (*disk.Folder, error) { return disk.NewFolder(n.settings.Common().DataFolder()) }
 	}
--- a/pkg/staging/stager.go
+++ b/pkg/staging/stager.go
@@ -66,9 +66,9 @@
 
 // New returns a stager that is not running yet. path is its settings file, which is read again on a
 // reload; it may be empty.
-func New(c settings.Stager, path string, protocol Protocol, seams daemon.Hooks) (*Stager, error) {
+func New(c settings.Stager, path string, protocol Protocol, hooks daemon.Hooks) (*Stager, error) {
 	debug.SetMemoryLimit(int64(float64(c.Memory()) * goMemoryShare))
-	process, err := daemon.New(c.Common(), vm.NewIncarnation(), seams)
+	process, err := daemon.New(c.Common(), vm.NewIncarnation(), hooks)
 	if err != nil {
 		return nil, err
 	}
