--- a/pkg/agent/agent.go
+++ b/pkg/agent/agent.go
@@ -59,7 +59,7 @@
 	uploads   chan struct{}
 	traffic   traffic
 	metrics   *metrics
-	// sweptRevision is the configuration revision at which leftover files were last
+	// sweptRevision is the configuration revision at which unopened copies were last
 	// removed. Only the reconciler uses it.
 	sweptRevision uint64
 
--- a/pkg/agent/configuration.go
+++ b/pkg/agent/configuration.go
@@ -141,8 +141,8 @@
 	a.removeUnopenedCopies(view, wanted)
 }
 
-// removeUnopenedCopies removes files of copies that the configuration doesn't name. Leftovers
-// arise only when the configuration changes, so the folder is read once for each
+// removeUnopenedCopies removes files of copies that the configuration doesn't name. Such
+// copies arise only when the configuration changes, so the folder is read once for each
 // revision and not in each reconciliation.
 func (a *Agent) removeUnopenedCopies(view *configstate.View, wanted map[contract.Digest]configstate.Assignment) {
 	if a.sweptRevision == view.Revision() {
--- a/pkg/agreed/machine.go
+++ b/pkg/agreed/machine.go
@@ -29,7 +29,7 @@
 	CommandChange CommandKind = iota + 1
 	// CommandClaim claims a request; its body is a contract.Claim.
 	CommandClaim
-	// CommandClaimSettlement ends a claim; its body is a contract.Settle.
+	// CommandClaimSettlement ends a claim; its body is a contract.ClaimSettlement.
 	CommandClaimSettlement
 )
 
@@ -41,7 +41,7 @@
 	kind CommandKind
 	// time is the leader's clock at the proposal, in nanoseconds since the Unix epoch.
 	time int64
-	// body is the encoded Change, Claim or Settle.
+	// body is the encoded Change, Claim or ClaimSettlement.
 	body []byte
 }
 
@@ -99,7 +99,7 @@
 }
 
 // Apply applies the command of the entry at index. It returns a ChangeResult,
-// a ClaimResult, a bool (for a Settle) or an error.
+// a ClaimResult, a bool (for a ClaimSettlement) or an error.
 func (m *Machine) Apply(index uint64, data []byte) any {
 	if err := invariant.Check(index > m.applied, "log_applied_twice", "index %d after %d", index, m.applied); err != nil {
 		return err
--- a/pkg/agreed/wire_generated.go
+++ b/pkg/agreed/wire_generated.go
@@ -17,7 +17,7 @@
 // Time is the leader's clock at the proposal, in nanoseconds since the Unix epoch.
 func (c Command) Time() int64 { return c.time }
 
-// Body is the encoded Change, Claim or Settle.
+// Body is the encoded Change, Claim or ClaimSettlement.
 func (c Command) Body() []byte { return c.body }
 
 // EncodeMsgpack writes the fields in order, as one array.
--- a/pkg/contract/agent.go
+++ b/pkg/contract/agent.go
@@ -192,7 +192,7 @@
 	data []byte
 }
 
-// SpreadReport tells the coordinator which chunks of a copy an agent holds.
+// SpreadReport reports to the coordinator which chunks of a copy an agent holds.
 //
 //wire:generate
 type SpreadReport struct {
@@ -235,7 +235,7 @@
 	holder vm.Identity
 }
 
-// DomainSources tells the coordinators of other failure domains which agents of this
+// DomainSources reports to the coordinators of other failure domains which agents of this
 // domain hold which chunks.
 //
 //wire:generate
@@ -253,7 +253,7 @@
 	holders []uint16
 }
 
-// HeldChunks tells a subscribed neighbour which chunks an agent holds.
+// HeldChunks reports to a subscribed neighbour which chunks an agent holds.
 //
 //wire:generate
 type HeldChunks struct {
--- a/pkg/contract/operator.go
+++ b/pkg/contract/operator.go
@@ -53,11 +53,11 @@
 	entries []EntryHeartbeat
 }
 
-// MemberStatus is one voter of the control log.
+// MemberStatus is one member of the control log: a voter or a learner.
 //
 //wire:generate
 type MemberStatus struct {
-	// id is the voter's VM.
+	// id is the member's VM.
 	id string
 	// incarnation is the incarnation of its data folder.
 	incarnation uint64
@@ -107,7 +107,7 @@
 	VoterRemove    VoterAction = "remove"
 )
 
-// DrainRequest tells a process to take no new work and to stop when idle.
+// DrainRequest requests that a process take no new work and stop when idle.
 //
 //wire:generate
 type DrainRequest struct {
--- a/pkg/contract/wire_generated.go
+++ b/pkg/contract/wire_generated.go
@@ -1024,7 +1024,7 @@
 	return MemberStatus{id: id, incarnation: incarnation, address: address, learner: learner, match: match}
 }
 
-// ID is the voter's VM.
+// ID is the member's VM.
 func (m MemberStatus) ID() string { return m.id }
 
 // Incarnation is the incarnation of its data folder.
--- a/pkg/feed/cluster_test.go
+++ b/pkg/feed/cluster_test.go
@@ -85,8 +85,8 @@
 	return p
 }
 
-// startCustomNode starts a control node with a modified Source and a handler for the Updates of
-// other nodes.
+// startCustomNode starts a control node with a modified PublisherConfig and a handler for the
+// Updates of other nodes.
 func (c *testCluster) startCustomNode(domain string, modify func(*PublisherConfig), onUpdate func(Update)) (*Publisher, *Follower) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/pkg/feed/publisher.go
+++ b/pkg/feed/publisher.go
@@ -43,8 +43,8 @@
 	maxFollowers = 4096
 )
 
-// PublisherConfig is the data that a publisher sends and the handlers of what it receives. All functions are
-// called from several goroutines.
+// PublisherConfig is the data that a publisher sends and the handlers of what it receives. All
+// functions are called from several goroutines.
 type PublisherConfig struct {
 	// Self is the identity of the node.
 	Self vm.Identity
--- a/pkg/gateway/backends.go
+++ b/pkg/gateway/backends.go
@@ -173,7 +173,7 @@
 // applyLoadReport stores the load report of an engine. Hundreds of engines report several times a
 // second, so the engine is looked up by address. A late heartbeat may register an earlier
 // incarnation after the current one, so all backends at the address get the report; the first
-// answer tells them apart.
+// answer shows which incarnation runs.
 func (t *backends) applyLoadReport(l feed.Load) {
 	s := t.shard(l.Service())
 	s.mu.RLock()
--- a/pkg/gateway/permit_request.go
+++ b/pkg/gateway/permit_request.go
@@ -77,7 +77,7 @@
 }
 
 // askOwner asks another gateway. After a refusal it asks once more: a broken link looks the same as
-// an exited process, and a new connection tells them apart.
+// an exited process, and a new connection distinguishes the two.
 func (g *Gateway) askOwner(ctx context.Context, address string, request serverlimit.PermitRequest) (answer serverlimit.PermitResponse, answered bool) {
 	at := time.Now()
 	callCtx, cancel := context.WithTimeout(ctx, ownerTimeout)
--- a/pkg/gateway/silence.go
+++ b/pkg/gateway/silence.go
@@ -1,9 +1,9 @@
 // ================================================================
-// Rules that tell a silent connection from a silent backend server. A device in the network path
-// that loses its connection state (a NAT or firewall) leaves connections open at both ends but
-// drops all packets: neither end sees a close or a reset, while new connections work. A gateway that
-// takes this for a slow backend server waits on the dead connection, and then uses the next dead one
-// from the pool.
+// Rules that distinguish a silent connection from a silent backend server. A device in the network
+// path that loses its connection state (a NAT or firewall) leaves connections open at both ends but
+// drops all packets: neither end sees a close or a reset, while new connections work. A gateway
+// that takes this for a slow backend server waits on the silent connection, and then uses the next
+// silent one from the pool.
 //
 // An attempt is overdue when it has been silent for longer than recent attempts were: before its
 // first event measured from its forecast and the recent forecast error, between events by the
--- a/pkg/gateway/stream_interrupt_test.go
+++ b/pkg/gateway/stream_interrupt_test.go
@@ -186,7 +186,7 @@
 		<-time.After(maxEventGap + 2*watchdogInterval)
 		return writeRest(w, 2, 3)
 	}, closeWithoutResponse)
-	f.gateway.backends.markDeparted("i-new", 0)
+	f.gateway.backends.markDeparted("i-young", 0)
 	status, _, body, err := f.do(t, f.draftRequest(t))
 	if status != http.StatusOK || body != events(1, 3) || err != nil {
 		t.Fatalf("%d %q %v", status, body, err)
--- a/pkg/gateway/stream_order_test.go
+++ b/pkg/gateway/stream_order_test.go
@@ -103,7 +103,7 @@
 // return to it; the stream was lost 2.6 s later. Here the server keeps running and sends no reports.
 func TestStreamBrokenByARunningServerReturnsToIt(t *testing.T) {
 	var only *fakeBackend
-	only = newFakeBackend(t, "i-only", func(w *bufio.Writer, r *http.Request) bool {
+	only = newFakeBackend(t, "i-alone", func(w *bufio.Writer, r *http.Request) bool {
 		if len(only.requests()) > 1 {
 			return streamAfter(1)(w, r)
 		}
@@ -120,7 +120,7 @@
 // A stream does not return to a server that crashed when it broke the stream off.
 func TestStreamDoesNotReturnToACrashedServer(t *testing.T) {
 	var only *fakeBackend
-	only = newFakeBackend(t, "i-only", func(w *bufio.Writer, r *http.Request) bool {
+	only = newFakeBackend(t, "i-alone", func(w *bufio.Writer, r *http.Request) bool {
 		writeEvents(w, r, 1, 1)
 		_ = only.listener.Close()
 		return false
--- a/pkg/gateway/version_expiry_test.go
+++ b/pkg/gateway/version_expiry_test.go
@@ -24,7 +24,7 @@
 // preferred; the second serves version 2.
 func newExpiringFixture(t *testing.T, first, second responseScript) *fixture {
 	t.Helper()
-	return newExpiringFixtureOf(t, newFakeBackend(t, "i-old", first), newFakeBackend(t, "i-new", second))
+	return newExpiringFixtureOf(t, newFakeBackend(t, "i-old", first), newFakeBackend(t, "i-young", second))
 }
 
 // newExpiringFixtureOf is newExpiringFixture with two given fake servers.
@@ -208,7 +208,7 @@
 		received <- r
 		return completeStream(w, r)
 	}, closeWithoutResponse)
-	f.gateway.backends.markDeparted("i-new", 0)
+	f.gateway.backends.markDeparted("i-young", 0)
 	f.setNamedVersion(defaultCancelMargin + 50*time.Millisecond)
 	if status, _, _, _ := f.do(t, f.draftRequest(t)); status != http.StatusOK {
 		t.Fatalf("status %d", status)
@@ -314,7 +314,7 @@
 func TestStreamRunsPastVersionExpiry(t *testing.T) {
 	const left = 1600 * time.Millisecond
 	old := newFakeBackend(t, "i-old", endsAtDeadline(left+watchdogInterval, 1, 3))
-	f := newExpiringFixtureOf(t, old, newFakeBackend(t, "i-new", completeStream))
+	f := newExpiringFixtureOf(t, old, newFakeBackend(t, "i-young", completeStream))
 	f.setNamedVersion(left)
 	status, _, body, err := f.do(t, f.draftRequest(t))
 	if status != http.StatusOK || body != events(1, 3) || err != nil {
--- a/pkg/link/kinds.go
+++ b/pkg/link/kinds.go
@@ -37,7 +37,7 @@
 	KindControlCall                   // forwards a call to the leading control node
 	KindJoin                          // asks to join the control log
 	KindStagerChunk                   // reads a chunk of weights from another stager
-	KindStagerNotice                  // tells other stagers which chunks a stager holds
+	KindStagerNotice                  // reports to other stagers which chunks a stager holds
 	KindReserve                       // asks a stager to reserve capacity of its backend server
 	KindPermit                        // asks the gateway that owns a server's limit for a permit
 	KindPermitReport                  // reports the outcome of a permit to that gateway
--- a/pkg/link/probe.go
+++ b/pkg/link/probe.go
@@ -27,7 +27,7 @@
 	replacementDialTimeout = 350 * time.Millisecond
 	// minProbeBackoff is how long a peer is not probed again after a probe that dialed a
 	// second connection. It doubles with each such probe in a row, up to maxProbeBackoff,
-	// and bounds the cost of a peer that is dead or slow, or whose new connections go
+	// and bounds the cost of a peer that is down or slow, or whose new connections go
 	// silent too.
 	minProbeBackoff = 200 * time.Millisecond
 	maxProbeBackoff = 4 * time.Second
--- a/pkg/quarantine/table.go
+++ b/pkg/quarantine/table.go
@@ -92,8 +92,8 @@
 // ----------------------------------------------------------------
 // Before and while a request runs
 
-// BeginAttempt returns the verdict on a request before an attempt, and the builds to avoid. After Suspect
-// the caller must call TryDone when the attempt has ended.
+// BeginAttempt returns the verdict on a request before an attempt, and the builds to avoid.
+// After Suspect the caller must call AttemptDone when the attempt has ended.
 func (t *Table) BeginAttempt(f Fingerprint) (v Verdict, avoid []string) {
 	s := t.shard(f)
 	s.mu.Lock()
--- a/pkg/registry/table.go
+++ b/pkg/registry/table.go
@@ -97,9 +97,9 @@
 // that restarts does so seconds later, so a skewed clock does not prevent its registration.
 const maxClockSkew = 10 * time.Second
 
-// MarkGone marks an incarnation as gone, and returns its last registration and whether it was not gone
-// before. The start that the table knows is marked even if its start time is later than the local
-// clock.
+// MarkGone marks an incarnation as gone, and returns its last registration and whether it was
+// not gone before. The start that the table knows is marked even if its start time is later than
+// the local clock.
 func (t *Table) MarkGone(incarnation string) (Registration, bool) {
 	s := t.shard(incarnation)
 	s.mu.Lock()
--- a/pkg/spread/coordinator.go
+++ b/pkg/spread/coordinator.go
@@ -56,7 +56,7 @@
 )
 
 // CoordinatorConfig is the configuration of a coordinator. Zero values of Neighbours,
-// OriginFetches and LeaseDuration select the defaults. Total is the number of chunks.
+// MaxOriginFetches and LeaseDuration select the defaults. Total is the number of chunks.
 type CoordinatorConfig struct {
 	Domain           string
 	Digest           contract.Digest
--- a/soak/limits_series_test.go
+++ b/soak/limits_series_test.go
@@ -1,7 +1,7 @@
 //go:build bench
 
 // ================================================================
-// Checks that gateways keep to the rate limits that backend servers announce, and use them
+// Checks that gateways keep to the rate limits that backend servers advertise, and use them
 // up, while gateways are restarted, killed, suspended and partitioned and control nodes and
 // stagers are killed. A third of the servers, or all, change between limits, malformed
 // limits and none. The test depends on wall-clock time, so it is run by hand:
@@ -44,7 +44,7 @@
 	minUsedShare = 0.8
 )
 
-// limitTexts are the values that servers announce, some malformed; an empty one removes the
+// limitTexts are the values that servers advertise, some malformed; an empty one removes the
 // limit.
 var limitTexts = []string{"1", "1.9", "3", "8", "0.2", "0", "25", "many", "-1", "NaN", "1e400", "", "", ""}
 
@@ -95,7 +95,7 @@
 	cl.reportLimits(t, servers, cl.evaluate(l.finished, faults.stops), faults.counts)
 }
 
-// limitedServers returns the servers that announce limits: a third of each kind, or all.
+// limitedServers returns the servers that advertise limits: a third of each kind, or all.
 func (cl *cluster) limitedServers(all bool) (servers []limitedServer) {
 	for i := range cl.engines {
 		if all || i%failureDomains == 0 {
@@ -110,14 +110,14 @@
 	return servers
 }
 
-// changeLimits makes each server announce randomly drawn limits.
+// changeLimits makes each server advertise randomly drawn limits.
 func (f *faultInjector) changeLimits(ctx context.Context, servers []limitedServer) {
 	for _, server := range servers {
-		f.repeat(ctx, "limit", limitChangePause, func(r *rand.Rand) { server.limit.Advertise(limitTexts[r.IntN(len(limitTexts))]) })
+		f.repeat(ctx, "word", limitChangePause, func(r *rand.Rand) { server.limit.Advertise(limitTexts[r.IntN(len(limitTexts))]) })
 	}
 }
 
-// holdLimit makes all servers announce one limit from the start until a fifth of the time is
+// holdLimit makes all servers advertise one limit from the start until a fifth of the time is
 // left.
 func (f *faultInjector) holdLimit(ctx context.Context, servers []limitedServer, text string) {
 	deadline, _ := ctx.Deadline()
@@ -169,7 +169,7 @@
 }
 
 // usedShare returns the share of a limit that gateways used, from limitUseDelay after its
-// announcement on.
+// advertisement on.
 func usedShare(s limitedServer, p limitPeriod) float64 {
 	from := p.from.Add(limitUseDelay)
 	received := 0
--- a/soak/limits_test.go
+++ b/soak/limits_test.go
@@ -1,7 +1,7 @@
 // ================================================================
-// Guards against gateways that ignore the rate limits of backend servers. A server announces
-// its limit in its responses, to whichever gateway sent the request. When gateways only passed the
-// limit on to callers, servers with limits of 1 and 1.9 requests a second got 18 and 23
+// Guards against gateways that ignore the rate limits of backend servers. A server advertises
+// its limit in its responses, to whichever gateway sent the request. When gateways only passed
+// the limit on to callers, servers with limits of 1 and 1.9 requests a second got 18 and 23
 // requests in 4 s, where 11 and 16 are allowed; this test measured 33 to 290 on that code.
 // ================================================================
 
@@ -15,11 +15,11 @@
 	"github.com/tidepost/tidepost/platform/standin"
 )
 
-// limitClusterConfig is a cluster whose servers announce limits, with more work than these
+// limitClusterConfig is a cluster whose servers advertise limits, with more work than these
 // allow.
 var limitClusterConfig = clusterConfig{control: 3, gateways: 4, engines: 4, plain: 3, plainServiceTime: plainServiceTime, rolloutDeadline: longDeadline}
 
-// Some servers announce a limit, another one, a malformed one and then none. All gateways
+// Some servers advertise a limit, another one, a malformed one and then none. All gateways
 // together keep to each limit without excluding the server, and a server without a limit gets
 // as many requests as before.
 func TestServerLimitIsKept(t *testing.T) {
@@ -64,8 +64,8 @@
 	}
 }
 
-// awaitLimitLifted waits until a server that no longer announces a limit gets more requests in a
-// window than its limits allowed.
+// awaitLimitLifted waits until a server that no longer advertises a limit gets more requests in
+// a window than its limits allowed.
 func (s limitedServer) awaitLimitLifted(t *testing.T) {
 	const timeout = time.Minute
 	named := 0.0
--- a/soak/limits_verdict_test.go
+++ b/soak/limits_verdict_test.go
@@ -1,5 +1,5 @@
 // ================================================================
-// Decides whether all gateways together kept to the limits that backend servers announced. It
+// Decides whether all gateways together kept to the limits that backend servers advertised. It
 // uses only the requests that arrived at a server and the limits in its responses, so it does
 // not depend on how gateways implement limits.
 // ================================================================
@@ -22,30 +22,30 @@
 	limitWindow = 4 * time.Second
 	limitFactor = 1.5
 	limitSlack  = 5
-	// limitGrace is the time from a response that announces a limit until the requests of the
+	// limitGrace is the time from a response that advertises a limit until the requests of the
 	// gateway that got it count.
 	limitGrace = 500 * time.Millisecond
 	// maxLimitPerSecond is the largest rate that is a valid limit.
 	maxLimitPerSecond = 1e6
-	// limitUseDelay is the time from the announcement of a limit until its use is measured. All
+	// limitUseDelay is the time from the advertisement of a limit until its use is measured. All
 	// gateways have received the limit by then.
 	limitUseDelay = time.Second
 )
 
-// limitedServer is a backend server that may announce a limit.
+// limitedServer is a backend server that may advertise a limit.
 type limitedServer struct {
 	name  string
 	limit *standin.LimitAdvertiser
 }
 
-// limitPeriod is a time in which a backend server announced one limit.
+// limitPeriod is a time in which a backend server advertised one limit.
 type limitPeriod struct {
 	from, to  time.Time
 	since     time.Time // start of the uninterrupted time with some limit
 	perSecond float64
 }
 
-// limitPeriods returns the periods in which valid limits were announced.
+// limitPeriods returns the periods in which valid limits were advertised.
 func limitPeriods(n *standin.LimitAdvertiser) (periods []limitPeriod) {
 	texts := n.Advertisements()
 	for i, s := range texts {
@@ -72,7 +72,7 @@
 	return perSecond, ok
 }
 
-// limitAt returns the limit that was announced at a moment.
+// limitAt returns the limit that was advertised at a moment.
 func limitAt(periods []limitPeriod, at time.Time) (p limitPeriod, ok bool) {
 	for _, p := range periods {
 		if !at.Before(p.from) && at.Before(p.to) {
@@ -156,7 +156,7 @@
 	return lines, maxCount
 }
 
-// highestLimit returns the highest limit that was announced at any time between two moments.
+// highestLimit returns the highest limit that was advertised at any time between two moments.
 func highestLimit(periods []limitPeriod, from, to time.Time) (perSecond float64) {
 	for _, p := range periods {
 		if !p.from.After(to) && p.to.After(from) {
--- a/soak/load_test.go
+++ b/soak/load_test.go
@@ -22,7 +22,7 @@
 	// plainShare is the share of requests to plain servers; half of these are unsafe.
 	plainShare = 0.3
 	// minTokens and maxTokens bound the length of a response; their mean is
-	// engineFigures.Answer. minPrompt and maxPrompt bound the length of a prompt.
+	// engineFigures.UsualAnswer. minPrompt and maxPrompt bound the length of a prompt.
 	minTokens, maxTokens = 40, 120
 	minPrompt, maxPrompt = 400, 1200
 )
